--- a/src/test/sim/production.ts
+++ b/src/test/sim/production.ts
@@ -14,10 +14,26 @@
   startController: (platform: Platform, operator: unknown) => void;
   /** A job's record as that version reads it and would write it again. */
   parseJobRecord: (raw: unknown) => unknown;
+  /** The other stored records as that version reads them; null for a damaged one. */
+  parseFinal: (raw: unknown) => unknown;
+  parseLeader: (raw: unknown) => unknown;
+  parseTerm: (raw: unknown) => unknown;
+  parseRosterPage: (raw: unknown) => unknown;
+  parseProgress: (raw: unknown) => unknown;
+  parseStoredTypes: (raw: unknown) => unknown;
   /** A request of another controller as that version reads it. */
   parsePeerRequest: (raw: unknown) => { ok: boolean };
 }
 
+type RecordParser =
+  | 'parseJobRecord'
+  | 'parseFinal'
+  | 'parseLeader'
+  | 'parseTerm'
+  | 'parseRosterPage'
+  | 'parseProgress'
+  | 'parseStoredTypes';
+
 const productionCommit = (): string => {
   const service = parse(readFileSync(join(ROOT, 'deploy', 'service.toml'), 'utf8'));
   const commit = service['production'];
@@ -54,13 +70,19 @@
     (await import(pathToFileURL(join(out, file)).href)) as Record<string, unknown>;
   const { Controller } = await load('runtime/controller.js');
   const { checkOperator } = await load('config/operator.js');
-  const { parseJobRecord } = await load('wire/state.js');
+  const records = (await load('wire/state.js')) as unknown as Pick<Version, RecordParser>;
   const { parsePeerRequest } = await load('wire/peer-messages.js');
   const Constructor = Controller as new (platform: Platform, operator: unknown) => { start: () => void };
   return {
     startController: (platform, operator) =>
       new Constructor(platform, (checkOperator as (raw: unknown) => unknown)(operator)).start(),
-    parseJobRecord: parseJobRecord as Version['parseJobRecord'],
+    parseJobRecord: records.parseJobRecord,
+    parseFinal: records.parseFinal,
+    parseLeader: records.parseLeader,
+    parseTerm: records.parseTerm,
+    parseRosterPage: records.parseRosterPage,
+    parseProgress: records.parseProgress,
+    parseStoredTypes: records.parseStoredTypes,
     parsePeerRequest: parsePeerRequest as Version['parsePeerRequest'],
   };
 };
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -9,10 +9,35 @@
 import type { Setup } from './sim/service.js';
 import type { StateLimits } from '../config/platform.js';
 import type { JobRecord } from '../core/types.js';
-import type { JobId, MachineId, NodeName, Term, TypeName, WallTime } from '../core/units.js';
+import type {
+  Endpoint,
+  JobId,
+  MachineId,
+  NodeName,
+  SegmentName,
+  Term,
+  TypeName,
+  WallTime,
+  Zone,
+} from '../core/units.js';
 import { encode, decode } from '../wire/cbor.js';
 import { parsePeerRequest, type PeerRequest } from '../wire/peer-messages.js';
-import { dependenciesIn, jobRecordData, parseJobRecord } from '../wire/state.js';
+import {
+  dependenciesIn,
+  finalData,
+  jobRecordData,
+  keys,
+  parseFinal,
+  parseJobRecord,
+  parseLeader,
+  parseProgress,
+  parseRosterPage,
+  parseStoredTypes,
+  parseTerm,
+  parseTypesPage,
+  progressData,
+  rosterRecord,
+} from '../wire/state.js';
 
 const production = await loadProduction();
 
@@ -131,6 +156,95 @@
   assert.deepEqual(dependenciesIn(stored(oldRecord)), []);
 });
 
+test('stored records: the encoded form of each kind is that of the version in production', () => {
+  const machine = {
+    id: 'host-1' as MachineId,
+    endpoint: '10.0.0.1:9000' as Endpoint,
+    type: 'small' as TypeName,
+    zone: 'east' as Zone,
+    spot: true,
+  };
+  const page = { machines: [{ id: 'host-1', type: 'small', zone: 'east', spot: true }] };
+  const progress = { bits: 'Bf8=' };
+  const unenrolled = [{ ...machine, endpoint: '' }];
+  const typesPage = { pages: 1, types };
+  const done = { state: 'done', tasks: 3 } as const;
+  const cancelled = { state: 'cancelled', tasks: 3 } as const;
+  const leader = { node: 'stable-0', term: 3 };
+  const kinds: { written: unknown; form: unknown; read: unknown; readers: ((raw: unknown) => unknown)[] }[] =
+    [
+      { written: finalData(done), form: done, read: done, readers: [parseFinal, production.parseFinal] },
+      {
+        written: finalData(cancelled),
+        form: { state: 'withdrawn', tasks: 3 },
+        read: cancelled,
+        readers: [parseFinal, production.parseFinal],
+      },
+      {
+        written: rosterRecord([machine]),
+        form: page,
+        read: unenrolled,
+        readers: [parseRosterPage, production.parseRosterPage],
+      },
+      {
+        written: progressData(Uint8Array.of(5, 255)),
+        form: progress,
+        read: 'Bf8=',
+        readers: [parseProgress, production.parseProgress],
+      },
+      { written: leader, form: leader, read: leader, readers: [parseLeader, production.parseLeader] },
+      { written: { term: 3 }, form: { term: 3 }, read: 3, readers: [parseTerm, production.parseTerm] },
+      { written: types, form: types, read: types, readers: [parseStoredTypes, production.parseStoredTypes] },
+      {
+        written: typesPage,
+        form: typesPage,
+        read: typesPage,
+        readers: [parseTypesPage],
+      },
+    ];
+  for (const { written, form, read, readers } of kinds) {
+    assert.deepEqual(stored(written), form);
+    for (const reader of readers) assert.deepEqual(reader(stored(form)), read);
+  }
+});
+
+test('stored records: the form of a job, and the keys', () => {
+  const form = {
+    spec: {
+      id: 'wk-7',
+      class: 'batch',
+      team: dayTeams[0].name,
+      kind: 'array',
+      priority: 'normal',
+      tasks: 1,
+      cpus: 4,
+      gpus: 1,
+      memoryGb: 16,
+      image: 'img-1',
+      imageGb: 4,
+      types: null,
+      zone: null,
+      oneZone: false,
+      spread: false,
+      spot: false,
+      estimateS: 30,
+      checkpointS: 10,
+      saveS: 2,
+      deadlineS: null,
+    },
+    submittedAt: 1_700_000_000_000,
+    cancelledAt: null,
+  };
+  assert.deepEqual(stored(jobRecordData(record({}))), form);
+  const id = 'wk-7' as JobId;
+  assert.deepEqual(
+    [keys.leader, keys.term, keys.types, keys.typesPage(1), keys.active(id), keys.final(id)],
+    ['l/leader', 'l/term', 'c/types', 'c/types/1', 'j/wk-7', 'f/wk-7'],
+  );
+  assert.equal(keys.progress(id, '0' as SegmentName), 'p/wk-7/0');
+  assert.equal(keys.rosterPage('3-1'), 'm/3-1');
+});
+
 test('messages between controllers: each version takes what the other sends', () => {
   const status = {
     node: 'stable-0' as NodeName,
