--- a/src/build/compile-settings.ts
+++ b/src/build/compile-settings.ts
@@ -3,7 +3,7 @@
 import { readFileSync, writeFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import hclParser from 'hcl2-json-parser';
-import { checkOperator } from '../config/operator.js';
+import { parseOperatorSettings } from '../config/operator.js';
 import { ConfigError } from '../config/check.js';
 
 /** The package comes without types. */
@@ -12,7 +12,7 @@
 const output = fileURLToPath(new URL('../operator.json', import.meta.url));
 try {
   const parsed = await hcl.parseToObject(readFileSync(source, 'utf8'));
-  checkOperator(parsed);
+  parseOperatorSettings(parsed);
   writeFileSync(output, JSON.stringify(parsed) + '\n');
   process.exit(0); // the parser's runtime would keep the process alive
 } catch (e) {
--- a/src/cli/run.ts
+++ b/src/cli/run.ts
@@ -2,8 +2,8 @@
 import { fileURLToPath } from 'node:url';
 import { parseArgs } from 'node:util';
 import { ConfigError } from '../config/check.js';
-import { readOperator } from '../config/operator.js';
-import { platformWarnings, readPlatform } from '../config/platform.js';
+import { readOperatorSettings } from '../config/operator.js';
+import { platformWarnings, readPlatformSettings } from '../config/platform.js';
 
 const USAGE = `brookspur: a cluster scheduler
 
@@ -48,8 +48,8 @@
     return 2;
   }
   try {
-    const platform = readPlatform(values.config);
-    const operator = readOperator(fromTarget('operator.json'));
+    const platform = readPlatformSettings(values.config);
+    const operator = readOperatorSettings(fromTarget('operator.json'));
     if (values.check) {
       for (const warning of platformWarnings(platform)) process.stdout.write(`warning: ${warning}\n`);
       process.stdout.write(`${values.config}: valid\n`);
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -19,7 +19,7 @@
   scheduling: block({ cycle_ms: between(20, 10_000, 200), aging_s: between(10, 600, 90) }),
 });
 
-export interface Operator {
+export interface OperatorSettings {
   leaseMs: number;
   idleHoldS: number;
   capacityRetryS: number;
@@ -28,7 +28,7 @@
   agingS: number;
 }
 
-export const checkOperator = (raw: unknown): Operator => {
+export const parseOperatorSettings = (raw: unknown): OperatorSettings => {
   const c = check(schema, raw, 'operator settings');
   return {
     leaseMs: c.leadership[0].lease_ms ?? 3000,
@@ -41,10 +41,10 @@
 };
 
 /** Reads what the build step made of deploy/operator.hcl; it is checked again, since files get edited. */
-export const readOperator = (path: string): Operator => {
-  if (!existsSync(path)) return checkOperator({});
+export const readOperatorSettings = (path: string): OperatorSettings => {
+  if (!existsSync(path)) return parseOperatorSettings({});
   try {
-    return checkOperator(JSON.parse(readFileSync(path, 'utf8')));
+    return parseOperatorSettings(JSON.parse(readFileSync(path, 'utf8')));
   } catch (e) {
     if (e instanceof ConfigError) throw e;
     throw new ConfigError(`${path}: not JSON; expected the output of the build step`);
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -2,7 +2,7 @@
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
 import { ConfigError, check } from './check.js';
-import type { TeamLimits } from '../core/types.js';
+import type { TeamQuota } from '../core/types.js';
 import type { NodeName, Team, Zone } from '../core/units.js';
 
 const positive = v.pipe(v.number(), v.minValue(0));
@@ -83,7 +83,7 @@
 };
 
 /** What the state service takes: requests and changes a second, the size of a value, changes in a transaction. */
-export interface StateLimits {
+export interface KeyValueStoreLimits {
   rps: number;
   writeRps: number;
   valueKb: number;
@@ -93,33 +93,39 @@
 type StateSettings = v.InferOutput<typeof schema>['settings']['state'];
 
 /** Guards against writes that a service with lowered limits refuses, since they come without notice. */
-const stateLimits = ({ next = {}, ...now }: StateSettings): StateLimits => ({
+const stateLimits = ({ next = {}, ...now }: StateSettings): KeyValueStoreLimits => ({
   rps: Math.min(now.rps, next.rps ?? Infinity),
   writeRps: Math.min(now.write_rps, next.write_rps ?? Infinity),
   valueKb: Math.min(now.value_kb, next.value_kb ?? Infinity),
   txnOps: Math.min(now.txn_ops, next.txn_ops ?? Infinity),
 });
 
-export interface Platform {
+export interface PlatformSettings {
   name: NodeName;
   zone: Zone;
   publicAddr: Address;
   internalAddr: Address;
   peers: { name: NodeName; zone: Zone; address: Address }[];
-  cloud: Address;
-  state: Address;
+  cloudProvider: Address;
+  keyValueStore: Address;
   zones: Zone[];
   clockErrorMs: number;
-  teams: TeamLimits[];
+  teams: TeamQuota[];
   objectives: Objective[];
-  workers: { reportS: number; leaseS: number; gangWaitS: number; gangPeerS: number; cancelS: number };
+  workers: {
+    heartbeatIntervalS: number;
+    leaseS: number;
+    gangWaitS: number;
+    gangPeerS: number;
+    cancelS: number;
+  };
   /** The smaller of the present limits and of those announced for later: what is kept holds under both. */
-  stateLimits: StateLimits;
-  cloudLimits: { rps: number; listLagS: number };
+  keyValueStoreLimits: KeyValueStoreLimits;
+  cloudProviderLimits: { rps: number; listLagS: number };
   limits: { cpu: number; memoryMb: number; sockets: number };
 }
 
-export const parsePlatform = (source: string): Platform => {
+export const parsePlatformSettings = (source: string): PlatformSettings => {
   let raw: unknown;
   try {
     raw = parse(source);
@@ -144,8 +150,8 @@
       zone: p.area as Zone,
       address: parseAddress(p.address),
     })),
-    cloud: parseAddress(c.external.cloud),
-    state: parseAddress(c.external.state),
+    cloudProvider: parseAddress(c.external.cloud),
+    keyValueStore: parseAddress(c.external.state),
     zones: s.zones as Zone[],
     clockErrorMs: s.clock_error_ms,
     teams: s.teams.map((t) => ({
@@ -157,20 +163,20 @@
     })),
     objectives: s.objectives,
     workers: {
-      reportS: s.workers.report_s,
+      heartbeatIntervalS: s.workers.report_s,
       leaseS: s.workers.lease_s,
       gangWaitS: s.workers.gang_wait_s,
       gangPeerS: s.workers.gang_peer_s,
       cancelS: s.workers.cancel_s,
     },
-    stateLimits: stateLimits(s.state),
-    cloudLimits: { rps: s.cloud.rps, listLagS: s.cloud.list_lag_s },
+    keyValueStoreLimits: stateLimits(s.state),
+    cloudProviderLimits: { rps: s.cloud.rps, listLagS: s.cloud.list_lag_s },
     limits: { cpu: s.limits.cpu, memoryMb: s.limits.memory_mb, sockets: s.limits.fd_limit },
   };
 };
 
 /** What is served all the same, but not as it was probably meant. */
-export const platformWarnings = ({ teams }: Platform): string[] => {
+export const platformWarnings = ({ teams }: PlatformSettings): string[] => {
   const warnings: string[] = [];
   for (const team of teams) {
     for (const [kind, guarantee, limit] of [
@@ -184,12 +190,12 @@
   return warnings;
 };
 
-export const readPlatform = (path: string): Platform => {
+export const readPlatformSettings = (path: string): PlatformSettings => {
   let source: string;
   try {
     source = readFileSync(path, 'utf8');
   } catch {
     throw new ConfigError(`${path}: cannot be read; expected a readable TOML file`);
   }
-  return parsePlatform(source);
+  return parsePlatformSettings(source);
 };
--- a/src/core/cancellations.ts
+++ b/src/core/cancellation-log.ts
@@ -1,5 +1,5 @@
 // Which jobs users were told are cancelled, and up to which instant this controller knows that it knows them all.
-import type { JobId, NodeName, Steady } from './units.js';
+import type { JobId, NodeName, MonotonicTime } from './units.js';
 
 /** Two steady clocks may drift apart by 0.05%; twice that, as for leases. */
 const CLOCK_DRIFT = 0.001;
@@ -10,13 +10,13 @@
 export type Incarnation = string & { readonly incarnation: unique symbol };
 
 /** How much of a peer's log we hold. */
-export interface LogPosition {
+export interface CancellationLogPosition {
   incarnation: Incarnation;
   position: number;
 }
 
 /** A peer's word, in answer to a question that says how much of its log the asker holds. */
-export interface LogPage {
+export interface CancellationLogPage {
   incarnation: Incarnation;
   /** The position of the first job below. */
   from: number;
@@ -27,10 +27,10 @@
   completeAgoMs: number | null;
 }
 
-interface PeerLog extends LogPosition {
+interface PeerLog extends CancellationLogPosition {
   /** All that the peer confirmed between these instants is in our log. */
-  from: Steady;
-  until: Steady;
+  from: MonotonicTime;
+  until: MonotonicTime;
 }
 
 /**
@@ -39,12 +39,12 @@
  * over what the state service's records and its peers' logs say. From the instants at which it *asked*, it derives
  * `completeUntil`: every cancellation that any controller confirmed until then is in this log.
  */
-export class Cancellations {
-  private readonly learnedAt = new Map<JobId, Steady>();
+export class CancellationLog {
+  private readonly learnedAt = new Map<JobId, MonotonicTime>();
   private log: JobId[] = [];
   /** The position of the first entry that is still kept. */
   private first = 0;
-  private completeUntil = -Infinity as Steady;
+  private completeUntil = -Infinity as MonotonicTime;
   private readonly peerLogs = new Map<NodeName, PeerLog>();
   private readonly peers: ReadonlySet<NodeName>;
 
@@ -52,13 +52,13 @@
     private readonly incarnation: Incarnation,
     peers: NodeName[],
     /** For so long an entry can matter: after it, no task of the job can be left anywhere. */
-    private readonly keptMs: number,
+    private readonly retentionMs: number,
   ) {
     this.peers = new Set(peers);
   }
 
   /** True if this is news. */
-  add(job: JobId, now: Steady): boolean {
+  add(job: JobId, now: MonotonicTime): boolean {
     if (this.learnedAt.has(job)) return false;
     this.learnedAt.set(job, now);
     this.log.push(job);
@@ -70,11 +70,11 @@
     return this.learnedAt.has(job);
   }
 
-  learned(job: JobId): Steady | undefined {
+  learnedAtOf(job: JobId): MonotonicTime | undefined {
     return this.learnedAt.get(job);
   }
 
-  someLearned(from: Steady, until: Steady): boolean {
+  anyLearnedBetween(from: MonotonicTime, until: MonotonicTime): boolean {
     for (const at of this.learnedAt.values()) if (at >= from && at < until) return true;
     return false;
   }
@@ -84,7 +84,7 @@
   }
 
   /** Every cancellation confirmed until this instant is known here; -Infinity in a process that has just begun. */
-  provenUntil(now: Steady): Steady {
+  provenUntil(now: MonotonicTime): MonotonicTime {
     // Alone, it is the only one that confirms any; what its process before this one did, the first read has told.
     if (this.peers.size === 0 && this.completeUntil > -Infinity) return now;
     return this.completeUntil;
@@ -94,17 +94,17 @@
    * The state service answered a question asked at this instant, and all cancelled records in it were added: whatever
    * was confirmed before was recorded before.
    */
-  stateRead(askedAt: Steady): void {
+  onStoreRead(askedAt: MonotonicTime): void {
     this.advance(askedAt);
   }
 
   /** What a peer is asked with. */
-  positionOf(peer: NodeName): LogPosition | null {
+  positionOf(peer: NodeName): CancellationLogPosition | null {
     const log = this.peerLogs.get(peer);
     return log ? { incarnation: log.incarnation, position: log.position } : null;
   }
 
-  pageAfter(have: LogPosition | null, now: Steady): LogPage {
+  pageAfter(have: CancellationLogPosition | null, now: MonotonicTime): CancellationLogPage {
     const known = have?.incarnation === this.incarnation ? have.position : 0;
     const from = Math.max(this.first, Math.min(known, this.end));
     const jobs = this.log.slice(from - this.first, from - this.first + PAGE);
@@ -113,7 +113,7 @@
   }
 
   /** Returns the jobs that are news. */
-  heard(peer: NodeName, s: LogPage, askedAt: Steady, now: Steady): JobId[] {
+  mergePage(peer: NodeName, s: CancellationLogPage, askedAt: MonotonicTime, now: MonotonicTime): JobId[] {
     if (!this.peers.has(peer)) return [];
     const news = s.jobs.filter((job) => this.add(job, now));
     let log = this.peerLogs.get(peer);
@@ -125,10 +125,10 @@
     // Entries before `from` that we lack were dropped there for their age: they matter no more.
     log.position = Math.max(log.position, s.from + s.jobs.length);
     if (log.position < s.end) return news;
-    log.until = Math.max(log.until, askedAt) as Steady;
+    log.until = Math.max(log.until, askedAt) as MonotonicTime;
     // What the peer knows, we know now too.
     if (s.completeAgoMs !== null)
-      this.advance((askedAt - Math.max(0, s.completeAgoMs) * (1 + CLOCK_DRIFT)) as Steady);
+      this.advance((askedAt - Math.max(0, s.completeAgoMs) * (1 + CLOCK_DRIFT)) as MonotonicTime);
     this.combine();
     return news;
   }
@@ -141,10 +141,10 @@
       if (!log || log.from > this.completeUntil) return;
       until = Math.min(until, log.until);
     }
-    if (until < Infinity) this.advance(until as Steady);
+    if (until < Infinity) this.advance(until as MonotonicTime);
   }
 
-  private advance(to: Steady): void {
+  private advance(to: MonotonicTime): void {
     if (to > this.completeUntil) this.completeUntil = to;
   }
 
@@ -153,9 +153,9 @@
   }
 
   /** Bounded by age, and so by the rate at which the state service takes cancellations. */
-  private forgetOld(now: Steady): void {
+  private forgetOld(now: MonotonicTime): void {
     let drop = 0;
-    while (drop < this.log.length && now - this.learnedAt.get(this.log[drop])! > this.keptMs) drop++;
+    while (drop < this.log.length && now - this.learnedAt.get(this.log[drop])! > this.retentionMs) drop++;
     if (drop === 0) return;
     for (const job of this.log.splice(0, drop)) this.learnedAt.delete(job);
     this.first += drop;
--- a/src/core/election.ts
+++ b/src/core/election.ts
@@ -1,37 +1,37 @@
 // Leadership: a key attached to a lease in the state service, created in the one transaction that also raises
 // the term. This module decides; the runtime carries out the calls.
-import type { Counter, NodeName, Stamp, Steady, Term } from './units.js';
+import type { Uint64, NodeName, Revision, MonotonicTime, Term } from './units.js';
 
-export interface LeaseHeld {
-  lease: Counter;
+export interface HeldLease {
+  lease: Uint64;
   term: Term;
-  keyStamp: Stamp;
+  keyRevision: Revision;
   /** Steady time at which the last successful renewal (or the grant) was sent. */
-  renewedAt: Steady;
+  renewedAt: MonotonicTime;
 }
 
-export interface Election {
-  held: LeaseHeld | null;
+export interface ElectionState {
+  held: HeldLease | null;
   /** What the state service last said, or a peer with a higher term. */
   leader: { node: NodeName; term: Term } | null;
 }
 
-export const emptyElection = (): Election => ({ held: null, leader: null });
+export const initialElectionState = (): ElectionState => ({ held: null, leader: null });
 
 const CLOCK_DRIFT = 0.001; // twice the published 0.05%, since two clocks are compared
 const MARGIN_MS = 50;
 
 /** Authority ends before the state service can let the lease go, counted from the sending of the renewal. */
-export const authorityEnds = (held: LeaseHeld, ttlMs: number): Steady =>
-  (held.renewedAt + ttlMs * (1 - CLOCK_DRIFT) - MARGIN_MS) as Steady;
+export const leaseExpiresAt = (held: HeldLease, ttlMs: number): MonotonicTime =>
+  (held.renewedAt + ttlMs * (1 - CLOCK_DRIFT) - MARGIN_MS) as MonotonicTime;
 
-export const hasAuthority = (e: Election, ttlMs: number, now: Steady): boolean =>
-  e.held !== null && now < authorityEnds(e.held, ttlMs);
+export const hasAuthority = (e: ElectionState, ttlMs: number, now: MonotonicTime): boolean =>
+  e.held !== null && now < leaseExpiresAt(e.held, ttlMs);
 
-export const learnLeader = (e: Election, node: NodeName, term: Term): void => {
+export const learnLeader = (e: ElectionState, node: NodeName, term: Term): void => {
   if (e.leader === null || term >= e.leader.term) e.leader = { node, term };
   // A higher term means that our lease is gone, whatever our own clock says.
   if (e.held !== null && term > e.held.term) e.held = null;
 };
 
-export const highestTerm = (e: Election): Term => (e.leader?.term ?? 0) as Term;
+export const highestTerm = (e: ElectionState): Term => (e.leader?.term ?? 0) as Term;
--- a/src/core/starts-on-the-way.ts
+++ b/src/core/in-flight-starts.ts
@@ -2,39 +2,39 @@
  * Starts sent straight to a worker that may still arrive there. Guards against a late copy of a start that runs a task
  * again: while one may arrive, the worker must not be told to forget the attempt.
  */
-import type { AttemptKey } from './cluster.js';
+import type { AttemptKey } from './task-status.js';
 
-export class StartsOnTheWay {
-  private readonly copies = new Map<AttemptKey, number>();
+export class InFlightStarts {
+  private readonly copiesInFlight = new Map<AttemptKey, number>();
 
   /** Attempts of which a copy may still arrive. */
   get size(): number {
-    return this.copies.size;
+    return this.copiesInFlight.size;
   }
 
   has(key: AttemptKey): boolean {
-    return this.copies.has(key);
+    return this.copiesInFlight.has(key);
   }
 
   /** A copy is about to be sent. */
   sent(key: AttemptKey): void {
-    this.copies.set(key, (this.copies.get(key) ?? 0) + 1);
+    this.copiesInFlight.set(key, (this.copiesInFlight.get(key) ?? 0) + 1);
   }
 
   /** That copy was never sent after all; earlier ones were. */
   neverSent(key: AttemptKey): void {
-    const left = (this.copies.get(key) ?? 0) - 1;
-    if (left > 0) this.copies.set(key, left);
-    else this.copies.delete(key);
+    const left = (this.copiesInFlight.get(key) ?? 0) - 1;
+    if (left > 0) this.copiesInFlight.set(key, left);
+    else this.copiesInFlight.delete(key);
   }
 
   /** The worker refused a copy for its token or session, and will refuse every earlier one. */
   refused(key: AttemptKey): void {
-    this.copies.delete(key);
+    this.copiesInFlight.delete(key);
   }
 
   /** The worker's session has ended: it refuses all that was sent for it. */
   clear(): void {
-    this.copies.clear();
+    this.copiesInFlight.clear();
   }
 }
--- a/src/core/job.ts
+++ b/src/core/job.ts
@@ -1,22 +1,31 @@
 import { priorityRank, type JobRecord, type Priority } from './types.js';
-import type { Attempt, Counter, JobId, MachineId, SegmentName, Stamp, Steady, WallTime } from './units.js';
+import type {
+  Attempt,
+  Uint64,
+  JobId,
+  MachineId,
+  SegmentName,
+  Revision,
+  MonotonicTime,
+  WallTime,
+} from './units.js';
 
 /** Where a task is, or may be. It stays until the machine can no longer hold it. */
 export interface Placement {
   index: number;
   machine: MachineId;
   attempt: Attempt;
-  assignedAt: Steady;
+  assignedAt: MonotonicTime;
   /** The report that was answered with the start command; settled by a newer report of the same machine. */
-  sentWith: { session: Counter; seq: Counter } | null;
+  startSentInReplyTo: { session: Uint64; seq: Uint64 } | null;
   /** A start went straight to the worker and its answer is still awaited. */
-  orderOpen: boolean;
+  directStartInFlight: boolean;
   /** A start sent straight to the worker got no answer: it may still arrive, until the session moves on. */
-  orderLost: boolean;
-  seen: boolean;
+  directStartOutcomeUnknown: boolean;
+  observed: boolean;
   running: boolean;
-  runningSince: Steady | null;
-  stop: { graceS: number; since: Steady; why: string } | null;
+  runningSince: MonotonicTime | null;
+  stop: { graceS: number; since: MonotonicTime; why: string } | null;
   /** Started after a long wait: not preempted, or it would starve all the same. */
   unpreemptible: boolean;
 }
@@ -25,16 +34,16 @@
   index: number,
   machine: MachineId,
   attempt: Attempt,
-  now: Steady,
+  now: MonotonicTime,
 ): Placement => ({
   index,
   machine,
   attempt,
   assignedAt: now,
-  sentWith: null,
-  orderOpen: false,
-  orderLost: false,
-  seen: false,
+  startSentInReplyTo: null,
+  directStartInFlight: false,
+  directStartOutcomeUnknown: false,
+  observed: false,
   running: false,
   runningSince: null,
   stop: null,
@@ -45,7 +54,7 @@
   | { why: 'queued' }
   | { why: 'waiting for other jobs'; jobs: number }
   | { why: 'task may still run on a silent machine' }
-  | { why: 'back-off'; until: Steady }
+  | { why: 'back-off'; until: MonotonicTime }
   | { why: 'team limit' }
   | { why: 'old attempt not gone' }
   | { why: 'waiting for victims'; victims: number }
@@ -55,32 +64,32 @@
 
 export class Job {
   readonly placements = new Map<number, Placement>();
-  readonly done: Uint8Array;
-  readonly durable: Uint8Array;
+  readonly completedBits: Uint8Array;
+  readonly durableBits: Uint8Array;
   doneCount = 0;
   /** Tasks whose completion the state service doesn't hold yet, and that no write under way has. */
-  readonly unsaved = new Set<number>();
-  progressSavedAt = -Infinity;
+  readonly unpersistedCompletions = new Set<number>();
+  progressPersistedAt = -Infinity;
   /** Segments of the completions that are being written. */
-  readonly writing = new Set<SegmentName>();
+  readonly segmentsBeingWritten = new Set<SegmentName>();
   /** Segments that have a key in the state service. */
-  readonly stored = new Set<SegmentName>();
+  readonly persistedSegments = new Set<SegmentName>();
   private readonly requeued = new Set<number>();
   private cursor = 0;
   private placedNotDone = 0;
   backoffUntil = -Infinity;
   /** Room that appears after this rejection ends its back-off early. */
-  rejectedAtWake = -1;
+  rejectedAtCapacityVersion = -1;
   rejections = 0;
   /** Error back-off isn't cut short by free capacity: the job itself may be at fault. */
-  errorUntil = -Infinity;
-  errors = 0;
+  errorBackoffUntil = -Infinity;
+  errorCount = 0;
   readonly errorMachines = new Set<MachineId>();
-  reason: WaitReason = { why: 'queued' };
-  loggedReason = '';
+  waitReason: WaitReason = { why: 'queued' };
+  loggedWaitReason = '';
   finalizing = false;
   /** A controller says that its user was told it is cancelled; the record that says so may not have reached us. */
-  cancellationConfirmedAt: Steady | null = null;
+  cancellationConfirmedAt: MonotonicTime | null = null;
   /** Has waited long with none of its tasks placed. */
   waitedLong = false;
   /** Goes before the others, and room is held for it. */
@@ -88,9 +97,9 @@
   /** Fits its team's guarantee together with the team's earlier unfinished jobs. */
   withinGuarantee = false;
   /** Machines being kept free for it. */
-  readonly held = new Set<MachineId>();
-  everRan = false;
-  waitingSince: Steady;
+  readonly reservedMachines = new Set<MachineId>();
+  hasRun = false;
+  waitingSince: MonotonicTime;
   /** Jobs that it depends on and that are not known to be done. */
   readonly unfinishedDependencies = new Set<JobId>();
   /** A job that it depends on is cancelled, and so is it: none of its tasks was ever started. */
@@ -98,19 +107,19 @@
   /** By how much it will probably miss its deadline; null: it is in time, or has none. */
   predictedLateS: number | null = null;
   /** From the jobs that depend on it: the highest of their priorities, and when it has to be over for theirs. */
-  inherited: { priority: Priority; dueAt: WallTime | null } | null = null;
+  inheritedUrgency: { priority: Priority; dueAt: WallTime | null } | null = null;
 
   constructor(
     readonly id: JobId,
     public record: JobRecord,
-    public stamp: Stamp,
+    public revision: Revision,
     /** Known before this leadership began: an earlier leader may have started its tasks. */
     readonly fromEarlierLeader: boolean,
-    now: Steady,
+    now: MonotonicTime,
   ) {
     const bytes = Math.ceil(record.spec.tasks / 8);
-    this.done = new Uint8Array(bytes);
-    this.durable = new Uint8Array(bytes);
+    this.completedBits = new Uint8Array(bytes);
+    this.durableBits = new Uint8Array(bytes);
     this.waitingSince = now;
   }
 
@@ -132,8 +141,8 @@
   /** Its own priority, or that of a job that depends on it where that is higher. */
   get priority(): Priority {
     const own = this.spec.priority;
-    return this.inherited && priorityRank[this.inherited.priority] > priorityRank[own]
-      ? this.inherited.priority
+    return this.inheritedUrgency && priorityRank[this.inheritedUrgency.priority] > priorityRank[own]
+      ? this.inheritedUrgency.priority
       : own;
   }
 
@@ -141,12 +150,12 @@
   get dueAt(): WallTime | null {
     const { deadlineS } = this.spec;
     const own = deadlineS === null ? Infinity : this.record.submittedAt + deadlineS * 1000;
-    const due = Math.min(own, this.inherited?.dueAt ?? Infinity);
+    const due = Math.min(own, this.inheritedUrgency?.dueAt ?? Infinity);
     return due < Infinity ? (due as WallTime) : null;
   }
 
   /** For how long its user may have known that it is cancelled. */
-  cancelledForMs(now: Steady, wall: WallTime): number {
+  cancelledForMs(now: MonotonicTime, wall: WallTime): number {
     const { cancelledAt } = this.record;
     const byRecord = cancelledAt === null ? -Infinity : wall - cancelledAt;
     return Math.max(
@@ -170,19 +179,19 @@
   }
 
   isDone(index: number): boolean {
-    return (this.done[index >> 3] & (1 << (index & 7))) !== 0;
+    return (this.completedBits[index >> 3] & (1 << (index & 7))) !== 0;
   }
 
   isDurable(index: number): boolean {
-    return (this.durable[index >> 3] & (1 << (index & 7))) !== 0;
+    return (this.durableBits[index >> 3] & (1 << (index & 7))) !== 0;
   }
 
   markDone(index: number): void {
     if (index >= this.spec.tasks || this.isDone(index)) return;
-    this.done[index >> 3] |= 1 << (index & 7);
+    this.completedBits[index >> 3] |= 1 << (index & 7);
     this.doneCount++;
     if (this.placements.has(index)) this.placedNotDone--;
-    this.unsaved.add(index);
+    this.unpersistedCompletions.add(index);
   }
 
   /** The first n tasks that are neither done nor placed; none is taken away. */
@@ -216,13 +225,13 @@
 
   /** Completions read back from the state service, or confirmed as written to it, from that byte on. */
   confirmCompletions(segment: SegmentName, startByte: number, bytes: Uint8Array): void {
-    this.stored.add(segment);
-    for (let i = 0; i < bytes.length && startByte + i < this.durable.length; i++) {
-      this.durable[startByte + i] |= bytes[i];
-      this.done[startByte + i] |= bytes[i];
+    this.persistedSegments.add(segment);
+    for (let i = 0; i < bytes.length && startByte + i < this.durableBits.length; i++) {
+      this.durableBits[startByte + i] |= bytes[i];
+      this.completedBits[startByte + i] |= bytes[i];
     }
     let count = 0;
-    for (const byte of this.done) for (let b = byte; b !== 0; b &= b - 1) count++;
+    for (const byte of this.completedBits) for (let b = byte; b !== 0; b &= b - 1) count++;
     this.doneCount = count;
     this.placedNotDone = 0;
     for (const index of this.placements.keys()) if (!this.isDone(index)) this.placedNotDone++;
--- a/src/core/leader/renting.ts
+++ b/src/core/leader/autoscaler.ts
@@ -1,12 +1,18 @@
 // Renting for the waiting and the expected work; giving back what nothing needs.
-import { Arrivals } from '../arrivals.js';
-import { Machine, add } from '../cluster.js';
+import { ArrivalRates } from '../scaling/arrival-rates.js';
+import { Machine } from '../machine.js';
+import { addResources } from '../resources.js';
 import { Job } from '../job.js';
-import { capacityKey, planScaling, type RentOrder, type Want } from '../scaling.js';
-import { priorityRank, type Amounts } from '../types.js';
-import type { Endpoint, MachineId, Steady, Zone } from '../units.js';
-import type { Fleet } from './fleet.js';
-import type { LeaderState } from './state.js';
+import {
+  capacityKey,
+  planScaling,
+  type ScaleOutOrder,
+  type CapacityDemand,
+} from '../scaling/scale-out-plan.js';
+import { priorityRank, type Resources } from '../types.js';
+import type { Endpoint, MachineId, MonotonicTime, Zone } from '../units.js';
+import type { MachinePool } from './machine-pool.js';
+import type { LeaderState } from './leader-state.js';
 
 /** New machines planned at once: at least so many, and more where much work waits, or a large cluster would start slowly. */
 const LEAST_NEW_MACHINES = 60;
@@ -20,27 +26,31 @@
 /** For so long a leader that got no list rents nothing. */
 const UNLISTED_MS = 10_000;
 
-export class Renting {
-  private readonly refusedUntil = new Map<string, Steady>();
+export class Autoscaler {
+  private readonly refusedUntil = new Map<string, MonotonicTime>();
   private readonly refusals = new Map<string, number>();
-  private readonly rents = new Map<string, RentOrder>();
+  private readonly rents = new Map<string, ScaleOutOrder>();
   private requests = 0;
 
-  lastScale = -Infinity;
-  readonly arrivals = new Arrivals();
+  lastScaledAt = -Infinity;
+  readonly arrivalRates = new ArrivalRates();
 
   constructor(
     private readonly state: LeaderState,
-    private readonly fleet: Fleet,
+    private readonly fleet: MachinePool,
   ) {}
 
-  onRented(request: string, outcome: { machines: MachineId[] } | 'no-capacity' | 'retry', now: Steady): void {
+  onScaleOutResult(
+    request: string,
+    outcome: { machines: MachineId[] } | 'no-capacity' | 'retry',
+    now: MonotonicTime,
+  ): void {
     const order = this.rents.get(request);
     if (!order) return;
     const key = capacityKey(order.type, order.zone, order.spot);
     if (outcome === 'retry') {
       // The name is kept: a repeat of a request that was carried out gives the same machines.
-      this.state.effects.push({ kind: 'rent', request, order });
+      this.state.effects.push({ kind: 'create-machines', request, order });
       return;
     }
     this.rents.delete(request);
@@ -62,23 +72,23 @@
   }
 
   /** Rests for longer with each refusal in a row. Requests of one round are refused together: that counts once. */
-  private noteRefusal(key: string, now: Steady): void {
+  private noteRefusal(key: string, now: MonotonicTime): void {
     if ((this.refusedUntil.get(key) ?? -Infinity) > now) return;
     const refusals = (this.refusals.get(key) ?? 0) + 1;
     this.refusals.set(key, refusals);
     const { capacityRetryS, random } = this.state.settings;
     const restMs = capacityRetryS * 1000 * Math.min(MOST_RESTS, 2 ** (refusals - 1));
-    this.refusedUntil.set(key, (now + restMs * (0.75 + 0.5 * random())) as Steady);
+    this.refusedUntil.set(key, (now + restMs * (0.75 + 0.5 * random())) as MonotonicTime);
   }
 
   /**
    * Urgent work on machines that have fallen silent: it may not start elsewhere before they are fenced, but the machines
    * for it can boot meanwhile. Not for a zone that is cut off: most of what it holds is there again when the cut ends.
    */
-  private replacements(silent: Machine[]): Want[] {
+  private replacements(silent: Machine[]): CapacityDemand[] {
     const lost = new Map<Job, Map<Zone, number>>();
     for (const m of silent) {
-      if (this.state.cutZones.has(m.info.zone)) continue;
+      if (this.state.partitionedZones.has(m.info.zone)) continue;
       for (const { job } of m.placements.values()) {
         if (job.cancelled || priorityRank[job.priority] < priorityRank.high) continue;
         const zones = lost.get(job) ?? new Map<Zone, number>();
@@ -86,7 +96,7 @@
         lost.set(job, zones);
       }
     }
-    const wants: { want: Want; rank: number }[] = [];
+    const wants: { want: CapacityDemand; rank: number }[] = [];
     for (const [job, gone] of lost) {
       const zones = this.state.zonesOf(job);
       let tasks = 0;
@@ -98,7 +108,7 @@
       }
       // A gang loses all of its tasks with one of them.
       const gang = job.spec.kind === 'gang';
-      const want: Want = {
+      const want: CapacityDemand = {
         spec: job.spec,
         tasks: gang ? job.spec.tasks : tasks,
         zones: gang ? new Map<Zone, number>() : zones,
@@ -115,55 +125,55 @@
    * whole fleet of such machines would be for nothing.
    */
   private wasUpBefore(m: Machine): boolean {
-    return !this.state.unheardMachines.has(m.id) && m.rentedAt < this.state.startedAt;
+    return !this.state.unreconciledMachines.has(m.id) && m.provisionedAt < this.state.startedAt;
   }
 
-  private mostNew(wants: Want[]): number {
+  private mostNew(wants: CapacityDemand[]): number {
     const tasks = wants.reduce((sum, want) => sum + want.tasks, 0);
     return Math.max(LEAST_NEW_MACHINES, Math.ceil(tasks / WAITING_TASKS_A_MACHINE));
   }
 
   /** In requests of the size that the cloud takes; each has a name of its own, which a repeat keeps. */
-  private request(order: RentOrder): void {
+  private request(order: ScaleOutOrder): void {
     for (let left = order.count; left > 0; left -= MOST_RENTED) {
       const request = `t${this.state.leadership.term}-${++this.requests}`;
       const part = { ...order, count: Math.min(left, MOST_RENTED) };
       this.rents.set(request, part);
-      this.state.effects.push({ kind: 'rent', request, order: part });
+      this.state.effects.push({ kind: 'create-machines', request, order: part });
     }
   }
 
-  scale(waiting: Job[], now: Steady): void {
-    if (now - this.lastScale < 500 || this.state.types.length === 0) return;
-    this.lastScale = now;
-    const rooms: { machine: Machine; free: Amounts }[] = [];
+  scale(waiting: Job[], now: MonotonicTime): void {
+    if (now - this.lastScaledAt < 500 || this.state.types.length === 0) return;
+    this.lastScaledAt = now;
+    const rooms: { machine: Machine; free: Resources }[] = [];
     const silent: Machine[] = [];
-    const silentMs = this.state.settings.workers.reportS * SILENT_REPORTS * 1000;
+    const silentMs = this.state.settings.workers.heartbeatIntervalS * SILENT_REPORTS * 1000;
     for (const m of this.state.machines.values()) {
-      if (!m.type || m.leaving || m.sick || m.noticeAt !== null) continue;
-      if (m.up && !m.settled && !this.wasUpBefore(m)) continue;
-      if (m.up && m.lastReportAt !== null && now - m.lastReportAt > silentMs) {
+      if (!m.type || m.decommissioning || m.quarantined || m.interruptionNoticedAt !== null) continue;
+      if (m.up && !m.reconciled && !this.wasUpBefore(m)) continue;
+      if (m.up && m.lastHeartbeatAt !== null && now - m.lastHeartbeatAt > silentMs) {
         silent.push(m); // nothing is placed there
         continue;
       }
       const free = { cpus: m.type.cpus, gpus: m.type.gpus, memoryGb: m.type.memoryGb };
-      add(free, m.used(this.state.specOf), -1);
+      addResources(free, m.allocated(this.state.specOf), -1);
       rooms.push({ machine: m, free });
     }
-    const wants: Want[] = waiting.map((job) => ({
+    const wants: CapacityDemand[] = waiting.map((job) => ({
       spec: job.spec,
       tasks: Math.min(job.pendingCount, 200),
       zones: this.state.zonesOf(job),
       expected: false,
     }));
     wants.unshift(...this.replacements(silent));
-    for (const e of this.arrivals.expected(this.state.types, this.state.settings.headroom, now)) {
+    for (const e of this.arrivalRates.expectedTasks(this.state.types, this.state.settings.headroom, now)) {
       wants.push({ spec: e.spec, tasks: e.tasks, zones: new Map(), expected: true });
     }
     const { refusedUntil } = this;
     const plan = planScaling({
-      rooms,
-      wants,
+      capacities: rooms,
+      demands: wants,
       types: this.state.types,
       refusedUntil,
       now,
@@ -171,16 +181,23 @@
     });
     const pending = this.rents.size > 0;
     // Machines that no roster names may be up, as at a first leader's start: none is rented beside them unseen.
-    const blind = !this.state.listed && now - this.state.startedAt < UNLISTED_MS;
+    const blind = !this.state.machinesListed && now - this.state.startedAt < UNLISTED_MS;
     if (!pending && !blind) {
       for (const order of plan.orders) this.request(order);
     }
     for (const m of this.state.machines.values()) {
-      if (!m.up || m.leaving || m.busy || plan.needed.has(m.id) || m.idleSince === null || !m.settled)
+      if (
+        !m.up ||
+        m.decommissioning ||
+        m.busy ||
+        plan.needed.has(m.id) ||
+        m.idleSince === null ||
+        !m.reconciled
+      )
         continue;
-      const age = now - m.rentedAt;
+      const age = now - m.provisionedAt;
       if (now - m.idleSince > this.state.settings.idleHoldS * 1000 && age > 60_000)
-        this.fleet.leave(m, 'idle', now);
+        this.fleet.decommission(m, 'idle', now);
     }
   }
 }
--- a/src/core/leader/lateness.ts
+++ b/src/core/leader/deadline-prediction.ts
@@ -1,12 +1,12 @@
 // Which jobs will miss their deadlines, as far as their owners' estimates tell: seen before it happens, for pipelines too.
 import type { Job } from '../job.js';
-import type { JobId, Steady, WallTime } from '../units.js';
-import type { LeaderState } from './state.js';
+import type { JobId, MonotonicTime, WallTime } from '../units.js';
+import type { LeaderState } from './leader-state.js';
 
 const LOOK_MS = 2000;
 
 /** Seconds that a job still takes from the moment at which it is ready, if nothing holds it up. */
-const remainingS = (job: Job, now: Steady): number => {
+const remainingS = (job: Job, now: MonotonicTime): number => {
   let longest = job.pendingCount > 0 ? job.spec.estimateS : 0;
   for (const { running, runningSince } of job.placements.values()) {
     const ranS = running && runningSince !== null ? (now - runningSince) / 1000 : 0;
@@ -16,12 +16,12 @@
 };
 
 /** Predicts when jobs with a deadline end, and says so once when the prediction turns. */
-export class Lateness {
+export class DeadlinePrediction {
   private lookedAt = -Infinity;
 
   constructor(private readonly state: LeaderState) {}
 
-  watch(now: Steady, wall: WallTime): void {
+  update(now: MonotonicTime, wall: WallTime): void {
     if (now - this.lookedAt < LOOK_MS) return;
     this.lookedAt = now;
     const ends = new Map<JobId, number>();
@@ -33,7 +33,7 @@
   }
 
   /** The end of the longest path through the jobs that it waits for; a chain needs no recursion. */
-  private predictedEnd(job: Job, ends: Map<JobId, number>, now: Steady, wall: WallTime): number {
+  private predictedEnd(job: Job, ends: Map<JobId, number>, now: MonotonicTime, wall: WallTime): number {
     const stack = [job];
     while (stack.length > 0) {
       const top = stack.at(-1)!;
--- a/src/core/leader/decision-log.ts
+++ b/src/core/leader/decision-log.ts
@@ -2,13 +2,13 @@
  * Log events and counters of what the leader decides about single tasks. The lines of all controllers, merged by job,
  * task, attempt and machine, tell why a task was started, stopped, given up or forgotten, and under which term.
  */
-import type { Machine } from '../cluster.js';
+import type { Machine } from '../machine.js';
 import type { Job, Placement } from '../job.js';
-import type { Command, ReportedTask } from '../types.js';
-import type { Counter, Term } from '../units.js';
+import type { Command, TaskStatus } from '../types.js';
+import type { Uint64, Term } from '../units.js';
 
 /** How commands reach a worker: with the answer to a report of that sequence number, or straight to its address. */
-export type CommandChannel = { via: 'report'; seq: Counter } | { via: 'direct' };
+export type CommandChannel = { via: 'report'; seq: Uint64 } | { via: 'direct' };
 
 /** Why the leader no longer counts a task as being on a machine. */
 export type ReleaseCause =
@@ -51,10 +51,14 @@
 
   commandsSent(machine: Machine, commands: readonly Command[], channel: CommandChannel): void {
     const { term } = this;
-    const { id, session } = machine;
+    const { id, incarnation } = machine;
     for (const { op, job, index: task, attempt } of commands) {
       this.counts[countedAs[op]]++;
-      this.log('debug', { op, job, task, attempt, machine: id, session, term, ...channel }, 'command sent');
+      this.log(
+        'debug',
+        { op, job, task, attempt, machine: id, session: incarnation, term, ...channel },
+        'command sent',
+      );
     }
   }
 
@@ -64,12 +68,12 @@
     this.log('debug', { job: job.id, task, attempt, machine, term: this.term, cause }, 'task released');
   }
 
-  adopted(machine: Machine, { job, index: task, attempt }: ReportedTask): void {
+  adopted(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
     this.counts.adopted++;
     this.log('debug', { job, task, attempt, machine: machine.id, term: this.term }, 'task adopted');
   }
 
-  completed(machine: Machine, { job, index: task, attempt }: ReportedTask): void {
+  completed(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
     this.counts.completed++;
     this.log('debug', { job, task, attempt, machine: machine.id, term: this.term }, 'task completed');
   }
--- a/src/core/leader/effects.ts
+++ b/src/core/leader/effects.ts
@@ -1,24 +1,37 @@
 // What the leader asks the runtime to do, and what it is told at its start.
-import type { RentOrder } from '../scaling.js';
-import type { Command, JobRecord, MachineInfo, TeamLimits, WorkerTimes, FinalState } from '../types.js';
-import type { Counter, Endpoint, JobId, MachineId, SegmentName, Stamp } from '../units.js';
+import type { ScaleOutOrder } from '../scaling/scale-out-plan.js';
+import type { Command, JobRecord, MachineInfo, TeamQuota, WorkerTimings, FinalState } from '../types.js';
+import type { Uint64, Endpoint, JobId, MachineId, SegmentName, Revision } from '../units.js';
 
 export type Effect =
-  | { kind: 'finish'; job: JobId; stamp: Stamp; state: FinalState; tasks: number; segments: SegmentName[] }
+  | {
+      kind: 'write-final-record';
+      job: JobId;
+      revision: Revision;
+      state: FinalState;
+      tasks: number;
+      segments: SegmentName[];
+    }
   /** The final record of a job that others depend on is to be read. */
-  | { kind: 'lookup'; job: JobId }
-  | { kind: 'progress'; job: JobId; segment: SegmentName; bytes: Uint8Array }
-  | { kind: 'roster'; page: string; machines: MachineInfo[] }
-  | { kind: 'rent'; request: string; order: RentOrder }
-  | { kind: 'return'; machines: MachineId[] }
-  | { kind: 'orders'; machine: MachineId; endpoint: Endpoint; session: Counter; commands: Command[] }
+  | { kind: 'read-final-record'; job: JobId }
+  | { kind: 'write-progress'; job: JobId; segment: SegmentName; bytes: Uint8Array }
+  | { kind: 'write-registry-page'; page: string; machines: MachineInfo[] }
+  | { kind: 'create-machines'; request: string; order: ScaleOutOrder }
+  | { kind: 'delete-machines'; machines: MachineId[] }
+  | {
+      kind: 'send-direct-commands';
+      machine: MachineId;
+      endpoint: Endpoint;
+      incarnation: Uint64;
+      commands: Command[];
+    }
   | { kind: 'log'; level: 'info' | 'debug'; fields: Record<string, unknown>; text: string };
 
 export type ImageLocations = Record<string, [string, number][]>;
 
 export interface LeaderSettings {
-  workers: WorkerTimes;
-  teams: TeamLimits[];
+  workers: WorkerTimings;
+  teams: TeamQuota[];
   objectives: { kind: string; class?: string; within_s?: number }[];
   idleHoldS: number;
   capacityRetryS: number;
@@ -28,18 +41,18 @@
   /** Room kept for work still to come, in standard deviations of its arrivals. */
   headroom: number;
   /** Whether one page of the durable roster can name all of these machines within the limit on a value. */
-  fitsRosterPage: (machines: MachineInfo[]) => boolean;
+  fitsRegistryPage: (machines: MachineInfo[]) => boolean;
   /** Bytes of completions in one record. */
   segmentBytes: number;
   /** Records of progress written a second, at the most. */
-  progressRps: number;
+  progressWritesPerS: number;
   /** Machines looked at in one cycle, at the most. */
-  cycleWork: number;
+  cycleWorkLimit: number;
   /** Uniform in [0, 1). */
   random: () => number;
 }
 
-export type FinishOutcome =
+export type FinalRecordOutcome =
   | { kind: 'ok'; state: FinalState }
   | { kind: 'retry' }
-  | { kind: 'changed'; record: JobRecord; stamp: Stamp };
+  | { kind: 'changed'; record: JobRecord; revision: Revision };
--- a/src/core/leader/silence.ts
+++ b/src/core/leader/failure-detector.ts
@@ -3,11 +3,11 @@
  * given up soon; many at once, or a zone, are most likely whole behind a cut and get more time, but never beyond what a
  * cancelled task on them may take.
  */
-import type { Machine } from '../cluster.js';
+import type { Machine } from '../machine.js';
 import type { Job } from '../job.js';
-import type { Steady, WallTime, Zone } from '../units.js';
-import type { Fleet } from './fleet.js';
-import type { LeaderState } from './state.js';
+import type { MonotonicTime, WallTime, Zone } from '../units.js';
+import type { MachinePool } from './machine-pool.js';
+import type { LeaderState } from './leader-state.js';
 
 /** So much of a zone, and more, is silent behind a cut: new machines that are not up yet don't count. */
 const WHOLE_ZONE_SHARE = 0.9;
@@ -41,18 +41,18 @@
   counts.set(zone, (counts.get(zone) ?? 0) + 1);
 };
 
-export class SilenceWatch {
+export class FailureDetector {
   /** When many machines were last silent together. */
   private manyAt = -Infinity;
   private silenceFrom = -Infinity;
 
   constructor(
     private readonly state: LeaderState,
-    private readonly fleet: Fleet,
+    private readonly fleet: MachinePool,
   ) {}
 
   /** Authority is back: what could not be heard meanwhile has its time to be heard. */
-  restart(now: Steady): void {
+  restartTimeouts(now: MonotonicTime): void {
     this.silenceFrom = now;
   }
 
@@ -60,22 +60,22 @@
    * The one fence that needs no authority: of a silent machine that holds a cancelled task. It may hang, and then
    * neither a stop nor the end of its lease ends the task. Whoever leads next finds it gone, or fences it once more.
    */
-  fenceOverdue(now: Steady, wall: WallTime): void {
+  fenceOverdue(now: MonotonicTime, wall: WallTime): void {
     const unlocated = this.unlocatedOverdueJobs(now, wall);
     for (const machine of this.state.machines.values())
       if (machine.up && this.isOverdue(machine, unlocated, now, wall))
         this.fleet.fence(machine, 'silent with a cancelled task', now, true);
   }
 
-  watch(now: Steady, wall: WallTime): void {
+  detectFailures(now: MonotonicTime, wall: WallTime): void {
     const hearing = this.hearing(now);
     this.noteCutZones(hearing, now);
     const many = this.isManySilent(hearing, now);
     const unlocated = hearing.silent.length > 0 ? this.unlocatedOverdueJobs(now, wall) : [];
     for (const machine of hearing.silent) {
-      if (machine.leaving?.overdue) continue;
+      if (machine.decommissioning?.overdue) continue;
       // Half a zone falls silent at once only when it is cut off; its workers may be kept alive over there.
-      const cut = this.state.cutZones.has(machine.info.zone);
+      const cut = this.state.partitionedZones.has(machine.info.zone);
       const behindCut = cut && this.isWhollySilent(machine.info.zone, hearing);
       const overdue = this.isOverdue(machine, behindCut ? [] : unlocated, now, wall);
       if (!overdue && !this.patienceIsOver(machine, cut, many, now)) continue;
@@ -83,7 +83,7 @@
     }
   }
 
-  private hearing(now: Steady): Hearing {
+  private hearing(now: MonotonicTime): Hearing {
     const found: Hearing = { silent: [], missing: 0, up: 0, upByZone: new Map(), silentByZone: new Map() };
     for (const machine of this.state.machines.values()) {
       if (!machine.up) continue;
@@ -99,11 +99,11 @@
     return found;
   }
 
-  private noteCutZones({ upByZone, silentByZone }: Hearing, now: Steady): void {
-    const { cutZones } = this.state;
+  private noteCutZones({ upByZone, silentByZone }: Hearing, now: MonotonicTime): void {
+    const { partitionedZones } = this.state;
     for (const [zone, n] of silentByZone)
-      if (n >= 2 && n >= 0.5 * upByZone.get(zone)!) cutZones.set(zone, now);
-    for (const [zone, at] of cutZones) if (now - at > this.backMs) cutZones.delete(zone);
+      if (n >= 2 && n >= 0.5 * upByZone.get(zone)!) partitionedZones.set(zone, now);
+    for (const [zone, at] of partitionedZones) if (now - at > this.backMs) partitionedZones.delete(zone);
   }
 
   /**
@@ -119,40 +119,40 @@
    * healthy fleet; those that are really gone are soon missing from the cloud's list. All that missed reports count, not
    * only those whose patience is over: else the first tenth of them is fenced.
    */
-  private isManySilent({ missing, up }: Hearing, now: Steady): boolean {
+  private isManySilent({ missing, up }: Hearing, now: MonotonicTime): boolean {
     if (missing > Math.max(LEAST_MANY, up * SILENT_SHARE)) this.manyAt = now;
     return now - this.manyAt <= this.backMs;
   }
 
-  private patienceIsOver(machine: Machine, cut: boolean, many: boolean, now: Steady): boolean {
+  private patienceIsOver(machine: Machine, cut: boolean, many: boolean, now: MonotonicTime): boolean {
     const silentMs = this.silentMs(machine, now);
     if (silentMs < this.patienceMs) return false;
-    if ((!cut && !many) || machine.unlisted) return true;
+    if ((!cut && !many) || machine.missingFromList) return true;
     return silentMs >= (cut ? this.cutPatienceMs : this.longPatienceMs);
   }
 
-  private silentMs(machine: Machine, now: Steady): number {
-    return now - Math.max(machine.lastReportAt ?? this.state.startedAt, this.silenceFrom);
+  private silentMs(machine: Machine, now: MonotonicTime): number {
+    return now - Math.max(machine.lastHeartbeatAt ?? this.state.startedAt, this.silenceFrom);
   }
 
   /** Within this time a worker that is up has reported, whenever it did before. */
   private get roundMs(): number {
-    return this.state.settings.workers.reportS * 1250 + ROUND_MARGIN_MS;
+    return this.state.settings.workers.heartbeatIntervalS * 1250 + ROUND_MARGIN_MS;
   }
 
   /** A cut silences a whole zone at one moment, but each machine is noticed at its own next report. */
   private get missedMs(): number {
-    return (this.state.settings.workers.reportS * 1.25 * 1.5 + 0.5) * 1000;
+    return (this.state.settings.workers.heartbeatIntervalS * 1.25 * 1.5 + 0.5) * 1000;
   }
 
   /** When a trouble ends, the last machines to be heard again are few: they still get time to find a controller. */
   private get backMs(): number {
-    return this.state.settings.workers.reportS * 2500 + 5000;
+    return this.state.settings.workers.heartbeatIntervalS * 2500 + 5000;
   }
 
   private get patienceMs(): number {
-    const { reportS, leaseS } = this.state.settings.workers;
-    return Math.max(reportS * 1.25 * 3 + 1, leaseS * 0.6) * 1000;
+    const { heartbeatIntervalS, leaseS } = this.state.settings.workers;
+    return Math.max(heartbeatIntervalS * 1.25 * 3 + 1, leaseS * 0.6) * 1000;
   }
 
   private get longPatienceMs(): number {
@@ -168,7 +168,7 @@
     return Math.max(this.longPatienceMs, this.state.settings.workers.cancelS * CUT_CANCELS * 1000);
   }
 
-  private isOverdue(machine: Machine, unlocated: Job[], now: Steady, wall: WallTime): boolean {
+  private isOverdue(machine: Machine, unlocated: Job[], now: MonotonicTime, wall: WallTime): boolean {
     const silentMs = this.silentMs(machine, now);
     if (silentMs < this.roundMs) return false;
     const cancelledForMs = this.overdueCancelMs(machine, unlocated, now, wall);
@@ -190,14 +190,20 @@
    * A cancelled task must be gone within cancel_s: half of it is left to waiting, half to the fence. For how long the
    * machine has held one whose half is over, or may have held one of the unlocated jobs; null: there is none.
    */
-  private overdueCancelMs(machine: Machine, unlocated: Job[], now: Steady, wall: WallTime): number | null {
+  private overdueCancelMs(
+    machine: Machine,
+    unlocated: Job[],
+    now: MonotonicTime,
+    wall: WallTime,
+  ): number | null {
     const limitMs = this.state.settings.workers.cancelS * 1000 * OVERDUE_CANCELS;
     let longestMs = limitMs;
     for (const { job } of machine.placements.values())
       longestMs = Math.max(longestMs, job.cancelledForMs(now, wall));
-    if (this.state.unheardMachines.has(machine.id))
+    if (this.state.unreconciledMachines.has(machine.id))
       for (const job of unlocated)
-        if (this.state.mayBeOn(job, machine)) longestMs = Math.max(longestMs, job.cancelledForMs(now, wall));
+        if (this.state.mayRunOnUnreconciled(job, machine))
+          longestMs = Math.max(longestMs, job.cancelledForMs(now, wall));
     return longestMs > limitMs ? longestMs : null;
   }
 
@@ -205,8 +211,8 @@
    * Their tasks may hang on machines not heard since this leadership began, where no report has told of them. They are
    * waited for longer: of many such machines most are whole, and end the tasks or lose their lease by themselves.
    */
-  private unlocatedOverdueJobs(now: Steady, wall: WallTime): Job[] {
-    if (this.state.unheardMachines.size === 0) return [];
+  private unlocatedOverdueJobs(now: MonotonicTime, wall: WallTime): Job[] {
+    if (this.state.unreconciledMachines.size === 0) return [];
     const limitMs = this.state.settings.workers.cancelS * 1000 * MAYBE_OVERDUE_CANCELS;
     const overdue = (job: Job): boolean => job.cancelled && job.cancelledForMs(now, wall) > limitMs;
     return [...this.state.jobs.values()].filter(overdue);
--- a/src/core/leader/completion.ts
+++ b/src/core/leader/job-completion.ts
@@ -2,33 +2,40 @@
 
 import type { Job } from '../job.js';
 import { segmentName, segmentStart } from '../progress-segments.js';
-import type { JobId, SegmentName, Steady } from '../units.js';
-import type { FinishOutcome } from './effects.js';
-import type { Dependencies } from './dependencies.js';
-import type { LeaderState } from './state.js';
+import type { JobId, SegmentName, MonotonicTime } from '../units.js';
+import type { FinalRecordOutcome } from './effects.js';
+import type { JobDependencies } from './job-dependencies.js';
+import type { LeaderState } from './leader-state.js';
 
 const FLUSH_MS = 1000;
 
-export class Completion {
+export class JobCompletion {
   private lastProgress = -Infinity;
 
   constructor(
     private readonly state: LeaderState,
-    private readonly dependencies: Dependencies,
+    private readonly dependencies: JobDependencies,
   ) {}
 
-  finishJobs(now: Steady): void {
+  finishJobs(now: MonotonicTime): void {
     for (const job of this.state.jobs.values()) {
       if (job.finalizing) continue;
       // Not while a machine that has not reported to this leader may hold its tasks: they count for their team's
       // limit, and that machine must be fenced in time.
-      const gone = job.placements.size === 0 && !this.state.mayBeOnSilent(job);
+      const gone = job.placements.size === 0 && !this.state.mayRunOnUnreconciledMachine(job);
       if (!job.allDone && !(job.cancelled && gone)) continue;
       job.finalizing = true;
       const state = job.cancelled ? 'cancelled' : 'done';
-      const segments = [...job.stored];
-      const { id, stamp } = job;
-      this.state.effects.push({ kind: 'finish', job: id, stamp, state, tasks: job.doneCount, segments });
+      const segments = [...job.persistedSegments];
+      const { id, revision } = job;
+      this.state.effects.push({
+        kind: 'write-final-record',
+        job: id,
+        revision: revision,
+        state,
+        tasks: job.doneCount,
+        segments,
+      });
     }
     this.flushProgress(now);
   }
@@ -37,17 +44,17 @@
    * Those that waited longest first, and no more than a part of the service's rate of changes: starts and ends need the
    * rest. Until it is saved, a completion stays in its worker's reports.
    */
-  private flushProgress(now: Steady): void {
+  private flushProgress(now: MonotonicTime): void {
     if (now - this.lastProgress < FLUSH_MS) return;
     this.lastProgress = now;
     const unsaved = [...this.state.jobs.values()].filter(
-      (job) => job.unsaved.size > 0 && !job.finalizing && !job.cancelled,
+      (job) => job.unpersistedCompletions.size > 0 && !job.finalizing && !job.cancelled,
     );
-    unsaved.sort((a, b) => a.progressSavedAt - b.progressSavedAt);
-    let left = Math.max(1, Math.floor((this.state.settings.progressRps * FLUSH_MS) / 1000));
+    unsaved.sort((a, b) => a.progressPersistedAt - b.progressPersistedAt);
+    let left = Math.max(1, Math.floor((this.state.settings.progressWritesPerS * FLUSH_MS) / 1000));
     for (const job of unsaved) {
       if (left <= 0) break;
-      job.progressSavedAt = now;
+      job.progressPersistedAt = now;
       left -= this.saveProgress(job, left);
     }
   }
@@ -56,18 +63,18 @@
   private saveProgress(job: Job, most: number): number {
     const { segmentBytes } = this.state.settings;
     const unsaved = new Set<number>();
-    for (const task of job.unsaved) unsaved.add(Math.floor((task >> 3) / segmentBytes));
+    for (const task of job.unpersistedCompletions) unsaved.add(Math.floor((task >> 3) / segmentBytes));
     let written = 0;
     for (const index of unsaved) {
       if (written === most) break;
-      const segment = segmentName(index, segmentBytes, job.done.length);
-      if (job.writing.has(segment)) continue;
+      const segment = segmentName(index, segmentBytes, job.completedBits.length);
+      if (job.segmentsBeingWritten.has(segment)) continue;
       const start = index * segmentBytes;
-      for (const task of job.unsaved)
-        if (Math.floor((task >> 3) / segmentBytes) === index) job.unsaved.delete(task);
-      job.writing.add(segment);
-      const bytes = job.done.slice(start, start + segmentBytes);
-      this.state.effects.push({ kind: 'progress', job: job.id, segment, bytes });
+      for (const task of job.unpersistedCompletions)
+        if (Math.floor((task >> 3) / segmentBytes) === index) job.unpersistedCompletions.delete(task);
+      job.segmentsBeingWritten.add(segment);
+      const bytes = job.completedBits.slice(start, start + segmentBytes);
+      this.state.effects.push({ kind: 'write-progress', job: job.id, segment, bytes });
       written++;
     }
     return written;
@@ -79,11 +86,11 @@
     if (start !== null) this.state.jobs.get(id)?.confirmCompletions(segment, start, bytes);
   }
 
-  onProgress(id: JobId, segment: SegmentName, bytes: Uint8Array, ok: boolean): void {
+  onProgressWritten(id: JobId, segment: SegmentName, bytes: Uint8Array, ok: boolean): void {
     const job = this.state.jobs.get(id);
     const start = segmentStart(segment);
     if (!job || start === null) return;
-    job.writing.delete(segment);
+    job.segmentsBeingWritten.delete(segment);
     if (ok) job.confirmCompletions(segment, start, bytes);
     else this.markUnsaved(job, start, bytes);
   }
@@ -91,11 +98,12 @@
   private markUnsaved(job: Job, startByte: number, bytes: Uint8Array): void {
     for (let i = 0; i < bytes.length * 8; i++) {
       const task = startByte * 8 + i;
-      if ((bytes[i >> 3] & (1 << (i & 7))) !== 0 && !job.isDurable(task)) job.unsaved.add(task);
+      if ((bytes[i >> 3] & (1 << (i & 7))) !== 0 && !job.isDurable(task))
+        job.unpersistedCompletions.add(task);
     }
   }
 
-  onFinished(id: JobId, outcome: FinishOutcome, now: Steady): void {
+  onFinalRecordWritten(id: JobId, outcome: FinalRecordOutcome, now: MonotonicTime): void {
     const job = this.state.jobs.get(id);
     if (!job) return;
     job.finalizing = false;
@@ -103,9 +111,9 @@
     if (outcome.kind === 'changed') {
       const cancelledNow = !job.cancelled && outcome.record.cancelledAt !== null;
       job.record = outcome.record;
-      job.stamp = outcome.stamp;
+      job.revision = outcome.revision;
       if (cancelledNow) {
-        this.state.cancel(job, now);
+        this.state.cancelJob(job, now);
         this.dependencies.cancelDependents(id);
       }
       return;
@@ -114,7 +122,7 @@
     for (const p of [...job.placements.values()]) {
       const m = this.state.machines.get(p.machine);
       m?.unassign(job.id, p.index);
-      if (m) this.state.machinesToCommand.add(m);
+      if (m) this.state.machinesWithPendingCommands.add(m);
     }
     this.state.jobs.delete(id);
     this.dependencies.finished(id, outcome.state, now);
--- a/src/core/leader/dependencies.ts
+++ b/src/core/leader/job-dependencies.ts
@@ -2,8 +2,8 @@
 // as urgent as the most urgent job that depends on them.
 import type { Job } from '../job.js';
 import { priorityRank, type FinalState, type Priority } from '../types.js';
-import type { JobId, Steady, WallTime } from '../units.js';
-import type { LeaderState } from './state.js';
+import type { JobId, MonotonicTime, WallTime } from '../units.js';
+import type { LeaderState } from './leader-state.js';
 
 /** Final states kept for jobs that are submitted only after those that they depend on. */
 const FINAL_STATES_KEPT = 20_000;
@@ -18,11 +18,11 @@
 
 interface Lookup {
   open: boolean;
-  askAgainAt: Steady;
+  askAgainAt: MonotonicTime;
 }
 
 /** The unfinished jobs that depend on others, by what they depend on. */
-export class Dependencies {
+export class JobDependencies {
   private readonly dependents = new Map<JobId, Set<Job>>();
   /** Only what the state service's final records say. */
   private readonly finalStates = new Map<JobId, FinalState>();
@@ -33,11 +33,11 @@
   constructor(
     private readonly state: LeaderState,
     /** All that the job depends on is done: from now on it waits like any other. */
-    private readonly onReady: (job: Job, now: Steady) => void,
+    private readonly onReady: (job: Job, now: MonotonicTime) => void,
   ) {}
 
   /** A job that is new to this leader. */
-  learn(job: Job, now: Steady): void {
+  learn(job: Job, now: MonotonicTime): void {
     this.lookups.delete(job.id);
     for (const id of job.spec.dependsOn) this.dependOn(job, id, now);
     if (job.spec.dependsOn.length > 0) this.changed = true;
@@ -48,7 +48,7 @@
     else this.logWaiting(job);
   }
 
-  private dependOn(job: Job, id: JobId, now: Steady): void {
+  private dependOn(job: Job, id: JobId, now: MonotonicTime): void {
     const final = this.finalStates.get(id);
     if (final === 'done') return;
     if (final === 'cancelled' || this.state.jobs.get(id)?.cancelled) {
@@ -63,14 +63,14 @@
   }
 
   private logWaiting(job: Job): void {
-    job.reason = { why: 'waiting for other jobs', jobs: job.unfinishedDependencies.size };
-    job.loggedReason = job.reason.why;
+    job.waitReason = { why: 'waiting for other jobs', jobs: job.unfinishedDependencies.size };
+    job.loggedWaitReason = job.waitReason.why;
     const { class: name, dependsOn } = job.spec;
-    this.state.log('info', { job: job.id, class: name, dependsOn, ...job.reason }, 'job waits');
+    this.state.log('info', { job: job.id, class: name, dependsOn, ...job.waitReason }, 'job waits');
   }
 
   /** The job is over, as a record in the state service says that can't change any more. */
-  finished(id: JobId, final: FinalState, now: Steady): void {
+  finished(id: JobId, final: FinalState, now: MonotonicTime): void {
     this.lookups.delete(id);
     if (this.finalStates.size >= FINAL_STATES_KEPT)
       this.finalStates.delete(this.finalStates.keys().next().value!);
@@ -110,7 +110,7 @@
   }
 
   /** Jobs whose final records are to be read now. */
-  takeLookups(now: Steady): JobId[] {
+  takeDueLookups(now: MonotonicTime): JobId[] {
     const due: JobId[] = [];
     let open = 0;
     for (const lookup of this.lookups.values()) if (lookup.open) open++;
@@ -124,18 +124,18 @@
   }
 
   /** Null: no final record, or no answer. One that has just been accepted becomes known by the watch. */
-  onLookup(id: JobId, final: FinalState | null, now: Steady): void {
+  onFinalRecordRead(id: JobId, final: FinalState | null, now: MonotonicTime): void {
     const lookup = this.lookups.get(id);
     if (!lookup) return;
     lookup.open = false;
-    lookup.askAgainAt = (now + LOOKUP_RETRY_MS) as Steady;
+    lookup.askAgainAt = (now + LOOKUP_RETRY_MS) as MonotonicTime;
     this.state.changedSinceTick = true;
     if (final !== null) this.finished(id, final, now);
     else if (!this.dependents.has(id)) this.lookups.delete(id);
   }
 
   /** Passes priorities and due times back, from the jobs that depend on others to those others. */
-  propagate(): void {
+  propagateUrgency(): void {
     if (!this.changed) return;
     this.changed = false;
     const visited = new Map<JobId, Inherited | null>();
@@ -159,7 +159,7 @@
       stack.pop();
       if (visited.has(top.id)) continue;
       this.setInherited(top, waiting);
-      visited.set(top.id, top.inherited);
+      visited.set(top.id, top.inheritedUrgency);
     }
   }
 
@@ -173,9 +173,9 @@
       // The job has to be over when those after it must begin, by their owners' estimates.
       if (other.dueAt !== null) dueAt = Math.min(dueAt, other.dueAt - other.spec.estimateS * 1000);
     }
-    job.inherited =
+    job.inheritedUrgency =
       dependents.length === 0 ? null : { priority, dueAt: dueAt < Infinity ? (dueAt as WallTime) : null };
     if (job.priority === before) return;
-    for (const placement of job.placements.values()) this.state.machines.get(placement.machine)?.changed();
+    for (const placement of job.placements.values()) this.state.machines.get(placement.machine)?.invalidate();
   }
 }
--- a/src/core/leader/state.ts
+++ b/src/core/leader/leader-state.ts
@@ -1,9 +1,10 @@
 // Shared by the parts of the leader; stopping and releasing of placements.
-import { Machine, fits } from '../cluster.js';
+import { Machine } from '../machine.js';
+import { fits } from '../resources.js';
 import { mayRunOn } from '../scheduler/rules.js';
 import { Job, type Placement } from '../job.js';
-import type { Amounts, Leadership, MachineInfo, MachineType } from '../types.js';
-import type { JobId, MachineId, Steady, Zone } from '../units.js';
+import type { Resources, Leadership, MachineInfo, MachineType } from '../types.js';
+import type { JobId, MachineId, MonotonicTime, Zone } from '../units.js';
 import { DecisionLog, type ReleaseCause } from './decision-log.js';
 import type { Effect, LeaderSettings } from './effects.js';
 
@@ -13,27 +14,27 @@
   readonly jobs = new Map<JobId, Job>();
   types: MachineType[] = [];
   /** Machines that may hold tasks of an earlier leader and have not reported under our token. */
-  readonly unheardMachines = new Set<MachineId>();
+  readonly unreconciledMachines = new Set<MachineId>();
   /** Machines whose return was answered: lists lag and go on showing them for a while. */
-  readonly gone = new Map<MachineId, Steady>();
-  readonly machinesToCommand = new Set<Machine>();
+  readonly deletedMachines = new Map<MachineId, MonotonicTime>();
+  readonly machinesWithPendingCommands = new Set<Machine>();
   /** Zones of which half or more was silent a moment ago, and when. */
-  readonly cutZones = new Map<Zone, Steady>();
+  readonly partitionedZones = new Map<Zone, MonotonicTime>();
   /** The cloud has listed its machines to this leader. */
-  listed = false;
+  machinesListed = false;
   effects: Effect[] = [];
   needsScheduling = true;
   changedSinceTick = true;
-  wakes = 0;
+  capacityVersion = 0;
 
   readonly decisions: DecisionLog;
 
-  specOf = (id: JobId): Amounts | null => this.jobs.get(id)?.spec ?? null;
+  specOf = (id: JobId): Resources | null => this.jobs.get(id)?.spec ?? null;
 
   constructor(
     readonly leadership: Leadership,
     readonly settings: LeaderSettings,
-    readonly startedAt: Steady,
+    readonly startedAt: MonotonicTime,
   ) {
     this.decisions = new DecisionLog(leadership.term, (...line) => this.log(...line));
   }
@@ -42,9 +43,10 @@
    * Whether a task of the job may be on a machine that has not reported under our token: an earlier leader has started
    * it only where the job's types, zones and kinds of machine allow, and a record's description never changes.
    */
-  mayBeOnSilent(job: Job): boolean {
-    if (!job.fromEarlierLeader || this.unheardMachines.size === 0 || this.neverStarted(job)) return false;
-    return this.unheardKinds().some((m) => this.mayBeOn(job, m));
+  mayRunOnUnreconciledMachine(job: Job): boolean {
+    if (!job.fromEarlierLeader || this.unreconciledMachines.size === 0 || this.neverStarted(job))
+      return false;
+    return this.unheardKinds().some((m) => this.mayRunOnUnreconciled(job, m));
   }
 
   /** A job that it depends on is not over, or was cancelled: no leader has started anything of it. */
@@ -55,7 +57,7 @@
   }
 
   /** Whether an earlier leader may have started a task of the job on this machine, which has not been heard since. */
-  mayBeOn(job: Job, { info, type }: Machine): boolean {
+  mayRunOnUnreconciled(job: Job, { info, type }: Machine): boolean {
     if (!job.fromEarlierLeader || this.neverStarted(job)) return false;
     return (
       mayRunOn(job.spec, info.type, info.zone, info.spot) && (type === undefined || fits(job.spec, type))
@@ -68,13 +70,13 @@
   /** One silent machine of each type, zone and kind. */
   private unheardKinds(): Machine[] {
     const key = (m: Machine): string => `${m.info.type}|${m.info.zone}|${m.info.spot}`;
-    if (this.kinds && this.kinds.of === this.unheardMachines.size) return this.kinds.list;
+    if (this.kinds && this.kinds.of === this.unreconciledMachines.size) return this.kinds.list;
     const byKind = new Map<string, Machine>();
-    for (const id of this.unheardMachines) {
+    for (const id of this.unreconciledMachines) {
       const m = this.machines.get(id);
       if (m) byKind.set(key(m), m);
     }
-    this.kinds = { of: this.unheardMachines.size, list: [...byKind.values()] };
+    this.kinds = { of: this.unreconciledMachines.size, list: [...byKind.values()] };
     return this.kinds.list;
   }
 
@@ -84,58 +86,58 @@
     return out;
   }
 
-  release(job: Job, p: Placement, cause: ReleaseCause, now: Steady): void {
+  releasePlacement(job: Job, p: Placement, cause: ReleaseCause, now: MonotonicTime): void {
     this.decisions.released(job, p, cause);
     const m = this.machines.get(p.machine);
     m?.unassign(job.id, p.index);
     job.release(p.index);
     job.waitingSince = now;
     this.needsScheduling = true;
-    this.wake();
+    this.noteCapacityGained();
   }
 
-  lost(job: Job, p: Placement, why: ReleaseCause, now: Steady): void {
+  loseTask(job: Job, p: Placement, why: ReleaseCause, now: MonotonicTime): void {
     this.log('info', { job: job.id, task: p.index, machine: p.machine, why }, 'task lost');
-    this.release(job, p, why, now);
-    if (job.spec.kind === 'gang') this.breakGang(job, why, now);
+    this.releasePlacement(job, p, why, now);
+    if (job.spec.kind === 'gang') this.stopBrokenGang(job, why, now);
   }
 
   /** A gang below its minimum is stopped; once its members are gone it requeues from its checkpoint. */
-  breakGang(job: Job, why: string, now: Steady): void {
+  stopBrokenGang(job: Job, why: string, now: MonotonicTime): void {
     for (const p of [...job.placements.values()]) this.stopPlacement(job, p, 0, `gang broken: ${why}`, now);
   }
 
-  stopPlacement(job: Job, p: Placement, graceS: number, why: string, now: Steady): void {
+  stopPlacement(job: Job, p: Placement, graceS: number, why: string, now: MonotonicTime): void {
     if (p.stop) {
       if (graceS === 0) p.stop.graceS = 0;
-      this.machines.get(p.machine)?.changed();
+      this.machines.get(p.machine)?.invalidate();
       return;
     }
     p.stop = { graceS, since: now, why };
     this.changedSinceTick = true;
     const m = this.machines.get(p.machine);
-    m?.changed();
-    if (!p.sentWith && !p.orderOpen && !p.orderLost && !p.seen) {
-      this.release(job, p, 'never told to its worker', now);
+    m?.invalidate();
+    if (!p.startSentInReplyTo && !p.directStartInFlight && !p.directStartOutcomeUnknown && !p.observed) {
+      this.releasePlacement(job, p, 'never told to its worker', now);
       return;
     }
-    if (m) this.machinesToCommand.add(m);
+    if (m) this.machinesWithPendingCommands.add(m);
   }
 
   /** Stops a task for a reason of ours; a gang goes as a whole, all members told at once. */
-  evict(job: Job, p: Placement, why: string, now: Steady): void {
+  evict(job: Job, p: Placement, why: string, now: MonotonicTime): void {
     const graceS = job.spec.checkpointS > 0 ? job.spec.saveS : 0;
     const group = job.spec.kind === 'gang' ? [...job.placements.values()] : [p];
     for (const each of group) this.stopPlacement(job, each, graceS, why, now);
   }
 
-  cancel(job: Job, now: Steady): void {
+  cancelJob(job: Job, now: MonotonicTime): void {
     this.log('debug', { job: job.id, tasks: job.placements.size }, 'job cancelled');
     for (const p of [...job.placements.values()]) this.stopPlacement(job, p, 0, 'cancelled', now);
     this.needsScheduling = true;
   }
 
-  addMachine(info: MachineInfo, now: Steady): Machine {
+  addMachine(info: MachineInfo, now: MonotonicTime): Machine {
     const plain = { id: info.id, endpoint: info.endpoint, type: info.type, zone: info.zone, spot: info.spot };
     const m = new Machine(
       plain,
@@ -147,8 +149,8 @@
   }
 
   /** Anything that could let a rejected group fit ends its back-off early. */
-  wake(): void {
-    this.wakes++;
+  noteCapacityGained(): void {
+    this.capacityVersion++;
   }
 
   zonesOf(job: Job): Map<Zone, number> {
--- a/src/core/leader/summary.ts
+++ b/src/core/leader/leader-summary.ts
@@ -1,7 +1,7 @@
 // What an operator sees of the leader: machines and their use in the log, jobs and their reasons at the status page.
 import type { Job } from '../job.js';
-import type { Steady } from '../units.js';
-import type { LeaderState } from './state.js';
+import type { MonotonicTime } from '../units.js';
+import type { LeaderState } from './leader-state.js';
 
 const FLEET_LOG_MS = 10_000;
 
@@ -27,18 +27,18 @@
   done: job.doneCount,
   placed: job.placements.size,
   running: job.runningCount,
-  waits: job.pendingCount > 0 ? job.reason : null,
+  waits: job.pendingCount > 0 ? job.waitReason : null,
   withinGuarantee: job.withinGuarantee,
 });
 
 /** Sums over the leader's state for operators. */
-export class Summary {
+export class LeaderSummary {
   private loggedAt = -Infinity;
 
   constructor(private readonly state: LeaderState) {}
 
   /** Now and then, what the money goes to: machines by type and kind, and how much of them is used. */
-  logFleet(now: Steady): void {
+  logMachineUsage(now: MonotonicTime): void {
     if (now - this.loggedAt < FLEET_LOG_MS) return;
     this.loggedAt = now;
     const fleet: Record<string, MachineSums> = {};
@@ -63,7 +63,7 @@
     return {
       term: this.state.leadership.term,
       machines: this.state.machines.size,
-      silent: this.state.unheardMachines.size,
+      silent: this.state.unreconciledMachines.size,
       decisions: { ...this.state.decisions.counts },
       jobs: [...this.state.jobs.values()].map(describe),
     };
--- a/src/core/leader.ts
+++ b/src/core/leader/leader.ts
@@ -1,10 +1,10 @@
 // What the leader knows and wants. Events go in, effects come out; no I/O, no clock, no randomness of its own. This
 // is its face and its loop; its parts are in leader/.
-import type { Machine } from './cluster.js';
-import { Job, newPlacement, type Placement } from './job.js';
-import { runCycle, type Assumed } from './scheduler.js';
-import { markGuaranteed } from './scheduler/guarantees.js';
-import { TypePenalties } from './type-penalties.js';
+import type { Machine } from '../machine.js';
+import { Job, newPlacement, type Placement } from '../job.js';
+import { runCycle, type Assumed } from '../scheduler/scheduling-cycle.js';
+import { markGuaranteed } from '../scheduler/guarantees.js';
+import { TypePenalties } from '../scheduler/type-penalties.js';
 import type {
   Command,
   FinalState,
@@ -13,33 +13,33 @@
   ListedMachine,
   MachineInfo,
   MachineType,
-  Report,
-  TeamLimits,
-  UnchangedReport,
-} from './types.js';
+  Heartbeat,
+  TeamQuota,
+  UnchangedHeartbeat,
+} from '../types.js';
 import {
-  attemptOf,
+  attemptNumber,
   type Attempt,
   type JobId,
   type MachineId,
   type SegmentName,
-  type Stamp,
-  type Steady,
+  type Revision,
+  type MonotonicTime,
   type Team,
   type WallTime,
-} from './units.js';
-import { CommandDispatch } from './leader/command-dispatch.js';
-import { Completion } from './leader/completion.js';
-import { Dependencies } from './leader/dependencies.js';
-import type { Effect, ImageLocations, LeaderSettings } from './leader/effects.js';
-import { Fleet } from './leader/fleet.js';
-import { Lateness } from './leader/lateness.js';
-import { Queue } from './leader/queue.js';
-import { Renting } from './leader/renting.js';
-import { Reports } from './leader/reports.js';
-import { SilenceWatch } from './leader/silence.js';
-import { LeaderState } from './leader/state.js';
-import { Summary } from './leader/summary.js';
+} from '../units.js';
+import { DirectCommandDispatcher } from './direct-command-dispatcher.js';
+import { JobCompletion } from './job-completion.js';
+import { JobDependencies } from './job-dependencies.js';
+import type { Effect, ImageLocations, LeaderSettings } from './effects.js';
+import { MachinePool } from './machine-pool.js';
+import { DeadlinePrediction } from './deadline-prediction.js';
+import { SchedulingQueue } from './scheduling-queue.js';
+import { Autoscaler } from './autoscaler.js';
+import { HeartbeatReconciler } from './heartbeat-reconciler.js';
+import { FailureDetector } from './failure-detector.js';
+import { LeaderState } from './leader-state.js';
+import { LeaderSummary } from './leader-summary.js';
 
 const MAX_TASKS_A_CYCLE = 40;
 const BACKOFF_MS = 400;
@@ -47,7 +47,7 @@
 const MIN_FLEET_HEARD = 3;
 
 export class Leader {
-  private readonly teams: Map<Team, TeamLimits>;
+  private readonly teams: Map<Team, TeamQuota>;
   private readonly typePenalties = new TypePenalties();
   /** Machines that the last cycle looked at: its cost. */
   lastCycleWork = 0;
@@ -56,33 +56,33 @@
   /** The last tick had no authority. */
   private unauthorised = false;
   private readonly state: LeaderState;
-  private readonly fleet: Fleet;
-  private readonly silence: SilenceWatch;
-  private readonly reports: Reports;
-  private readonly renting: Renting;
-  private readonly queue: Queue;
-  private readonly dependencies: Dependencies;
-  private readonly completion: Completion;
-  private readonly lateness: Lateness;
-  private readonly commands: CommandDispatch;
-  private readonly summary: Summary;
+  private readonly fleet: MachinePool;
+  private readonly silence: FailureDetector;
+  private readonly reports: HeartbeatReconciler;
+  private readonly renting: Autoscaler;
+  private readonly queue: SchedulingQueue;
+  private readonly dependencies: JobDependencies;
+  private readonly completion: JobCompletion;
+  private readonly lateness: DeadlinePrediction;
+  private readonly commands: DirectCommandDispatcher;
+  private readonly summary: LeaderSummary;
 
   constructor(
     readonly leadership: Leadership,
     private readonly settings: LeaderSettings,
-    startedAt: Steady,
+    startedAt: MonotonicTime,
   ) {
     this.state = new LeaderState(leadership, settings, startedAt);
-    this.fleet = new Fleet(this.state);
-    this.silence = new SilenceWatch(this.state, this.fleet);
-    this.reports = new Reports(this.state, this.fleet);
-    this.renting = new Renting(this.state, this.fleet);
-    this.queue = new Queue(this.state);
-    this.dependencies = new Dependencies(this.state, (job, now) => this.onReady(job, now));
-    this.completion = new Completion(this.state, this.dependencies);
-    this.lateness = new Lateness(this.state);
-    this.commands = new CommandDispatch(this.state);
-    this.summary = new Summary(this.state);
+    this.fleet = new MachinePool(this.state);
+    this.silence = new FailureDetector(this.state, this.fleet);
+    this.reports = new HeartbeatReconciler(this.state, this.fleet);
+    this.renting = new Autoscaler(this.state, this.fleet);
+    this.queue = new SchedulingQueue(this.state);
+    this.dependencies = new JobDependencies(this.state, (job, now) => this.onReady(job, now));
+    this.completion = new JobCompletion(this.state, this.dependencies);
+    this.lateness = new DeadlinePrediction(this.state);
+    this.commands = new DirectCommandDispatcher(this.state);
+    this.summary = new LeaderSummary(this.state);
     this.teams = new Map(settings.teams.map((t) => [t.name, t]));
   }
 
@@ -98,70 +98,70 @@
     return this.state.takeEffects();
   }
 
-  loadMachine(info: MachineInfo, page: string, now: Steady): void {
+  loadMachine(info: MachineInfo, page: string, now: MonotonicTime): void {
     this.fleet.loadMachine(info, page, now);
   }
 
-  onReport(report: Report, now: Steady): Command[] {
-    return this.reports.onReport(report, now);
+  onHeartbeat(report: Heartbeat, now: MonotonicTime): Command[] {
+    return this.reports.onHeartbeat(report, now);
   }
 
-  onUnchangedReport(v: UnchangedReport, now: Steady): boolean {
-    return this.reports.onUnchangedReport(v, now);
+  onUnchangedHeartbeat(v: UnchangedHeartbeat, now: MonotonicTime): boolean {
+    return this.reports.onUnchangedHeartbeat(v, now);
   }
 
   /** Needs no command and awaits nothing: its unchanged reports need not be read. */
-  isQuiet(id: MachineId): boolean {
-    return this.state.machines.get(id)?.quiet ?? false;
+  isInSync(id: MachineId): boolean {
+    return this.state.machines.get(id)?.inSync ?? false;
   }
 
-  onReportWithoutAuthority(report: Report, now: Steady): void {
-    this.reports.onReportWithoutAuthority(report, now);
+  onHeartbeatWithoutAuthority(report: Heartbeat, now: MonotonicTime): void {
+    this.reports.onHeartbeatWithoutAuthority(report, now);
   }
 
-  onOrdersAnswer(...answer: Parameters<Reports['onOrdersAnswer']>): void {
-    this.reports.onOrdersAnswer(...answer);
+  onDirectCommandResult(...answer: Parameters<HeartbeatReconciler['onDirectCommandResult']>): void {
+    this.reports.onDirectCommandResult(...answer);
   }
 
-  onRented(...answer: Parameters<Renting['onRented']>): void {
-    this.renting.onRented(...answer);
+  onScaleOutResult(...answer: Parameters<Autoscaler['onScaleOutResult']>): void {
+    this.renting.onScaleOutResult(...answer);
   }
 
-  onList(listed: ListedMachine[], now: Steady): void {
-    this.fleet.onList(listed, now);
+  onMachineList(listed: ListedMachine[], now: MonotonicTime): void {
+    this.fleet.onMachineList(listed, now);
   }
 
-  onReturned(ids: MachineId[], ok: boolean, now: Steady): void {
-    this.fleet.onReturned(ids, ok, now);
+  onDeletionResult(ids: MachineId[], ok: boolean, now: MonotonicTime): void {
+    this.fleet.onDeletionResult(ids, ok, now);
   }
 
-  onRoster(page: string, ok: boolean): void {
-    this.fleet.onRoster(page, ok);
+  onRegistryPageWritten(page: string, ok: boolean): void {
+    this.fleet.onRegistryPageWritten(page, ok);
   }
 
-  onProgress(...outcome: Parameters<Completion['onProgress']>): void {
-    this.completion.onProgress(...outcome);
+  onProgressWritten(...outcome: Parameters<JobCompletion['onProgressWritten']>): void {
+    this.completion.onProgressWritten(...outcome);
   }
 
-  onFinished(...outcome: Parameters<Completion['onFinished']>): void {
-    this.completion.onFinished(...outcome);
+  onFinalRecordWritten(...outcome: Parameters<JobCompletion['onFinalRecordWritten']>): void {
+    this.completion.onFinalRecordWritten(...outcome);
   }
 
   /** Which machine caches what: told to the other controllers, since reports don't say it. */
   imageLocations(): ImageLocations {
     const locations: ImageLocations = {};
-    for (const m of this.state.machines.values()) if (m.up) locations[m.id] = m.imageList();
+    for (const m of this.state.machines.values()) if (m.up) locations[m.id] = m.cachedImages();
     return locations;
   }
 
   /** What the leader before us knew of the machines' caches. A wrong hint costs a fetch, nothing else. */
   loadImageLocations(locations: ImageLocations): void {
     for (const [id, images] of Object.entries(locations)) {
-      for (const [image, gb] of images) this.state.machines.get(id as MachineId)?.useImage(image, gb);
+      for (const [image, gb] of images) this.state.machines.get(id as MachineId)?.recordImageUse(image, gb);
     }
   }
 
-  setTypes(types: MachineType[]): void {
+  setMachineTypes(types: MachineType[]): void {
     this.state.types = types;
     this.typePenalties.setTypes(types);
     for (const m of this.state.machines.values())
@@ -169,20 +169,20 @@
   }
 
   /** A job's record as the state service has it, from the first load or from the watch. */
-  learnJob(
+  applyJobRecord(
     id: JobId,
     record: JobRecord,
-    stamp: Stamp,
+    stamp: Revision,
     fromEarlierLeader: boolean,
-    now: Steady,
+    now: MonotonicTime,
     wall: WallTime,
   ): void {
     const known = this.state.jobs.get(id);
     if (known) {
-      if (stamp < known.stamp) return; // an older event than what we hold
+      if (stamp < known.revision) return; // an older event than what we hold
       const cancelledNow = !known.cancelled && record.cancelledAt !== null;
       known.record = record;
-      known.stamp = stamp;
+      known.revision = stamp;
       if (cancelledNow) this.cancelKnown(known, now);
       return;
     }
@@ -191,14 +191,14 @@
     this.state.changedSinceTick = true;
     this.typePenalties.note(record.spec);
     // Jobs that wait for no other were ready when they were submitted.
-    if (record.spec.dependsOn.length === 0) this.renting.arrivals.note(record, now, wall);
+    if (record.spec.dependsOn.length === 0) this.renting.arrivalRates.recordArrival(record, now, wall);
     this.dependencies.learn(job, now);
     const { class: name, tasks, image, estimateS, deadlineS } = record.spec;
     this.state.log('debug', { job: id, class: name, tasks, image, estimateS, deadlineS }, 'job known');
   }
 
   /** A controller has told its user that it is cancelled; its record may reach us much later. */
-  learnCancelled(id: JobId, now: Steady): void {
+  applyCancellation(id: JobId, now: MonotonicTime): void {
     const job = this.state.jobs.get(id);
     if (!job || job.cancellationConfirmedAt !== null) return;
     const news = !job.cancelled;
@@ -207,22 +207,22 @@
     this.state.changedSinceTick = true;
   }
 
-  private cancelKnown(job: Job, now: Steady): void {
-    this.state.cancel(job, now);
+  private cancelKnown(job: Job, now: MonotonicTime): void {
+    this.state.cancelJob(job, now);
     this.dependencies.cancelDependents(job.id);
   }
 
   /** All that the job depends on is done. */
-  private onReady(job: Job, now: Steady): void {
+  private onReady(job: Job, now: MonotonicTime): void {
     job.waitingSince = now;
-    job.reason = { why: 'queued' };
+    job.waitReason = { why: 'queued' };
     this.state.needsScheduling = true;
-    if (job.spec.dependsOn.length > 0) this.renting.arrivals.noteTasks(job.spec, now);
+    if (job.spec.dependsOn.length > 0) this.renting.arrivalRates.recordTasks(job.spec, now);
   }
 
   /** The final record of a job that others depend on was read; null: there is none, or no answer came. */
-  onLookup(id: JobId, final: FinalState | null, now: Steady): void {
-    this.dependencies.onLookup(id, final, now);
+  onFinalRecordRead(id: JobId, final: FinalState | null, now: MonotonicTime): void {
+    this.dependencies.onFinalRecordRead(id, final, now);
   }
 
   loadProgress(id: JobId, segment: SegmentName, bytes: Uint8Array): void {
@@ -230,7 +230,7 @@
   }
 
   /** Enough machines are known to be up that silence from all of them means something. */
-  get expectsReports(): boolean {
+  get expectsHeartbeats(): boolean {
     let up = 0;
     for (const m of this.state.machines.values()) if (m.up && ++up >= MIN_FLEET_HEARD) return true;
     return false;
@@ -241,60 +241,68 @@
     return (
       this.state.changedSinceTick ||
       this.state.needsScheduling ||
-      this.state.machinesToCommand.size > 0 ||
+      this.state.machinesWithPendingCommands.size > 0 ||
       this.state.effects.length > 0
     );
   }
 
-  tick(now: Steady, wall: WallTime): void {
+  tick(now: MonotonicTime, wall: WallTime): void {
     this.state.changedSinceTick = false;
-    if (this.unauthorised) this.silence.restart(now);
+    if (this.unauthorised) this.silence.restartTimeouts(now);
     this.unauthorised = false;
-    this.fleet.enroll(now);
-    this.silence.watch(now, wall);
-    this.fleet.watchBoots(now);
+    this.fleet.registerMachines(now);
+    this.silence.detectFailures(now, wall);
+    this.fleet.fenceFailedBoots(now);
     this.completion.finishJobs(now);
-    for (const job of this.dependencies.takeLookups(now)) this.state.effects.push({ kind: 'lookup', job });
+    for (const job of this.dependencies.takeDueLookups(now))
+      this.state.effects.push({ kind: 'read-final-record', job });
     if (this.readyToPlace(now)) this.schedule(now, wall);
-    this.lateness.watch(now, wall);
-    this.fleet.returnLeaving(now);
+    this.lateness.update(now, wall);
+    this.fleet.deleteDecommissioned(now);
     this.commands.dispatch(now);
-    this.summary.logFleet(now);
+    this.summary.logMachineUsage(now);
   }
 
   /**
    * While the lease is held but can't be renewed, nothing is decided. What users were told is cancelled ends all the
    * same: that is final, whoever leads next, and in an outage of the state service nobody has authority to wait for.
    */
-  tickWithoutAuthority(now: Steady, wall: WallTime): void {
+  tickWithoutAuthority(now: MonotonicTime, wall: WallTime): void {
     this.state.changedSinceTick = false;
     this.unauthorised = true;
     this.silence.fenceOverdue(now, wall);
-    this.fleet.returnLeaving(now, true);
+    this.fleet.deleteDecommissioned(now, true);
     this.commands.dispatchCancellations(now);
   }
 
   /** A new leader first hears one round of reports; silent machines hold up only what may be on them. */
-  private readyToPlace(now: Steady): boolean {
+  private readyToPlace(now: MonotonicTime): boolean {
     if (this.rebuilt) return true;
     const waited = now - this.state.startedAt;
-    if (this.state.unheardMachines.size > 0 && waited < this.settings.workers.reportS * 1250 + 1500)
+    if (
+      this.state.unreconciledMachines.size > 0 &&
+      waited < this.settings.workers.heartbeatIntervalS * 1250 + 1500
+    )
       return false;
     this.rebuilt = true;
     this.state.log(
       'info',
-      { afterMs: Math.round(waited), silent: this.state.unheardMachines.size, jobs: this.state.jobs.size },
+      {
+        afterMs: Math.round(waited),
+        silent: this.state.unreconciledMachines.size,
+        jobs: this.state.jobs.size,
+      },
       'rebuilt',
     );
     return true;
   }
 
-  private schedule(now: Steady, wall: WallTime): void {
+  private schedule(now: MonotonicTime, wall: WallTime): void {
     if (!this.state.needsScheduling && !this.hasDue(now)) return;
     this.state.needsScheduling = false;
-    this.dependencies.propagate();
+    this.dependencies.propagateUrgency();
     markGuaranteed(this.state.jobs.values(), this.teams);
-    const { queue, blocked } = this.queue.waiting(now, wall);
+    const { queue, blocked } = this.queue.buildQueue(now, wall);
     const result = runCycle({
       machines: this.state.machines,
       queue,
@@ -304,9 +312,9 @@
       teams: this.teams,
       now,
       wall,
-      silentMs: this.settings.workers.reportS * 2500,
+      silentMs: this.settings.workers.heartbeatIntervalS * 2500,
       maxTasks: MAX_TASKS_A_CYCLE,
-      maxWork: this.settings.cycleWork,
+      maxWork: this.settings.cycleWorkLimit,
       typePenalty: (spec, type) => this.typePenalties.penalty(spec, type),
     });
     this.lastCycleWork = result.work;
@@ -317,7 +325,7 @@
     }
     for (const { job } of result.unplaced) {
       job.rejections++;
-      job.rejectedAtWake = this.state.wakes;
+      job.rejectedAtCapacityVersion = this.state.capacityVersion;
       const delay = Math.min(BACKOFF_MAX_MS, BACKOFF_MS * 2 ** Math.min(job.rejections, 10));
       // Individual times: groups rejected together must not come back in one wave.
       job.backoffUntil = now + delay * (0.5 + this.settings.random());
@@ -327,31 +335,32 @@
     this.renting.scale([...result.unplaced.map((u) => u.job), ...result.unfinished, ...blocked], now);
   }
 
-  private hasDue(now: Steady): boolean {
+  private hasDue(now: MonotonicTime): boolean {
     for (const job of this.state.jobs.values()) {
       if (!job.ready || job.cancelled) continue;
-      if (job.pendingCount > 0 && !this.queue.inBackoff(job, now) && now >= job.errorUntil) return true;
+      if (job.pendingCount > 0 && !this.queue.inBackoff(job, now) && now >= job.errorBackoffUntil)
+        return true;
     }
-    return now - this.renting.lastScale > 1000;
+    return now - this.renting.lastScaledAt > 1000;
   }
 
   /** The tasks of a gang find one another by their attempt, so they share one. */
-  private commitAll(placed: readonly Assumed[], now: Steady): void {
+  private commitAll(placed: readonly Assumed[], now: MonotonicTime): void {
     const gangAttempts = new Map<JobId, Attempt>();
     for (const { job, index, machine } of placed) {
-      const attempt = gangAttempts.get(job.id) ?? attemptOf(this.leadership.term, ++this.attempts);
+      const attempt = gangAttempts.get(job.id) ?? attemptNumber(this.leadership.term, ++this.attempts);
       if (job.spec.kind === 'gang') gangAttempts.set(job.id, attempt);
       this.commit(job, newPlacement(index, machine.id, attempt, now), machine, now);
     }
   }
 
-  private commit(job: Job, p: Placement, m: Machine, now: Steady): void {
+  private commit(job: Job, p: Placement, m: Machine, now: MonotonicTime): void {
     job.place(p);
     m.assign(job, p);
     m.idleSince = null;
     job.rejections = 0;
     p.unpreemptible = job.starving;
-    this.state.machinesToCommand.add(m);
+    this.state.machinesWithPendingCommands.add(m);
     this.state.log(
       'debug',
       {
@@ -369,13 +378,13 @@
   /** Why a job waits is logged whenever the reason changes. */
   private explain(queue: Job[]): void {
     for (const job of queue) {
-      const why = job.pendingCount === 0 ? '' : job.reason.why;
-      if (why === job.loggedReason) continue;
-      job.loggedReason = why;
+      const why = job.pendingCount === 0 ? '' : job.waitReason.why;
+      if (why === job.loggedWaitReason) continue;
+      job.loggedWaitReason = why;
       if (why !== '')
         this.state.log(
           'info',
-          { job: job.id, class: job.spec.class, withinGuarantee: job.withinGuarantee, ...job.reason },
+          { job: job.id, class: job.spec.class, withinGuarantee: job.withinGuarantee, ...job.waitReason },
           'job waits',
         );
     }
@@ -385,4 +394,9 @@
     return this.summary.status();
   }
 }
-export type { Effect, FinishOutcome, ImageLocations, LeaderSettings } from './leader/effects.js';
+export type {
+  Effect,
+  FinalRecordOutcome as FinishOutcome,
+  ImageLocations,
+  LeaderSettings,
+} from './effects.js';
--- a/src/core/roster.ts
+++ b/src/core/leader/machine-registry.ts
@@ -1,6 +1,6 @@
 // Pages of the durable roster: which machines may hold tasks. A page is one record in the state service.
-import type { MachineInfo } from './types.js';
-import type { MachineId } from './units.js';
+import type { MachineInfo } from '../types.js';
+import type { MachineId } from '../units.js';
 
 interface Page {
   machines: Map<MachineId, MachineInfo>;
@@ -11,7 +11,7 @@
   failed: boolean;
 }
 
-export class Roster {
+export class MachineRegistry {
   private readonly pages = new Map<string, Page>();
 
   load(name: string, info: MachineInfo): void {
@@ -20,13 +20,13 @@
     this.pages.set(name, page);
   }
 
-  open(name: string, machines: MachineInfo[]): void {
+  openPage(name: string, machines: MachineInfo[]): void {
     for (const m of machines) this.load(name, m);
     this.pages.get(name)!.writing = true;
   }
 
   /** The outcome of writing a page; returns the machines that are durable by it. */
-  written(name: string, ok: boolean): MachineId[] {
+  onPageWritten(name: string, ok: boolean): MachineId[] {
     const page = this.pages.get(name);
     if (!page) return [];
     page.writing = false;
@@ -50,7 +50,7 @@
    * Machines on a page that has grown too large to be written again, as after the service's limit on a value was
    * lowered: they are to be enrolled on a page of their own, and leave this one only when that is durable.
    */
-  oversized(fits: (machines: MachineInfo[]) => boolean): MachineInfo[] {
+  splitOversizedPage(fits: (machines: MachineInfo[]) => boolean): MachineInfo[] {
     for (const [, page] of this.stalePages()) {
       const machines = [...page.machines.values()];
       if (fits(machines)) continue;
@@ -65,7 +65,7 @@
   }
 
   /** A page to be written again without the machines that are gone; an empty one is deleted. */
-  next(
+  nextPageToWrite(
     which: 'failed' | 'stale',
     fits: (machines: MachineInfo[]) => boolean,
   ): { page: string; machines: MachineInfo[] } | null {
--- a/src/core/leader/queue.ts
+++ b/src/core/leader/scheduling-queue.ts
@@ -1,9 +1,9 @@
 // The order in which groups are placed: first those that waited long, then by priority and by when they are due.
-import { add } from '../cluster.js';
+import { addResources } from '../resources.js';
 import { Job } from '../job.js';
-import { priorityRank, type Amounts } from '../types.js';
-import type { Steady, Team, WallTime } from '../units.js';
-import type { LeaderState } from './state.js';
+import { priorityRank, type Resources } from '../types.js';
+import type { MonotonicTime, Team, WallTime } from '../units.js';
+import type { LeaderState } from './leader-state.js';
 
 const HOPELESS_MS = 86_400_000;
 
@@ -19,28 +19,28 @@
 const workLeft = (job: Job): number =>
   job.spec.kind === 'array' ? Math.round(Math.log2(1 + job.pendingCount * job.spec.estimateS)) : 0;
 
-export class Queue {
-  readonly finishAims = new Map<string, number[]>();
+export class SchedulingQueue {
+  readonly finishObjectivesS = new Map<string, number[]>();
 
   constructor(private readonly state: LeaderState) {
     for (const o of state.settings.objectives) {
       if (o.kind !== 'finished' || o.class === undefined || o.within_s === undefined) continue;
-      this.finishAims.set(o.class, [...(this.finishAims.get(o.class) ?? []), o.within_s]);
+      this.finishObjectivesS.set(o.class, [...(this.finishObjectivesS.get(o.class) ?? []), o.within_s]);
     }
   }
 
-  waiting(now: Steady, wall: WallTime): { queue: Job[]; blocked: Job[] } {
+  buildQueue(now: MonotonicTime, wall: WallTime): { queue: Job[]; blocked: Job[] } {
     const queue: Job[] = [];
     const blocked: Job[] = [];
     for (const job of this.state.jobs.values()) {
       if (job.cancelled || job.finalizing || job.pendingCount === 0 || !job.ready) continue;
       const waitedForOthers = job.spec.dependsOn.length > 0;
-      const idleMs = job.everRan || waitedForOthers ? now - job.waitingSince : wall - job.record.submittedAt;
+      const idleMs = job.hasRun || waitedForOthers ? now - job.waitingSince : wall - job.record.submittedAt;
       job.waitedLong = job.placements.size === 0 && idleMs > this.state.settings.agingS * 1000;
-      if (this.state.mayBeOnSilent(job)) {
-        job.reason = { why: 'task may still run on a silent machine' };
-      } else if (now < job.errorUntil) {
-        job.reason = { why: 'back-off', until: job.errorUntil as Steady };
+      if (this.state.mayRunOnUnreconciledMachine(job)) {
+        job.waitReason = { why: 'task may still run on a silent machine' };
+      } else if (now < job.errorBackoffUntil) {
+        job.waitReason = { why: 'back-off', until: job.errorBackoffUntil as MonotonicTime };
       } else if (this.inBackoff(job, now)) {
         blocked.push(job);
       } else {
@@ -91,7 +91,7 @@
    */
   private due(job: Job, wall: WallTime): number {
     const { submittedAt } = job.record;
-    const aims = this.finishAims.get(job.spec.class) ?? [];
+    const aims = this.finishObjectivesS.get(job.spec.class) ?? [];
     const limits = aims.map((s) => submittedAt + s * 1000);
     if (job.dueAt !== null) limits.push(job.dueAt);
     const soonest = wall + job.spec.estimateS * 1000;
@@ -100,20 +100,24 @@
     return limits.length === 0 ? submittedAt : submittedAt + HOPELESS_MS;
   }
 
-  inBackoff(job: Job, now: Steady): boolean {
+  inBackoff(job: Job, now: MonotonicTime): boolean {
     // Never for one that has waited long: the room held for it would go to others while it is in back-off.
-    return !job.waitedLong && now < job.backoffUntil && job.rejectedAtWake === this.state.wakes;
+    return (
+      !job.waitedLong &&
+      now < job.backoffUntil &&
+      job.rejectedAtCapacityVersion === this.state.capacityVersion
+    );
   }
 
-  teamUsage(): Map<Team, Amounts> {
-    const usage = new Map<Team, Amounts>();
+  teamUsage(): Map<Team, Resources> {
+    const usage = new Map<Team, Resources>();
     for (const job of this.state.jobs.values()) {
       let tasks = job.placements.size;
       // Not located: an earlier leader may have started them on a machine that is still silent.
-      if (this.state.mayBeOnSilent(job)) tasks += job.pendingCount;
+      if (this.state.mayRunOnUnreconciledMachine(job)) tasks += job.pendingCount;
       if (tasks === 0) continue;
       const used = usage.get(job.spec.team) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
-      add(used, job.spec, tasks);
+      addResources(used, job.spec, tasks);
       usage.set(job.spec.team, used);
     }
     return usage;
--- a/src/core/cluster.ts
+++ b/src/core/machine.ts
@@ -1,112 +1,87 @@
 import {
   priorityRank,
-  type Amounts,
+  type Resources,
   type MachineInfo,
   type MachineType,
-  type ReportedTask,
+  type TaskStatus,
 } from './types.js';
-import { taskId, type Counter, type JobId, type MachineId, type Steady, type TaskId } from './units.js';
+import { taskId, type Uint64, type JobId, type MachineId, type MonotonicTime, type TaskId } from './units.js';
 import type { Job, Placement } from './job.js';
-import { StartsOnTheWay } from './starts-on-the-way.js';
+import { addResources, noResources } from './resources.js';
+import { attemptKey, type AttemptKey } from './task-status.js';
+import { InFlightStarts } from './in-flight-starts.js';
 
-export type AttemptKey = string & { readonly attemptKey: unique symbol };
-export const attemptKey = (job: JobId, index: number, attempt: number): AttemptKey =>
-  `${job}/${index}#${attempt}` as AttemptKey;
-
-export const add = (a: Amounts, b: Amounts, factor = 1): void => {
-  a.cpus += b.cpus * factor;
-  a.gpus += b.gpus * factor;
-  a.memoryGb += b.memoryGb * factor;
-};
-const EPSILON = 1e-6;
-const enough = (need: number, free: number): boolean => need === 0 || need <= free + EPSILON;
-export const fits = (need: Amounts, free: Amounts): boolean =>
-  enough(need.cpus, free.cpus) && enough(need.gpus, free.gpus) && enough(need.memoryGb, free.memoryGb);
-
-export const UNHEEDED_IS_DEAF = 2;
-
-const nothing = (): Amounts => ({ cpus: 0, gpus: 0, memoryGb: 0 });
+export const UNACKNOWLEDGED_REPLIES_LIMIT = 2;
 
 /** What a machine's placements mean to the scheduler; made anew only when something changed there. */
-export interface Load {
+export interface MachineLoad {
   /** Room that tasks already told to stop will leave. */
-  releasing: Amounts;
-  leaving: boolean;
+  releasing: Resources;
+  hasStoppingTasks: boolean;
   /** Images being fetched, with their sizes. */
   fetching: Map<string, number>;
   /** By priority: what tasks of lower ones take that may be stopped; null: there are none. */
-  below: (Amounts | null)[];
+  preemptibleBelow: (Resources | null)[];
 }
 
-export const sameTasks = (a: ReportedTask[], b: ReportedTask[]): boolean => {
-  if (a.length !== b.length) return false;
-  for (let i = 0; i < a.length; i++) {
-    const x = a[i];
-    const y = b[i];
-    if (x.state !== y.state || x.attempt !== y.attempt || x.index !== y.index || x.job !== y.job)
-      return false;
-  }
-  return true;
-};
-
 /** A machine as observed: rented, listed, or known by its worker's reports. */
 export class Machine {
   endpointKnown = false;
   up = false;
-  rentedAt: Steady;
-  session: Counter = 0;
-  seq: Counter = 0;
-  lastReportAt: Steady | null = null;
+  provisionedAt: MonotonicTime;
+  incarnation: Uint64 = 0;
+  sequence: Uint64 = 0;
+  lastHeartbeatAt: MonotonicTime | null = null;
   /** The newest report of which the tasks below are. */
-  readSeq: Counter | null = null;
+  processedSequence: Uint64 | null = null;
   /** Has reported under our token: what it holds is known, and no earlier leader's command can reach it. */
-  settled = false;
+  reconciled = false;
   /** In the durable roster; no task is started here before. */
-  roster: 'none' | 'writing' | 'durable' = 'none';
+  registration: 'none' | 'writing' | 'durable' = 'none';
   /** The page of the roster that names this machine. */
-  page: string | null = null;
+  registryPage: string | null = null;
   /** The last report's tasks, by attempt: two attempts of a task can be listed at once. */
-  tasks = new Map<AttemptKey, ReportedTask>();
-  reported: ReportedTask[] = [];
+  taskStatuses = new Map<AttemptKey, TaskStatus>();
+  lastReportedTasks: TaskStatus[] = [];
   /** Nothing to tell its worker, and nothing awaited from it: an unchanged report needs no work. */
-  quiet = false;
+  inSync = false;
   /** An order to this worker is on its way. */
-  orderOpen = false;
-  readonly startsOnTheWay = new StartsOnTheWay();
+  directCommandInFlight = false;
+  readonly inFlightStarts = new InFlightStarts();
   private readonly placed = new Map<TaskId, { job: Job; placement: Placement }>();
-  private usedMemo: Amounts | null = null;
-  private loadMemo: Load | null = null;
+  private usedMemo: Resources | null = null;
+  private loadMemo: MachineLoad | null = null;
   private readonly images = new Map<string, number>();
-  noticeAt: Steady | null = null;
-  noticeEndsAt: Steady | null = null;
+  interruptionNoticedAt: MonotonicTime | null = null;
+  interruptionAt: MonotonicTime | null = null;
   /** Being given back to the cloud: nothing is placed here any more. */
-  leaving: {
-    why: string;
-    since: Steady;
-    asked: boolean;
+  decommissioning: {
+    reason: string;
+    since: MonotonicTime;
+    deletionRequested: boolean;
     /** It may hold a cancelled task that must soon be gone. */
     overdue?: boolean;
   } | null = null;
-  idleSince: Steady | null = null;
-  readonly errorJobs = new Map<JobId, Steady>();
-  sick = false;
-  firstListedAt: Steady | null = null;
+  idleSince: MonotonicTime | null = null;
+  readonly recentlyFailedJobs = new Map<JobId, MonotonicTime>();
+  quarantined = false;
+  firstListedAt: MonotonicTime | null = null;
   /** Was listed by the cloud long enough, and is missing now: most likely gone. */
-  unlisted = false;
+  missingFromList = false;
   /** Enrolled by an earlier leader. */
-  inherited = false;
+  fromEarlierLeader = false;
   /** When a report was last answered by us with authority, and since when without a silence. */
-  answeredAt: Steady | null = null;
-  answeredSince: Steady | null = null;
+  lastAnsweredAt: MonotonicTime | null = null;
+  answeredWithoutGapSince: MonotonicTime | null = null;
   /** Answers with a start in a row that the worker's next report showed no sign of. */
-  unheeded = 0;
+  unacknowledgedReplies = 0;
 
   constructor(
     public info: MachineInfo,
     public type: MachineType | undefined,
-    now: Steady,
+    now: MonotonicTime,
   ) {
-    this.rentedAt = now;
+    this.provisionedAt = now;
   }
 
   get placements(): ReadonlyMap<TaskId, { job: Job; placement: Placement }> {
@@ -115,39 +90,39 @@
 
   assign(job: Job, placement: Placement): void {
     this.placed.set(taskId(job.id, placement.index), { job, placement });
-    this.changed();
+    this.invalidate();
   }
 
   unassign(job: JobId, index: number): void {
-    if (this.placed.delete(taskId(job, index))) this.changed();
+    if (this.placed.delete(taskId(job, index))) this.invalidate();
   }
 
   /** What is known of its tasks has changed: sums are made anew, and its next report is looked at in full. */
-  changed(): void {
+  invalidate(): void {
     this.usedMemo = null;
     this.loadMemo = null;
-    this.quiet = false;
+    this.inSync = false;
   }
 
-  load(): Load {
+  load(): MachineLoad {
     if (this.loadMemo) return this.loadMemo;
-    const load: Load = {
-      releasing: nothing(),
-      leaving: false,
+    const load: MachineLoad = {
+      releasing: noResources(),
+      hasStoppingTasks: false,
       fetching: new Map(),
-      below: [null, null, null, null],
+      preemptibleBelow: [null, null, null, null],
     };
     for (const { job, placement } of this.placed.values()) {
       const { spec } = job;
       if (!placement.running && !this.hasImage(spec.image)) load.fetching.set(spec.image, spec.imageGb);
       if (placement.stop) {
-        add(load.releasing, spec);
-        load.leaving = true;
+        addResources(load.releasing, spec);
+        load.hasStoppingTasks = true;
         continue;
       }
       if (placement.unpreemptible) continue;
-      for (let rank = priorityRank[job.priority] + 1; rank < load.below.length; rank++)
-        add((load.below[rank] ??= nothing()), spec);
+      for (let rank = priorityRank[job.priority] + 1; rank < load.preemptibleBelow.length; rank++)
+        addResources((load.preemptibleBelow[rank] ??= noResources()), spec);
     }
     this.loadMemo = load;
     return load;
@@ -159,11 +134,18 @@
 
   get schedulable(): boolean {
     // A worker that heeds no command may be deaf: its reports arrive, but answers don't reach it.
-    const deaf = this.unheeded >= UNHEEDED_IS_DEAF;
-    return this.up && this.settled && this.leaving === null && !this.sick && this.noticeAt === null && !deaf;
+    const deaf = this.unacknowledgedReplies >= UNACKNOWLEDGED_REPLIES_LIMIT;
+    return (
+      this.up &&
+      this.reconciled &&
+      this.decommissioning === null &&
+      !this.quarantined &&
+      this.interruptionNoticedAt === null &&
+      !deaf
+    );
   }
 
-  imageList(): [string, number][] {
+  cachedImages(): [string, number][] {
     return [...this.images];
   }
 
@@ -172,7 +154,7 @@
   }
 
   /** The worker's cache keeps the most recently used images, as far as they fit. */
-  useImage(image: string, gb: number): void {
+  recordImageUse(image: string, gb: number): void {
     this.loadMemo = null;
     this.images.delete(image);
     this.images.set(image, gb);
@@ -186,20 +168,20 @@
   }
 
   /** Everything that takes room here or may do so: reported tasks, and placements not reported yet. */
-  used(specOf: (job: JobId) => Amounts | null): Amounts {
+  allocated(specOf: (job: JobId) => Resources | null): Resources {
     if (this.usedMemo !== null) return this.usedMemo;
     const sum = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const t of this.tasks.values()) {
+    for (const t of this.taskStatuses.values()) {
       if (t.state === 'exited') continue;
       if (this.placements.get(taskId(t.job, t.index))?.placement.attempt === t.attempt) continue;
       const spec = specOf(t.job);
       // A task of a job we no longer know takes an unknown amount: until it is gone, nothing else fits here.
       if (spec === null) return { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
-      add(sum, spec);
+      addResources(sum, spec);
     }
     for (const { job, placement } of this.placements.values()) {
-      if (this.tasks.get(attemptKey(job.id, placement.index, placement.attempt))?.state !== 'exited')
-        add(sum, job.spec);
+      if (this.taskStatuses.get(attemptKey(job.id, placement.index, placement.attempt))?.state !== 'exited')
+        addResources(sum, job.spec);
     }
     this.usedMemo = sum;
     return sum;
@@ -207,7 +189,7 @@
 
   get busy(): boolean {
     if (this.placements.size > 0) return true;
-    for (const t of this.tasks.values()) if (t.state !== 'exited') return true;
+    for (const t of this.taskStatuses.values()) if (t.state !== 'exited') return true;
     return false;
   }
 }
--- a/src/core/arrivals.ts
+++ b/src/core/scaling/arrival-rates.ts
@@ -1,24 +1,24 @@
 // What has arrived lately, by class: the base for room that is kept ready for work still to come.
-import type { JobRecord, JobSpec, MachineType } from './types.js';
-import type { Steady, WallTime } from './units.js';
+import type { JobRecord, JobSpec, MachineType } from '../types.js';
+import type { MonotonicTime, WallTime } from '../units.js';
 
 const WINDOW_MS = 150_000;
 
 interface ClassHistory {
   spec: JobSpec;
-  arrivals: { at: Steady; tasks: number }[];
+  arrivals: { at: MonotonicTime; tasks: number }[];
 }
 
-export class Arrivals {
+export class ArrivalRates {
   private readonly classes = new Map<string, ClassHistory>();
 
-  note(record: JobRecord, now: Steady, wall: WallTime): void {
-    const at = (now - Math.max(0, wall - record.submittedAt)) as Steady;
-    this.noteTasks(record.spec, at);
+  recordArrival(record: JobRecord, now: MonotonicTime, wall: WallTime): void {
+    const at = (now - Math.max(0, wall - record.submittedAt)) as MonotonicTime;
+    this.recordTasks(record.spec, at);
   }
 
   /** Work that began to need room then. */
-  noteTasks(spec: JobSpec, at: Steady): void {
+  recordTasks(spec: JobSpec, at: MonotonicTime): void {
     const h = this.classes.get(spec.class) ?? { spec, arrivals: [] };
     h.spec = spec;
     h.arrivals.push({ at, tasks: spec.tasks });
@@ -26,7 +26,11 @@
   }
 
   /** Room for the fluctuation of arrivals (so many standard deviations) over the time that a new machine takes. */
-  expected(types: MachineType[], headroom: number, now: Steady): { spec: JobSpec; tasks: number }[] {
+  expectedTasks(
+    types: MachineType[],
+    headroom: number,
+    now: MonotonicTime,
+  ): { spec: JobSpec; tasks: number }[] {
     const out: { spec: JobSpec; tasks: number }[] = [];
     for (const h of this.classes.values()) {
       h.arrivals = h.arrivals.filter((a) => now - a.at < WINDOW_MS);
--- a/src/core/scaling.ts
+++ b/src/core/scaling/scale-out-plan.ts
@@ -1,10 +1,11 @@
 // How many machines of which type, zone and kind the waiting and the expected work needs.
-import { add, fits, type Machine } from './cluster.js';
-import { mayRunOn } from './scheduler/rules.js';
-import type { Amounts, JobSpec, MachineType } from './types.js';
-import type { MachineId, Steady, TypeName, Zone } from './units.js';
+import { addResources, fits } from '../resources.js';
+import { type Machine } from '../machine.js';
+import { mayRunOn } from '../scheduler/rules.js';
+import type { Resources, JobSpec, MachineType } from '../types.js';
+import type { MachineId, MonotonicTime, TypeName, Zone } from '../units.js';
 
-export interface Want {
+export interface CapacityDemand {
   spec: JobSpec;
   tasks: number;
   /** Zones already used by the job's tasks, for spread and one-zone jobs. */
@@ -12,15 +13,15 @@
   expected: boolean;
 }
 
-export interface RentOrder {
+export interface ScaleOutOrder {
   type: TypeName;
   zone: Zone;
   spot: boolean;
   count: number;
 }
 
-interface Room {
-  free: Amounts;
+interface Capacity {
+  free: Resources;
   type: TypeName;
   zone: Zone;
   spot: boolean;
@@ -32,16 +33,16 @@
 
 export interface ScalingInput {
   /** Schedulable machines with what is free on them, and machines still booting. */
-  rooms: { machine: Machine; free: Amounts }[];
-  wants: Want[];
+  capacities: { machine: Machine; free: Resources }[];
+  demands: CapacityDemand[];
   types: MachineType[];
-  refusedUntil: Map<string, Steady>;
-  now: Steady;
+  refusedUntil: Map<string, MonotonicTime>;
+  now: MonotonicTime;
   maxNew: number;
 }
 
 export interface ScalingResult {
-  orders: RentOrder[];
+  orders: ScaleOutOrder[];
   /** Machines that waiting or expected work would use: not idle, whatever they do now. */
   needed: Set<MachineId>;
 }
@@ -49,7 +50,7 @@
 export const capacityKey = (type: TypeName, zone: Zone, spot: boolean): string => `${type}|${zone}|${spot}`;
 
 /** How many tasks of this kind an empty machine of the type takes. */
-export const perMachine = (spec: Amounts, type: MachineType): number => {
+export const perMachine = (spec: Resources, type: MachineType): number => {
   let n = 100_000;
   if (spec.cpus > 0) n = Math.min(n, Math.floor(type.cpus / spec.cpus + 1e-6));
   if (spec.gpus > 0) n = Math.min(n, Math.floor(type.gpus / spec.gpus + 1e-6));
@@ -73,13 +74,13 @@
   (spot ? t.spotPrice : t.price) / (t.gpus > 0 ? t.gpus : t.cpus);
 
 class Plan {
-  private readonly rooms: Room[] = [];
-  private readonly orders = new Map<string, RentOrder>();
+  private readonly rooms: Capacity[] = [];
+  private readonly orders = new Map<string, ScaleOutOrder>();
   readonly needed = new Set<MachineId>();
   private fresh = 0;
 
   constructor(private readonly input: ScalingInput) {
-    for (const { machine, free } of input.rooms) {
+    for (const { machine, free } of input.capacities) {
       const { type, zone, spot } = machine.info;
       const price = machine.type ? unitPrice(machine.type, spot) : 0;
       this.rooms.push({
@@ -96,11 +97,11 @@
 
   run(): ScalingResult {
     this.rooms.sort((a, b) => this.order(a, b));
-    for (const want of this.input.wants) this.satisfy(want);
+    for (const want of this.input.demands) this.satisfy(want);
     return { orders: [...this.orders.values()], needed: this.needed };
   }
 
-  private satisfy(want: Want): void {
+  private satisfy(want: CapacityDemand): void {
     let left = want.tasks;
     // Expected work is many jobs: spread and one-zone hold within each of them, not over all.
     const each = want.expected ? Math.max(1, want.spec.tasks) : left;
@@ -112,7 +113,7 @@
   }
 
   /** One pass over the rooms in their order, then machines to be rented. */
-  private place(want: Want, zones: Map<Zone, number>, tasks: number): boolean {
+  private place(want: CapacityDemand, zones: Map<Zone, number>, tasks: number): boolean {
     const { spec } = want;
     let left = tasks;
     for (const r of this.rooms) {
@@ -128,10 +129,10 @@
     return true;
   }
 
-  private fill(spec: JobSpec, room: Room, zones: Map<Zone, number>, most: number): number {
+  private fill(spec: JobSpec, room: Capacity, zones: Map<Zone, number>, most: number): number {
     let n = 0;
     while (n < most && fits(spec, room.free) && this.zoneAllowed(spec, room.zone, zones)) {
-      add(room.free, spec, -1);
+      addResources(room.free, spec, -1);
       zones.set(room.zone, (zones.get(room.zone) ?? 0) + 1);
       n++;
     }
@@ -145,12 +146,12 @@
   }
 
   /** Machines in use first, then cheap ones, then full ones: the dear and empty ones are free to go back. */
-  private order(a: Room, b: Room): number {
+  private order(a: Capacity, b: Capacity): number {
     if (a.busy !== b.busy) return a.busy ? -1 : 1;
     return a.price - b.price || a.free.gpus - b.free.gpus;
   }
 
-  private newRoom(want: Want, zones: Map<Zone, number>, left: number): Room | null {
+  private newRoom(want: CapacityDemand, zones: Map<Zone, number>, left: number): Capacity | null {
     if (this.fresh >= this.input.maxNew) return null;
     const spec = want.spec;
     let best: { type: MachineType; zone: Zone; spot: boolean; cost: number } | null = null;
@@ -187,7 +188,7 @@
     const { zone, spot } = best;
     const price = unitPrice(best.type, spot);
     // Rented for this work: as good as in use.
-    const room: Room = { free, type: best.type.name, zone, spot, machine: null, busy: true, price };
+    const room: Capacity = { free, type: best.type.name, zone, spot, machine: null, busy: true, price };
     this.rooms.push(room);
     return room;
   }
--- a/src/core/scheduler/delays.ts
+++ b/src/core/scheduler/delays.ts
@@ -1,9 +1,9 @@
 // When a task is better off not to start on the best machine with room: one that has its image is free soon, one that
 // boots fetches alone, or low work on a warm machine can leave.
-import { add, fits } from '../cluster.js';
+import { addResources, fits } from '../resources.js';
 import type { Job } from '../job.js';
 import { savesWithin, type Preemption } from './preemption.js';
-import { fetchS, freeIn, type Slot } from './slot.js';
+import { fetchS, freeIn, type MachineSlot } from './slot.js';
 import type { Snapshot, ZoneCounts } from './snapshot.js';
 import type { Nomination } from './victims.js';
 
@@ -24,7 +24,7 @@
    * A machine that has the image and is expected to be free well before a fetch elsewhere would end is worth
    * waiting for: the task starts earlier, and no machine stands idle while it fetches.
    */
-  awaitsWarmMachine(job: Job, slot: Slot, zones: ZoneCounts): boolean {
+  awaitsWarmMachine(job: Job, slot: MachineSlot, zones: ZoneCounts): boolean {
     this.snapshot.work += this.snapshot.slots.length;
     const coldS = fetchS(job.spec, slot);
     if (coldS < WORTH_WAITING_S || job.spec.kind === 'service') return false;
@@ -33,19 +33,19 @@
       if (!this.snapshot.allows(job, other, zones, null)) continue;
       const freeS = freeIn(job.spec, other, this.snapshot.time.now);
       if (freeS > coldS * WAIT_SHARE) continue;
-      add(other.promised, job.spec);
-      job.reason = { why: 'waiting for a machine with its image', expectedS: Math.round(freeS) };
+      addResources(other.promised, job.spec);
+      job.waitReason = { why: 'waiting for a machine with its image', expectedS: Math.round(freeS) };
       return true;
     }
     return false;
   }
 
   /** Rather than a second fetch beside a running one: a machine that is about to be up, and fetches this alone. */
-  awaitsBoot(job: Job, slot: Slot, zones: ZoneCounts): boolean {
+  awaitsBoot(job: Job, slot: MachineSlot, zones: ZoneCounts): boolean {
     const { spec } = job;
     if (slot.machine.hasImage(spec.image) || slot.fetching.has(spec.image) || slot.fetching.size === 0)
       return false;
-    let best: Slot | null = null;
+    let best: MachineSlot | null = null;
     let bestS = fetchS(spec, slot);
     for (const booting of this.snapshot.booting) {
       if (!fits(spec, booting.free) || !this.snapshot.allows(job, booting, zones, null)) continue;
@@ -55,9 +55,9 @@
       bestS = startS;
     }
     if (!best) return false;
-    add(best.free, spec, -1);
+    addResources(best.free, spec, -1);
     best.fetching.set(spec.image, spec.imageGb);
-    job.reason = { why: 'machines booting' };
+    job.waitReason = { why: 'machines booting' };
     return true;
   }
 
@@ -65,7 +65,7 @@
    * For live work, a long fetch on a free machine loses against a machine that has the image and holds work of lower
    * priority which can save: that leaves within seconds, and goes on elsewhere from where it was.
    */
-  warmVictims(job: Job, slot: Slot, zones: ZoneCounts): Nomination | null {
+  warmVictims(job: Job, slot: MachineSlot, zones: ZoneCounts): Nomination | null {
     if (job.spec.kind !== 'service') return null;
     const coldS = fetchS(job.spec, slot);
     if (coldS < WORTH_PREEMPTING_S) return null;
--- a/src/core/scheduler/gang-planning.ts
+++ b/src/core/scheduler/gang-planning.ts
@@ -5,12 +5,12 @@
 import { WORTH_PREEMPTING_S } from './delays.js';
 import { savesWithin, type Preemption } from './preemption.js';
 import type { Selection } from './selection.js';
-import { fetchS, type Slot } from './slot.js';
+import { fetchS, type MachineSlot } from './slot.js';
 import type { Snapshot, ZoneCounts } from './snapshot.js';
 import type { Nomination, Victim } from './victims.js';
 
 export interface GangPlan {
-  slots: Slot[];
+  slots: MachineSlot[];
   cost: number;
   /** Expected seconds of the longest fetch: the gang starts with its slowest member. */
   coldS: number;
@@ -64,7 +64,7 @@
   }
 
   private planIn(job: Job, tasks: number, zone: Zone | null): GangPlan | null {
-    const chosen: Slot[] = [];
+    const chosen: MachineSlot[] = [];
     const counts: ZoneCounts = new Map();
     let cost = 0;
     let coldS = 0;
@@ -99,7 +99,7 @@
   /** All members find a place, chosen one after the other, or nobody is stopped. */
   private reserveAll(job: Job, tasks: number, zone: Zone | null, choose: ChooseMember): Victim[] | null {
     const victims: Victim[] = [];
-    const reserved: Slot[] = [];
+    const reserved: MachineSlot[] = [];
     const counts: ZoneCounts = new Map();
     while (reserved.length < tasks) {
       const found = choose(counts);
@@ -118,7 +118,7 @@
   }
 
   /** Zones of the members chosen so far; a gang of one zone is tried zone by zone instead. */
-  private countSpread(job: Job, slot: Slot, counts: ZoneCounts): void {
+  private countSpread(job: Job, slot: MachineSlot, counts: ZoneCounts): void {
     if (!job.spec.spread) return;
     const { zone } = slot.machine.info;
     counts.set(zone, (counts.get(zone) ?? 0) + 1);
--- a/src/core/scheduler/guarantees.ts
+++ b/src/core/scheduler/guarantees.ts
@@ -1,21 +1,21 @@
 // Teams' guarantees: whose work is within its own, and what a team runs beyond it, which may be stopped for another
 // team that is owed room.
-import { add } from '../cluster.js';
+import { addResources } from '../resources.js';
 import type { Job, Placement } from '../job.js';
-import type { Amounts, TeamLimits } from '../types.js';
+import type { Resources, TeamQuota } from '../types.js';
 import type { Team } from '../units.js';
 import type { Victim } from './victims.js';
 
 const EPSILON = 1e-6;
-const noAmounts = (): Amounts => ({ cpus: 0, gpus: 0, memoryGb: 0 });
+const noAmounts = (): Resources => ({ cpus: 0, gpus: 0, memoryGb: 0 });
 
 /** What a team is guaranteed of each kind; a guarantee above the limit is served up to the limit. 0: none. */
-export const guaranteeOf = (team: TeamLimits): { cpus: number; gpus: number } => ({
+export const guaranteeOf = (team: TeamQuota): { cpus: number; gpus: number } => ({
   cpus: team.cpusMax > 0 ? Math.min(team.cpus, team.cpusMax) : team.cpus,
   gpus: team.gpusMax > 0 ? Math.min(team.gpus, team.gpusMax) : team.gpus,
 });
 
-const withinGuarantee = (need: Amounts, team: TeamLimits | undefined): boolean => {
+const withinGuarantee = (need: Resources, team: TeamQuota | undefined): boolean => {
   if (!team) return false;
   const { cpus, gpus } = guaranteeOf(team);
   if (cpus === 0 && gpus === 0) return false;
@@ -23,14 +23,14 @@
 };
 
 /** What the job may need at once until it is over. */
-const addNeed = (sum: Amounts, { spec, doneCount }: Job): void =>
-  add(sum, spec, spec.kind === 'array' ? spec.tasks - doneCount : spec.tasks);
+const addNeed = (sum: Resources, { spec, doneCount }: Job): void =>
+  addResources(sum, spec, spec.kind === 'array' ? spec.tasks - doneCount : spec.tasks);
 
 /** Marks each unfinished job that fits its team's guarantee together with the team's earlier unfinished jobs. */
-export const markGuaranteed = (jobs: Iterable<Job>, teams: ReadonlyMap<Team, TeamLimits>): void => {
+export const markGuaranteed = (jobs: Iterable<Job>, teams: ReadonlyMap<Team, TeamQuota>): void => {
   const unfinished = [...jobs].filter((job) => !job.cancelled && !job.finalizing && job.ready);
   unfinished.sort((a, b) => a.record.submittedAt - b.record.submittedAt || (a.id < b.id ? -1 : 1));
-  const needs = new Map<Team, Amounts>();
+  const needs = new Map<Team, Resources>();
   for (const job of unfinished) {
     const { team } = job.spec;
     const need = needs.get(team) ?? noAmounts();
@@ -42,13 +42,13 @@
 
 /** In a cycle: what each team keeps, without the tasks that were told to stop or are nominated for it. */
 export class GuaranteeAccounts {
-  private readonly kept = new Map<Team, Amounts>();
+  private readonly kept = new Map<Team, Resources>();
   /** Gangs go as a whole, whichever of their members is nominated, and are counted once. */
   private readonly stoppedGangs = new Map<Job, number>();
 
   constructor(
-    private readonly teams: ReadonlyMap<Team, TeamLimits>,
-    usage: ReadonlyMap<Team, Amounts>,
+    private readonly teams: ReadonlyMap<Team, TeamQuota>,
+    usage: ReadonlyMap<Team, Resources>,
     jobs: Iterable<Job>,
   ) {
     for (const [team, used] of usage) this.kept.set(team, { ...used });
@@ -103,7 +103,7 @@
 
   private change(job: Job, tasks: number): void {
     const kept = this.kept.get(job.spec.team) ?? noAmounts();
-    add(kept, job.spec, tasks);
+    addResources(kept, job.spec, tasks);
     this.kept.set(job.spec.team, kept);
   }
 }
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -2,7 +2,7 @@
 import type { Job } from '../job.js';
 import type { Zone } from '../units.js';
 import { Hopeless } from './selection.js';
-import { fetchS, freeIn, type Slot } from './slot.js';
+import { fetchS, freeIn, type MachineSlot } from './slot.js';
 import type { Snapshot, ZoneCounts } from './snapshot.js';
 import {
   borrowedVictimsOn,
@@ -33,7 +33,7 @@
   private readonly hopeless = new Hopeless();
   private readonly hopelessBorrowed = new Hopeless();
   /** Kept while like members are nominated for one after the other: each changes one machine. */
-  private nominated: { job: Job; bySlot: Map<Slot, Found> } | null = null;
+  private nominated: { job: Job; bySlot: Map<MachineSlot, Found> } | null = null;
 
   constructor(private readonly snapshot: Snapshot) {}
 
@@ -102,7 +102,7 @@
     this.hopelessBorrowed.forget(job, onlyZone);
   }
 
-  private foundOn(job: Job, slot: Slot): Victims | null {
+  private foundOn(job: Job, slot: MachineSlot): Victims | null {
     if (this.nominated?.job !== job) this.nominated = { job, bySlot: new Map() };
     const { bySlot } = this.nominated;
     const known = bySlot.get(slot);
@@ -113,7 +113,7 @@
     return victims;
   }
 
-  private victimsOn(job: Job, slot: Slot, whom: (victim: Victim) => boolean): Victims | null {
+  private victimsOn(job: Job, slot: MachineSlot, whom: (victim: Victim) => boolean): Victims | null {
     this.snapshot.work += slot.machine.placements.size;
     const mayStop = (victim: Victim): boolean =>
       !this.snapshot.isStopping(victim.placement) && !isOwed(victim, job) && whom(victim);
--- a/src/core/scheduler/room-holding.ts
+++ b/src/core/scheduler/room-holding.ts
@@ -2,14 +2,14 @@
 // groups would otherwise take each piece as it appears and the whole would never come together. Nobody is stopped.
 import type { Job } from '../job.js';
 import type { Zone } from '../units.js';
-import { freeIn, type Slot } from './slot.js';
+import { freeIn, type MachineSlot } from './slot.js';
 import type { Snapshot } from './snapshot.js';
 
 /** Groups for which room is held at once. */
 const MAX_HOLDS = 8;
 
 interface Holding {
-  slots: Slot[];
+  slots: MachineSlot[];
   /** Of these, held in the cycle before. */
   kept: number;
   /** Expected seconds until all of them have room. */
@@ -31,11 +31,11 @@
       const holding = this.soonestIn(job, tasks, zone);
       if (holding && isBetter(holding, best)) best = holding;
     }
-    job.held.clear();
+    job.reservedMachines.clear();
     if (!best) return;
     this.holds++;
     for (const slot of best.slots) {
-      job.held.add(slot.machine.id);
+      job.reservedMachines.add(slot.machine.id);
       slot.heldFor = job;
     }
   }
@@ -45,7 +45,7 @@
       .filter((slot) => this.snapshot.allows(job, slot, new Map(), zone))
       .map((slot) => ({
         slot,
-        kept: job.held.has(slot.machine.id),
+        kept: job.reservedMachines.has(slot.machine.id),
         readyInS: freeIn(job.spec, slot, this.snapshot.time.now),
       }))
       .filter((end) => end.readyInS < Infinity)
--- a/src/core/scheduler/rules.ts
+++ b/src/core/scheduler/rules.ts
@@ -1,5 +1,5 @@
 // Where a task may run at all: what the filter asks, and what placement rules every leader has kept.
-import type { Amounts, JobSpec, Priority, TeamLimits } from '../types.js';
+import type { Resources, JobSpec, Priority, TeamQuota } from '../types.js';
 import type { Zone } from '../units.js';
 
 export const mayRunOn = (spec: JobSpec, type: string, zone: Zone, spot: boolean): boolean =>
@@ -8,9 +8,9 @@
   (spec.spot || !spot);
 
 export const withinLimit = (
-  spec: Amounts,
-  used: Amounts | undefined,
-  limit: TeamLimits | undefined,
+  spec: Resources,
+  used: Resources | undefined,
+  limit: TeamQuota | undefined,
 ): boolean => {
   if (!limit) return false;
   const cpus = (used?.cpus ?? 0) + spec.cpus;
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler/scheduling-cycle.ts
@@ -1,17 +1,17 @@
 // The workload scheduling cycle: one frozen snapshot, whole groups, assumed placements, victims nominated and
 // stopped only after a complete placement (docs/design.md).
-import type { Machine } from './cluster.js';
-import type { Job } from './job.js';
-import { Delays } from './scheduler/delays.js';
-import { GangPlanning } from './scheduler/gang-planning.js';
-import { Preemption } from './scheduler/preemption.js';
-import { RoomHolding } from './scheduler/room-holding.js';
-import { Selection } from './scheduler/selection.js';
-import type { Slot } from './scheduler/slot.js';
-import { Snapshot, type SnapshotInput, type ZoneCounts } from './scheduler/snapshot.js';
-import type { Nomination, Victim } from './scheduler/victims.js';
-import type { JobSpec } from './types.js';
-import type { TypeName } from './units.js';
+import type { Machine } from '../machine.js';
+import type { Job } from '../job.js';
+import { Delays } from './delays.js';
+import { GangPlanning } from './gang-planning.js';
+import { Preemption } from './preemption.js';
+import { RoomHolding } from './room-holding.js';
+import { Selection } from './selection.js';
+import type { MachineSlot } from './slot.js';
+import { Snapshot, type SnapshotInput, type ZoneCounts } from './snapshot.js';
+import type { Nomination, Victim } from './victims.js';
+import type { JobSpec } from '../types.js';
+import type { TypeName } from '../units.js';
 
 /** A task placed in this cycle, on a machine of the snapshot. */
 export interface Assumed {
@@ -81,11 +81,11 @@
     const zones = this.snapshot.zonesOf(job);
     for (const [i, index] of pending.entries()) {
       if (!this.snapshot.teamAllows(job, 1)) {
-        job.reason = { why: 'team limit' };
+        job.waitReason = { why: 'team limit' };
         return; // not handed to scaling: more machines would not help
       }
       if (this.placeTask(job, index, zones)) continue;
-      job.reason = { why: 'no machine with room' };
+      job.waitReason = { why: 'no machine with room' };
       this.result.unplaced.push({ job, tasks: job.pendingCount - i });
       return;
     }
@@ -113,18 +113,18 @@
 
   private stopFor(job: Job, victims: Victim[]): void {
     this.result.victims.push(...victims);
-    job.reason = { why: 'waiting for victims', victims: victims.length };
+    job.waitReason = { why: 'waiting for victims', victims: victims.length };
   }
 
   /** Gangs: all tasks or none, in one zone if the job says so. */
   private placeGang(job: Job, pending: number[]): void {
     if (job.placements.size > 0) {
-      job.reason = { why: 'old attempt not gone' };
+      job.waitReason = { why: 'old attempt not gone' };
       return;
     }
     const tasks = pending.length;
     if (!this.snapshot.teamAllows(job, tasks)) {
-      job.reason = { why: 'team limit' };
+      job.waitReason = { why: 'team limit' };
       return;
     }
     const zones = this.gangs.zonesFor(job);
@@ -137,7 +137,7 @@
     else this.rejectGang(job, tasks, zones);
   }
 
-  private startGang(job: Job, pending: number[], slots: Slot[]): void {
+  private startGang(job: Job, pending: number[], slots: MachineSlot[]): void {
     const only = slots.length === 1 ? slots[0] : null;
     if (only && this.delays.awaitsWarmMachine(job, only, new Map())) return;
     for (const [i, slot] of slots.entries()) this.assume(job, pending[i], slot, new Map());
@@ -145,11 +145,11 @@
 
   private rejectGang(job: Job, tasks: number, zones: ReturnType<GangPlanning['zonesFor']>): void {
     if (job.starving) this.holding.hold(job, tasks, zones);
-    job.reason = { why: 'no machine with room' };
+    job.waitReason = { why: 'no machine with room' };
     this.result.unplaced.push({ job, tasks });
   }
 
-  private assume(job: Job, index: number, slot: Slot, zones: ZoneCounts): void {
+  private assume(job: Job, index: number, slot: MachineSlot, zones: ZoneCounts): void {
     this.snapshot.take(job, slot, zones);
     slot.empty = false;
     if (!slot.machine.hasImage(job.spec.image)) slot.fetching.set(job.spec.image, job.spec.imageGb);
--- a/src/core/scheduler/selection.ts
+++ b/src/core/scheduler/selection.ts
@@ -1,11 +1,11 @@
 // Filter and score: the machine with room on which a task would start soonest, weighed against what its room is worth
 // to others.
-import { fits } from '../cluster.js';
+import { fits } from '../resources.js';
 import type { Job } from '../job.js';
 import type { JobSpec } from '../types.js';
 import type { TypeName, Zone } from '../units.js';
 import { signature } from './rules.js';
-import { Ranking, fetchS, type Slot } from './slot.js';
+import { Ranking, fetchS, type MachineSlot } from './slot.js';
 import type { Snapshot, ZoneCounts } from './snapshot.js';
 
 /** Seconds of waiting that it is worth to leave an empty machine empty. */
@@ -68,11 +68,11 @@
   ) {}
 
   /** The best machine with room, or null. */
-  best(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): Slot | null {
+  best(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): MachineSlot | null {
     if (this.hopeless.has(job, onlyZone)) return null;
     const ranking = this.rankingFor(job);
     this.snapshot.work += ranking.size;
-    const fitting = (slot: Slot): boolean =>
+    const fitting = (slot: MachineSlot): boolean =>
       fits(job.spec, slot.free) && this.snapshot.allows(job, slot, zones, onlyZone);
     const best = ranking.best(fitting);
     if (!best) this.hopeless.note(job, zones, onlyZone);
@@ -85,7 +85,7 @@
   }
 
   /** Expected seconds until the task can start, plus what it costs to use up this machine's room. */
-  score(spec: JobSpec, slot: Slot): number {
+  score(spec: JobSpec, slot: MachineSlot): number {
     const type = slot.machine.type!;
     let score = fetchS(spec, slot);
     if (!slot.machine.hasImage(spec.image) && !slot.fetching.has(spec.image)) {
--- a/src/core/scheduler/slot.ts
+++ b/src/core/scheduler/slot.ts
@@ -1,16 +1,17 @@
 // One machine in a cycle's snapshot: what is free, leaving and being fetched, and when something could start there.
-import { add, fits, type Machine } from '../cluster.js';
+import { addResources, fits } from '../resources.js';
+import { type Machine } from '../machine.js';
 import type { Job } from '../job.js';
-import type { Amounts, JobSpec } from '../types.js';
-import type { JobId, Steady } from '../units.js';
+import type { Resources, JobSpec } from '../types.js';
+import type { JobId, MonotonicTime } from '../units.js';
 
-export interface Slot {
+export interface MachineSlot {
   machine: Machine;
-  free: Amounts;
+  free: Resources;
   /** Room that tasks already told to stop will leave. */
-  releasing: Amounts;
+  releasing: Resources;
   /** Room that tasks ending here will leave to jobs that wait for it. */
-  promised: Amounts;
+  promised: Resources;
   /** Images being fetched here, with their sizes: they share the rate. */
   fetching: Map<string, number>;
   /** Expected seconds until a booting machine is up; 0 when it is. */
@@ -21,15 +22,15 @@
   /** Something here was told to stop. */
   leaving: boolean;
   /** By priority: what tasks of lower ones take that were not told to stop when the cycle began. */
-  below: readonly (Amounts | null)[];
+  below: readonly (Resources | null)[];
   /** Counts changes of what is free or nominated here. */
   version: number;
 }
 
 /** By the type's nominal time; a machine well past it is not counted on. */
-const bootLeftS = (m: Machine, now: Steady): number => {
+const bootLeftS = (m: Machine, now: MonotonicTime): number => {
   const bootS = m.type!.bootS;
-  const leftS = bootS - (now - m.rentedAt) / 1000;
+  const leftS = bootS - (now - m.provisionedAt) / 1000;
   if (leftS > 1) return leftS;
   return leftS > -0.5 * bootS ? Math.max(1, bootS * 0.1) : Infinity;
 };
@@ -44,14 +45,14 @@
   private readonly versions: Int32Array;
 
   constructor(
-    private readonly slots: Slot[],
-    private readonly score: (slot: Slot) => number,
+    private readonly slots: MachineSlot[],
+    private readonly score: (slot: MachineSlot) => number,
   ) {
     this.scores = new Float64Array(slots.length).fill(NaN);
     this.versions = new Int32Array(slots.length).fill(-1);
   }
 
-  best(allowed: (slot: Slot) => boolean): Slot | null {
+  best(allowed: (slot: MachineSlot) => boolean): MachineSlot | null {
     let best = -1;
     let bestScore = Infinity;
     for (let i = 0; i < this.slots.length; i++) {
@@ -82,20 +83,20 @@
 }
 
 export interface SlotInput {
-  specOf: (job: JobId) => Amounts | null;
-  now: Steady;
+  specOf: (job: JobId) => Resources | null;
+  now: MonotonicTime;
   silentMs: number;
 }
 
 /** Null for a machine that nothing can be placed on, now or once it is up. */
-export const slotOf = (m: Machine, input: SlotInput): Slot | null => {
+export const slotOf = (m: Machine, input: SlotInput): MachineSlot | null => {
   if (!m.type) return null;
   const readyInS = m.up ? 0 : bootLeftS(m, input.now);
-  if (m.up ? !m.schedulable : readyInS === Infinity || m.leaving !== null) return null;
+  if (m.up ? !m.schedulable : readyInS === Infinity || m.decommissioning !== null) return null;
   // A silent machine may be gone: nothing new goes there.
-  if (m.lastReportAt !== null && input.now - m.lastReportAt > input.silentMs) return null;
+  if (m.lastHeartbeatAt !== null && input.now - m.lastHeartbeatAt > input.silentMs) return null;
   const free = { cpus: m.type.cpus, gpus: m.type.gpus, memoryGb: m.type.memoryGb };
-  add(free, m.used(input.specOf), -1);
+  addResources(free, m.allocated(input.specOf), -1);
   const load = m.load();
   return {
     machine: m,
@@ -106,14 +107,14 @@
     readyInS,
     empty: !m.busy,
     heldFor: null,
-    leaving: load.leaving,
-    below: load.below,
+    leaving: load.hasStoppingTasks,
+    below: load.preemptibleBelow,
     version: 0,
   };
 };
 
 /** Expected seconds of fetching before the task could start here. */
-export const fetchS = (spec: JobSpec, slot: Slot): number => {
+export const fetchS = (spec: JobSpec, slot: MachineSlot): number => {
   if (slot.machine.hasImage(spec.image)) return 0;
   const rate = slot.machine.type!.fetchGbPerS;
   let others = 0;
@@ -124,9 +125,9 @@
 };
 
 /** Expected seconds until there is room, by the owners' estimates, after those who wait here already. */
-export const freeIn = (spec: JobSpec, slot: Slot, now: Steady): number => {
+export const freeIn = (spec: JobSpec, slot: MachineSlot, now: MonotonicTime): number => {
   const room = { ...slot.free };
-  add(room, slot.promised, -1);
+  addResources(room, slot.promised, -1);
   if (fits(spec, room)) return 0;
   const ends: { at: number; spec: JobSpec }[] = [];
   for (const { job, placement: p } of slot.machine.placements.values()) {
@@ -138,7 +139,7 @@
   }
   ends.sort((a, b) => a.at - b.at);
   for (const e of ends) {
-    add(room, e.spec);
+    addResources(room, e.spec);
     if (fits(spec, room)) return e.at;
   }
   return Infinity;
--- a/src/core/scheduler/snapshot.ts
+++ b/src/core/scheduler/snapshot.ts
@@ -1,12 +1,13 @@
 // The frozen snapshot that one cycle works on: machines with their free room, what teams use, and what has been
 // assumed on them in this cycle.
-import { add, fits, type Machine } from '../cluster.js';
+import { addResources, fits } from '../resources.js';
+import { type Machine } from '../machine.js';
 import type { Job, Placement } from '../job.js';
-import { priorityRank, type Amounts, type Priority, type TeamLimits } from '../types.js';
+import { priorityRank, type Resources, type Priority, type TeamQuota } from '../types.js';
 import type { MachineId, Team, WallTime, Zone } from '../units.js';
 import { GuaranteeAccounts } from './guarantees.js';
 import { mayRunOn, withinLimit } from './rules.js';
-import { slotOf, type Slot, type SlotInput } from './slot.js';
+import { slotOf, type MachineSlot, type SlotInput } from './slot.js';
 import type { CycleTime, Victim } from './victims.js';
 
 export type ZoneCounts = Map<Zone, number>;
@@ -17,14 +18,14 @@
   /** All that have tasks placed. */
   jobs: Iterable<Job>;
   wall: WallTime;
-  usage: Map<Team, Amounts>;
-  teams: Map<Team, TeamLimits>;
+  usage: Map<Team, Resources>;
+  teams: Map<Team, TeamQuota>;
 }
 
-const noAmounts = (): Amounts => ({ cpus: 0, gpus: 0, memoryGb: 0 });
+const noAmounts = (): Resources => ({ cpus: 0, gpus: 0, memoryGb: 0 });
 
 /** The least that any waiting task takes of each kind. */
-const smallestNeed = (queue: Job[]): Amounts => {
+const smallestNeed = (queue: Job[]): Resources => {
   const least = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
   for (const { spec } of queue) {
     least.cpus = Math.min(least.cpus, spec.cpus);
@@ -38,17 +39,17 @@
   readonly time: CycleTime;
   readonly guarantees: GuaranteeAccounts;
   /** Machines that are up and take new tasks. */
-  readonly slots: Slot[] = [];
-  readonly booting: Slot[] = [];
+  readonly slots: MachineSlot[] = [];
+  readonly booting: MachineSlot[] = [];
   /** Machines with room for the smallest waiting task: all that a placement without victims can go to. */
-  readonly open: Slot[] = [];
+  readonly open: MachineSlot[] = [];
   /** Machines looked at so far: what the cycle costs. */
   work = 0;
-  private readonly byId = new Map<MachineId, Slot>();
-  private readonly usage = new Map<Team, Amounts>();
+  private readonly byId = new Map<MachineId, MachineSlot>();
+  private readonly usage = new Map<Team, Resources>();
   private readonly stopping = new Set<Placement>();
   /** By priority: machines where something is leaving or may be stopped. */
-  private stoppable: (Slot[] | null)[] = [];
+  private stoppable: (MachineSlot[] | null)[] = [];
 
   constructor(private readonly input: SnapshotInput) {
     this.time = { now: input.now, wall: input.wall };
@@ -82,7 +83,7 @@
   }
 
   /** The filter, but for room: whether the job's next task may run there, given the zones of its others. */
-  allows(job: Job, slot: Slot, zones: ZoneCounts, onlyZone: Zone | null): boolean {
+  allows(job: Job, slot: MachineSlot, zones: ZoneCounts, onlyZone: Zone | null): boolean {
     const { info } = slot.machine;
     const { spec } = job;
     if (slot.heldFor !== null && slot.heldFor !== job) return false;
@@ -101,37 +102,37 @@
   }
 
   /** Takes a task's room, for a placement or for one that waits for its victims. */
-  take(job: Job, slot: Slot, zones: ZoneCounts): void {
+  take(job: Job, slot: MachineSlot, zones: ZoneCounts): void {
     this.takeRoom(job, slot);
     const used = this.usage.get(job.spec.team) ?? noAmounts();
-    add(used, job.spec);
+    addResources(used, job.spec);
     this.usage.set(job.spec.team, used);
     const { zone } = slot.machine.info;
     zones.set(zone, (zones.get(zone) ?? 0) + 1);
   }
 
   /** Undoes `take`. */
-  untake(job: Job, slot: Slot): void {
+  untake(job: Job, slot: MachineSlot): void {
     this.leaveRoom(job, slot);
-    add(this.usage.get(job.spec.team)!, job.spec, -1);
+    addResources(this.usage.get(job.spec.team)!, job.spec, -1);
   }
 
   /** Only the room, while a plan is tried. */
-  takeRoom(job: Job, slot: Slot): void {
-    add(slot.free, job.spec, -1);
+  takeRoom(job: Job, slot: MachineSlot): void {
+    addResources(slot.free, job.spec, -1);
     slot.version++;
   }
 
-  leaveRoom(job: Job, slot: Slot): void {
-    add(slot.free, job.spec);
+  leaveRoom(job: Job, slot: MachineSlot): void {
+    addResources(slot.free, job.spec);
     slot.version++;
   }
 
   /** Holds the room that the victims will leave for this job, so that nobody behind it in the queue takes it. */
-  reserve(job: Job, slot: Slot, victims: Victim[], zones: ZoneCounts): void {
+  reserve(job: Job, slot: MachineSlot, victims: Victim[], zones: ZoneCounts): void {
     for (const victim of victims) {
       this.stopping.add(victim.placement);
-      add(slot.releasing, victim.job.spec);
+      addResources(slot.releasing, victim.job.spec);
       slot.version++;
     }
     this.guarantees.stop(victims);
@@ -148,7 +149,7 @@
     for (const { job, placement } of victims) {
       this.stopping.delete(placement);
       const slot = this.byId.get(placement.machine)!;
-      add(slot.releasing, job.spec, -1);
+      addResources(slot.releasing, job.spec, -1);
       slot.version++;
     }
   }
@@ -158,7 +159,7 @@
   }
 
   /** Machines where something is leaving, or where work of lower priority may be stopped. */
-  mayYield(priority: Priority): Slot[] {
+  mayYield(priority: Priority): MachineSlot[] {
     const rank = priorityRank[priority];
     let slots = this.stoppable[rank];
     if (!slots) {
--- a/src/core/type-penalties.ts
+++ b/src/core/scheduler/type-penalties.ts
@@ -1,8 +1,8 @@
 // Which machine types suit which class: a task that is as well off on either leaves the one that others need.
-import { mayRunOn } from './scheduler/rules.js';
-import { perMachine } from './scaling.js';
-import type { JobSpec, MachineType } from './types.js';
-import type { TypeName } from './units.js';
+import { mayRunOn } from './rules.js';
+import { perMachine } from '../scaling/scale-out-plan.js';
+import type { JobSpec, MachineType } from '../types.js';
+import type { TypeName } from '../units.js';
 
 const MAX_CLASSES = 50;
 
--- a/src/core/scheduler/victims.ts
+++ b/src/core/scheduler/victims.ts
@@ -1,10 +1,10 @@
 // Which tasks would have to stop for a task to fit on a machine. Nothing is stopped here: victims are only named.
-import { add, fits } from '../cluster.js';
+import { addResources, fits } from '../resources.js';
 import type { Job, Placement } from '../job.js';
-import { priorityRank, type Amounts } from '../types.js';
-import type { Steady, Team, WallTime } from '../units.js';
+import { priorityRank, type Resources } from '../types.js';
+import type { MonotonicTime, Team, WallTime } from '../units.js';
 import type { GuaranteeAccounts } from './guarantees.js';
-import type { Slot } from './slot.js';
+import type { MachineSlot } from './slot.js';
 
 export interface Victim {
   job: Job;
@@ -25,12 +25,12 @@
 }
 
 export interface Nomination extends Victims {
-  slot: Slot;
+  slot: MachineSlot;
 }
 
 /** The cycle's time, on both clocks: due times are counted from submissions. */
 export interface CycleTime {
-  now: Steady;
+  now: MonotonicTime;
   wall: WallTime;
 }
 
@@ -39,7 +39,7 @@
 /** Seconds of lost work that it is worth at the most to let a job be in time. */
 const WORTH_IN_TIME_S = 10;
 
-const ranS = ({ placement }: Victim, now: Steady): number =>
+const ranS = ({ placement }: Victim, now: MonotonicTime): number =>
   placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
 
 /** Rises as the time left beyond the task's own run shrinks; nothing for a job that is late whatever happens. */
@@ -64,7 +64,7 @@
 }
 
 /** Takes candidates in the order of what they lose until the task fits; null where all of them are too few. */
-const leastLoss = (job: Job, room: Amounts, candidates: Candidate[], take: (c: Candidate) => boolean) => {
+const leastLoss = (job: Job, room: Resources, candidates: Candidate[], take: (c: Candidate) => boolean) => {
   candidates.sort((a, b) => a.loss - b.loss);
   const list: Victim[] = [];
   let cost = 0;
@@ -72,7 +72,7 @@
     if (!take(candidate)) continue;
     list.push(candidate);
     cost += candidate.loss + 1;
-    add(room, candidate.job.spec);
+    addResources(room, candidate.job.spec);
     if (fits(job.spec, room)) return { list, cost };
   }
   return null;
@@ -81,20 +81,20 @@
 /** The least lower-priority work whose stopping makes room here; null where none does. */
 export const victimsOn = (
   job: Job,
-  slot: Slot,
+  slot: MachineSlot,
   whom: (victim: Victim) => boolean,
   time: CycleTime,
 ): Victims | null => {
   const room = { ...slot.free };
-  add(room, slot.releasing);
+  addResources(room, slot.releasing);
   if (fits(job.spec, room)) return { list: [], cost: 0 };
   const rank = priorityRank[job.priority];
   // Most machines hold too little that may be stopped: told by sums, without looking at their tasks.
   const most = slot.below[rank];
   if (!most) return null;
-  add(room, most);
+  addResources(room, most);
   if (!fits(job.spec, room)) return null;
-  add(room, most, -1);
+  addResources(room, most, -1);
   const candidates: Candidate[] = [];
   for (const c of slot.machine.placements.values()) {
     if (priorityRank[c.job.priority] >= rank) continue;
@@ -110,13 +110,13 @@
  */
 export const borrowedVictimsOn = (
   job: Job,
-  slot: Slot,
+  slot: MachineSlot,
   whom: (victim: Victim) => boolean,
   accounts: GuaranteeAccounts,
   time: CycleTime,
 ): Victims | null => {
   const room = { ...slot.free };
-  add(room, slot.releasing);
+  addResources(room, slot.releasing);
   if (fits(job.spec, room)) return { list: [], cost: 0 };
   const candidates: Candidate[] = [];
   for (const { job: other, placement } of slot.machine.placements.values()) {
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -1,10 +1,10 @@
 import type {
   Attempt,
-  Counter,
+  Uint64,
   Endpoint,
   JobId,
   MachineId,
-  Stamp,
+  Revision,
   Team,
   Term,
   TypeName,
@@ -12,21 +12,21 @@
   Zone,
 } from './units.js';
 
-export type Kind = 'array' | 'gang' | 'service';
+export type JobKind = 'array' | 'gang' | 'service';
 export type Priority = 'production' | 'high' | 'normal' | 'low';
 export const priorityRank: Record<Priority, number> = { production: 3, high: 2, normal: 1, low: 0 };
 
-export interface Amounts {
+export interface Resources {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-export interface JobSpec extends Amounts {
+export interface JobSpec extends Resources {
   id: JobId;
   class: string;
   team: Team;
-  kind: Kind;
+  kind: JobKind;
   priority: Priority;
   tasks: number;
   image: string;
@@ -58,7 +58,7 @@
   tasks: number;
 }
 
-export interface MachineType extends Amounts {
+export interface MachineType extends Resources {
   name: TypeName;
   cacheGb: number;
   fetchGbPerS: number;
@@ -85,7 +85,7 @@
 export type ExitCause =
   'done' | 'stopped' | 'peers' | 'incomplete' | 'error' | 'no_room' | 'in_use' | 'no_such';
 
-export interface ReportedTask {
+export interface TaskStatus {
   job: JobId;
   index: number;
   attempt: Attempt;
@@ -94,29 +94,29 @@
   saved: boolean;
 }
 
-export interface Report extends MachineInfo {
-  session: Counter;
-  seq: Counter;
-  token: Counter;
-  noticeS: number | null;
-  tasks: ReportedTask[];
+export interface Heartbeat extends MachineInfo {
+  incarnation: Uint64;
+  sequence: Uint64;
+  fencingToken: Uint64;
+  interruptionNoticeS: number | null;
+  tasks: TaskStatus[];
 }
 
 /** A controller's word that a report said the same as an earlier one, which the leader has read. */
-export interface UnchangedReport {
+export interface UnchangedHeartbeat {
   machine: MachineId;
-  session: Counter;
-  seq: Counter;
+  incarnation: Uint64;
+  sequence: Uint64;
   /** The earlier one. */
-  base: Counter;
+  baseSequence: Uint64;
 }
 
 export type Command =
   | { op: 'start'; job: JobId; index: number; attempt: Attempt }
-  | { op: 'stop'; job: JobId; index: number; attempt: Attempt; graceS: number }
+  | { op: 'stop'; job: JobId; index: number; attempt: Attempt; gracePeriodS: number }
   | { op: 'forget'; job: JobId; index: number; attempt: Attempt };
 
-export interface TeamLimits {
+export interface TeamQuota {
   name: Team;
   cpus: number;
   cpusMax: number;
@@ -124,8 +124,8 @@
   gpusMax: number;
 }
 
-export interface WorkerTimes {
-  reportS: number;
+export interface WorkerTimings {
+  heartbeatIntervalS: number;
   leaseS: number;
   gangWaitS: number;
   gangPeerS: number;
@@ -134,5 +134,5 @@
 
 export interface Leadership {
   term: Term;
-  keyStamp: Stamp;
+  keyRevision: Revision;
 }
--- a/src/core/units.ts
+++ b/src/core/units.ts
@@ -11,7 +11,7 @@
 export type Team = Branded<string, 'Team'>;
 export type Endpoint = Branded<string, 'Endpoint'>;
 /** Steady-clock milliseconds; only meaningful inside one process. */
-export type Steady = Branded<number, 'Steady'>;
+export type MonotonicTime = Branded<number, 'Steady'>;
 /** Time-of-day milliseconds; comparable between processes within the clock error. */
 export type WallTime = Branded<number, 'WallTime'>;
 /** Rising number of a leadership; doubles as the workers' token. */
@@ -20,13 +20,13 @@
 export type SegmentName = Branded<string, 'SegmentName'>;
 export type Attempt = Branded<number, 'Attempt'>;
 /** Outside counters go up to 2^64: numbers while safe, bigints beyond. `<` and `>` compare both. */
-export type Counter = number | bigint;
-export type Stamp = Counter;
+export type Uint64 = number | bigint;
+export type Revision = Uint64;
 
-export const sameCounter = (a: Counter, b: Counter): boolean => !(a < b) && !(a > b);
+export const equalUint64 = (a: Uint64, b: Uint64): boolean => !(a < b) && !(a > b);
 
 export const taskId = (job: JobId, index: number): TaskId => `${job}/${index}` as TaskId;
 
 /** Attempts derive from the term, so that no two leaders ever use the same one and none needs a write. */
 const ATTEMPTS_PER_TERM = 2 ** 24;
-export const attemptOf = (term: Term, n: number): Attempt => (term * ATTEMPTS_PER_TERM + n) as Attempt;
+export const attemptNumber = (term: Term, n: number): Attempt => (term * ATTEMPTS_PER_TERM + n) as Attempt;
--- a/src/runtime/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -1,24 +1,24 @@
 // Keeps the log of cancelled jobs up to date, from the state service, from peers, and from what we confirm ourselves; and
 // with it an index of the unfinished jobs, from the same reads of the state service.
 import { randomBytes } from 'node:crypto';
-import type { Logger } from './logger.js';
-import type { PeerLink } from './peer-link.js';
-import type { StateClient } from './state-client.js';
-import type { Platform } from '../config/platform.js';
+import type { Logger } from '../logger.js';
+import type { PeerLink } from '../peers/peer-link.js';
+import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+import type { PlatformSettings } from '../../config/platform.js';
 import {
-  Cancellations,
+  CancellationLog,
   keptMs,
   renewalWindowMs,
   type Incarnation,
-  type LogPosition,
-  type LogPage,
-} from '../core/cancellations.js';
-import { JobIndex, type IndexedJob } from '../core/job-index.js';
-import type { Counter, JobId, NodeName, Steady } from '../core/units.js';
-import { parseCancelledJobs } from '../wire/peers.js';
-import { dependenciesIn, keys, saysCancelled } from '../wire/state.js';
-
-const steady = (): Steady => performance.now() as Steady;
+  type CancellationLogPosition,
+  type CancellationLogPage,
+} from '../../core/cancellation-log.js';
+import { JobIndex, type IndexedJob } from '../../core/job-index.js';
+import type { Uint64, JobId, NodeName, MonotonicTime } from '../../core/units.js';
+import { parseCancelledJobs } from '../../wire/cancellation-pages.js';
+import { dependenciesIn, keys, saysCancelled } from '../../wire/key-value-store.js';
+
+const steady = (): MonotonicTime => performance.now() as MonotonicTime;
 const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
 const POLL_MS = 1000;
 const PUSH_TIMEOUT_MS = 1000;
@@ -26,24 +26,24 @@
 const FRESH_CANCELS = 0.25;
 
 /** 'none': no answer; 'too old': what has changed since is not kept any more. */
-type Read = { ledger: Counter; cancelled: JobId[] } | 'none' | 'too old';
+type Read = { ledger: Uint64; cancelled: JobId[] } | 'none' | 'too old';
 
 export class CancellationFeed {
-  private readonly log: Cancellations;
+  private readonly log: CancellationLog;
   private readonly windowMs: number;
   private readonly freshMs: number;
   private readonly index = new JobIndex();
   private indexReadAt = -Infinity;
 
   constructor(
-    platform: Platform,
-    private readonly state: StateClient,
+    platform: PlatformSettings,
+    private readonly store: KeyValueStoreClient,
     private readonly links: PeerLink[],
     private readonly logger: Logger,
     private readonly onNews: (jobs: JobId[]) => void,
   ) {
     const { cancelS, leaseS } = platform.workers;
-    this.log = new Cancellations(
+    this.log = new CancellationLog(
       randomBytes(9).toString('base64url') as Incarnation,
       platform.peers.map((p) => p.name),
       keptMs(cancelS),
@@ -71,12 +71,12 @@
     return now - Math.min(this.indexReadAt, this.log.provenUntil(now)) <= this.freshMs;
   }
 
-  learned(job: JobId): Steady | undefined {
-    return this.log.learned(job);
+  learnedAtOf(job: JobId): MonotonicTime | undefined {
+    return this.log.learnedAtOf(job);
   }
 
-  someLearned(from: Steady, until: Steady): boolean {
-    return this.log.someLearned(from, until);
+  anyLearnedBetween(from: MonotonicTime, until: MonotonicTime): boolean {
+    return this.log.anyLearnedBetween(from, until);
   }
 
   get jobs(): Iterable<JobId> {
@@ -84,40 +84,40 @@
   }
 
   /** Whether a report may be answered 200: no cancelled task that is unknown here would be kept beyond its time. */
-  mayRenewLeases(now: Steady): boolean {
+  mayRenewLeases(now: MonotonicTime): boolean {
     return now <= this.log.provenUntil(now) + this.windowMs;
   }
 
   /** How far behind the proof is; null: there is none. For the log and the status page. */
-  behindMs(now: Steady): number | null {
+  coverageAgeMs(now: MonotonicTime): number | null {
     const until = this.log.provenUntil(now);
     return until === -Infinity ? null : Math.round(now - until);
   }
 
   /** Called before a user is told, so that every statement made from then on has it. */
-  confirming(job: JobId): void {
+  recordConfirmed(job: JobId): void {
     if (!this.log.add(job, steady())) return;
     this.onNews([job]);
     // The heartbeats carry it for certain; this is only sooner, so that nothing of the job is started meanwhile.
     for (const link of this.links) void link.ask({ kind: 'cancelled', jobs: [job] }, PUSH_TIMEOUT_MS);
   }
 
-  pushed(raw: unknown): void {
+  onPushed(raw: unknown): void {
     const jobs = parseCancelledJobs(raw);
     if (jobs) this.take(jobs);
     else this.malformed(null, 'not a list of job ids');
   }
 
-  have(peer: NodeName): LogPosition | null {
+  positionOf(peer: NodeName): CancellationLogPosition | null {
     return this.log.positionOf(peer);
   }
 
-  pageAfter(have: LogPosition | null): LogPage {
+  pageAfter(have: CancellationLogPosition | null): CancellationLogPage {
     return this.log.pageAfter(have, steady());
   }
 
-  heard(peer: NodeName, s: LogPage, askedAt: Steady): void {
-    const news = this.log.heard(peer, s, askedAt, steady());
+  onPeerPage(peer: NodeName, s: CancellationLogPage, askedAt: MonotonicTime): void {
+    const news = this.log.mergePage(peer, s, askedAt, steady());
     if (news.length > 0) this.onNews(news);
   }
 
@@ -132,7 +132,7 @@
 
   /** Short questions rather than one long watch: an answer proves something only as of when it was asked for. */
   private async follow(): Promise<void> {
-    let since: Counter | null = null;
+    let since: Uint64 | null = null;
     for (;;) {
       const askedAt = steady();
       const r: Read = since === null ? await this.readAll() : await this.readSince(since);
@@ -141,7 +141,7 @@
       } else {
         since = r.ledger;
         this.take(r.cancelled);
-        this.log.stateRead(askedAt);
+        this.log.onStoreRead(askedAt);
         this.indexReadAt = askedAt;
       }
       await sleep(Math.max(0, askedAt + POLL_MS - steady()));
@@ -149,15 +149,15 @@
   }
 
   private async readAll(): Promise<Read> {
-    const r = await this.state.list(keys.activePrefix);
+    const r = await this.store.list(keys.activePrefix);
     if (r.kind !== 'ok') return 'none';
     this.index.clear();
     const cancelled = r.value.items.filter((item) => this.record(item.key, item.data));
     return { ledger: r.value.ledger, cancelled: cancelled.map((item) => jobOf(item.key)) };
   }
 
-  private async readSince(since: Counter): Promise<Read> {
-    const r = await this.state.changes(keys.activePrefix, since);
+  private async readSince(since: Uint64): Promise<Read> {
+    const r = await this.store.changes(keys.activePrefix, since);
     if (r.kind !== 'ok') return r.kind === 'gone' ? 'too old' : 'none';
     const cancelled: JobId[] = [];
     for (const change of r.value.log) {
--- a/src/runtime/cloud-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -1,12 +1,12 @@
-import { HttpClient } from './http-client.js';
-import { Budget } from './budget.js';
-import type { Platform } from '../config/platform.js';
-import type { ListedMachine, MachineType } from '../core/types.js';
-import type { MachineId } from '../core/units.js';
-import { encode, tryDecode } from '../wire/cbor.js';
-import * as wire from '../wire/cloud.js';
+import { HttpClient } from '../http/http-client.js';
+import { TokenBucket } from '../key-value-store/token-bucket.js';
+import type { PlatformSettings } from '../../config/platform.js';
+import type { ListedMachine, MachineType } from '../../core/types.js';
+import type { MachineId } from '../../core/units.js';
+import { encode, tryDecode } from '../../wire/cbor.js';
+import * as wire from '../../wire/cloud.js';
 
-export type RentOutcome =
+export type ScaleOutOutcome =
   | { kind: 'rented'; machines: MachineId[] }
   | { kind: 'no-capacity' }
   | { kind: 'refused' } // 429, outage, over our budget: not carried out
@@ -19,16 +19,16 @@
 const PAGE_RETRY_MS = 400;
 const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
 
-export class CloudClient {
+export class CloudProviderClient {
   private readonly http: HttpClient;
-  private readonly budget: Budget;
+  private readonly budget: TokenBucket;
   private readonly forChanges: number;
 
-  constructor(platform: Platform) {
-    this.http = new HttpClient(platform.cloud, 6, 20_000);
-    const rps = platform.cloudLimits.rps * 0.85;
+  constructor(platform: PlatformSettings) {
+    this.http = new HttpClient(platform.cloudProvider, 6, 20_000);
+    const rps = platform.cloudProviderLimits.rps * 0.85;
     const burst = Math.max(1, rps * 1.5);
-    this.budget = new Budget(rps, burst, performance.now());
+    this.budget = new TokenBucket(rps, burst, performance.now());
     this.forChanges = burst >= 2 * FOR_CHANGES ? FOR_CHANGES : 0;
   }
 
@@ -37,7 +37,7 @@
     return this.read('/machine_types', wire.parseTypes);
   }
 
-  async list(): Promise<ListedMachine[] | null> {
+  async listMachines(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     let since: MachineId | null = null;
     for (;;) {
@@ -56,7 +56,7 @@
     }
   }
 
-  async rent(rental: wire.Rental): Promise<RentOutcome> {
+  async createMachines(rental: wire.Rental): Promise<ScaleOutOutcome> {
     if (!this.budget.take(1, performance.now())) return { kind: 'refused' };
     const r = await this.http.request('POST', '/machines', encode(wire.rentBody(rental)), TIMEOUT_MS);
     if (!r.ok) return r.sent ? { kind: 'unknown' } : { kind: 'refused' };
@@ -70,7 +70,7 @@
   }
 
   /** True only when the answer says that the machines are gone. */
-  async giveBack(machines: MachineId[]): Promise<boolean> {
+  async deleteMachines(machines: MachineId[]): Promise<boolean> {
     if (!this.budget.take(1, performance.now())) return false;
     const r = await this.http.request(
       'POST',
--- a/src/runtime/machine-types.ts
+++ b/src/runtime/cloud/machine-type-catalog.ts
@@ -1,10 +1,16 @@
 // The machine types: from the cloud, or while it doesn't answer, from what a leader has kept in the state service.
-import type { CloudClient } from './cloud-client.js';
-import type { Membership } from './membership.js';
-import { reserves, type StateClient } from './state-client.js';
-import type { StateLimits } from '../config/platform.js';
-import type { MachineType } from '../core/types.js';
-import { fitsValue, keys, parseStoredTypes, parseTypesPage, type Change } from '../wire/state.js';
+import type { CloudProviderClient } from './cloud-provider-client.js';
+import type { LeaderElection } from '../leadership/leader-election.js';
+import { reserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+import type { KeyValueStoreLimits } from '../../config/platform.js';
+import type { MachineType } from '../../core/types.js';
+import {
+  fitsValue,
+  keys,
+  parseStoredTypes,
+  parseTypesPage,
+  type Change,
+} from '../../wire/key-value-store.js';
 
 const REFRESH_MS = 30_000;
 const RETRY_MS = 700;
@@ -23,15 +29,15 @@
 };
 
 /** Keeps the machine types up to date, and a copy of them for times without the cloud. */
-export class MachineTypes {
+export class MachineTypeCatalog {
   /** Empty until they are known. */
   current: MachineType[] = [];
 
   constructor(
-    private readonly limits: StateLimits,
-    private readonly cloud: CloudClient,
-    private readonly state: StateClient,
-    private readonly membership: Membership,
+    private readonly limits: KeyValueStoreLimits,
+    private readonly cloud: CloudProviderClient,
+    private readonly state: KeyValueStoreClient,
+    private readonly membership: LeaderElection,
     private readonly onChange: (types: MachineType[]) => void,
   ) {}
 
@@ -94,9 +100,9 @@
   }
 
   private async write(then: Change[]): Promise<boolean> {
-    const held = this.membership.election.held;
+    const held = this.membership.electionState.held;
     if (!held) return false;
-    const r = await this.state.transact({ if: [{ key: keys.leader, stamp: held.keyStamp }], then });
+    const r = await this.state.transact({ if: [{ key: keys.leader, revision: held.keyRevision }], then });
     return r.kind === 'ok';
   }
 }
--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -3,27 +3,27 @@
 import { createHistogram } from 'node:perf_hooks';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
-import { Admission } from './admission.js';
-import { CancellationFeed } from './cancellation-feed.js';
-import { ReportHandler } from './report-handler.js';
-import { CloudClient } from './cloud-client.js';
-import { httpConnections, type HttpReply } from './http-server.js';
-import type { HttpMessage } from './http-parser.js';
-import { ImageLocationStore } from './image-locations.js';
-import { LeaderLoop } from './leader-loop.js';
+import { Admission } from './users/admission.js';
+import { CancellationFeed } from './cancellations/cancellation-feed.js';
+import { HeartbeatHandler } from './workers/heartbeat-handler.js';
+import { CloudProviderClient } from './cloud/cloud-provider-client.js';
+import { httpConnections, type HttpReply } from './http/http-server.js';
+import type { HttpMessage } from './http/http-parser.js';
+import { ImageLocationStore } from './peers/image-locations.js';
+import { LeaderLoop } from './leadership/leader-loop.js';
 import { Logger } from './logger.js';
-import { MachineTypes } from './machine-types.js';
-import { Membership } from './membership.js';
-import { OverdueFences } from './overdue-fences.js';
-import { PeerHandler } from './peer-handler.js';
-import { PeerLink, answerPeer } from './peer-link.js';
-import { STATUS_CONNECTIONS, socketBudget } from './sockets.js';
-import { StateClient } from './state-client.js';
-import { UserApi } from './user-api.js';
-import type { Operator } from '../config/operator.js';
-import { platformWarnings, type Address, type Platform } from '../config/platform.js';
+import { MachineTypeCatalog } from './cloud/machine-type-catalog.js';
+import { LeaderElection } from './leadership/leader-election.js';
+import { LeaderlessFencing } from './workers/leaderless-fencing.js';
+import { PeerHandler } from './peers/peer-handler.js';
+import { PeerLink, answerPeer } from './peers/peer-link.js';
+import { STATUS_CONNECTIONS, socketBudget } from './http/socket-budget.js';
+import { KeyValueStoreClient } from './key-value-store/key-value-store-client.js';
+import { UserApi } from './users/user-api.js';
+import type { OperatorSettings } from '../config/operator.js';
+import { platformWarnings, type Address, type PlatformSettings } from '../config/platform.js';
 import { highestTerm } from '../core/election.js';
-import type { JobId, NodeName, Steady } from '../core/units.js';
+import type { JobId, NodeName, MonotonicTime } from '../core/units.js';
 import { encode } from '../wire/cbor.js';
 import type { PeerResponses, PeerStatus, TaskCounts } from '../wire/peer-messages.js';
 
@@ -49,76 +49,80 @@
 
 export class Controller {
   private readonly log: Logger;
-  private readonly state: StateClient;
-  private readonly cloud: CloudClient;
-  private readonly membership: Membership;
+  private readonly store: KeyValueStoreClient;
+  private readonly cloud: CloudProviderClient;
+  private readonly membership: LeaderElection;
   private readonly links: PeerLink[] = [];
-  private readonly cancelled: CancellationFeed;
+  private readonly cancellations: CancellationFeed;
   private readonly users: UserApi;
-  private readonly reportHandler: ReportHandler;
-  private readonly fences: OverdueFences;
+  private readonly reportHandler: HeartbeatHandler;
+  private readonly leaderlessFencing: LeaderlessFencing;
   private readonly random: () => number;
   private readonly sockets;
-  private loop: LeaderLoop | null = null;
+  private leaderLoop: LeaderLoop | null = null;
   private readonly userOutcomes = new Map<string, number>();
   private usersLoggedAt = -Infinity;
-  private readonly types: MachineTypes;
+  private readonly machineTypes: MachineTypeCatalog;
   private readonly imageLocations = new ImageLocationStore();
   private readonly admission = new Admission(MAX_USER_REQUESTS, RESERVED_USER_REQUESTS);
   private readonly times = { user: createHistogram(), report: createHistogram() };
 
   constructor(
-    private readonly platform: Platform,
-    private readonly operator: Operator,
+    private readonly platform: PlatformSettings,
+    private readonly operator: OperatorSettings,
   ) {
     this.log = new Logger(platform.name);
     this.sockets = socketBudget(platform.limits.sockets, platform.peers.length);
-    this.state = new StateClient(platform);
-    this.cloud = new CloudClient(platform);
+    this.store = new KeyValueStoreClient(platform);
+    this.cloud = new CloudProviderClient(platform);
     const rng = xoroshiro128plus((Date.now() ^ (process.pid << 16)) | 0);
     this.random = () => uniformFloat64(rng);
-    this.membership = new Membership(platform, operator.leaseMs, this.state, this.log, {
+    this.membership = new LeaderElection(platform, operator.leaseMs, this.store, this.log, {
       onLead: () => this.lead(),
       onLost: (why) => this.follow(why),
       // The key's lease is alive, so there was a leader at most a lease ago. This is what a controller has that was
       // just restarted: without it, its workers would lose their leases for want of an answer.
       onLeaderKey: () => this.reportHandler.noteLeaderSeen(operator.leaseMs),
     });
-    this.types = new MachineTypes(platform.stateLimits, this.cloud, this.state, this.membership, (types) =>
-      this.loop?.setTypes(types),
+    this.machineTypes = new MachineTypeCatalog(
+      platform.keyValueStoreLimits,
+      this.cloud,
+      this.store,
+      this.membership,
+      (types) => this.leaderLoop?.setMachineTypes(types),
     );
-    this.cancelled = new CancellationFeed(platform, this.state, this.links, this.log, (jobs) =>
-      this.loop?.learnCancelled(jobs),
+    this.cancellations = new CancellationFeed(platform, this.store, this.links, this.log, (jobs) =>
+      this.leaderLoop?.applyCancellations(jobs),
     );
     for (const peer of platform.peers) {
       const own = (): PeerStatus => this.status();
       const onMalformed = (name: NodeName | null, cause: string): void => this.malformed(name, cause);
-      this.links.push(new PeerLink(peer, own, (s) => this.heard(s), this.cancelled, onMalformed));
+      this.links.push(new PeerLink(peer, own, (s) => this.onPeerStatus(s), this.cancellations, onMalformed));
     }
     this.users = new UserApi(
       platform,
-      this.state,
-      () => this.types.current,
+      this.store,
+      () => this.machineTypes.current,
       (id) => this.counts(id),
-      (id) => this.cancelled.confirming(id),
-      this.cancelled,
+      (id) => this.cancellations.recordConfirmed(id),
+      this.cancellations,
     );
-    this.reportHandler = new ReportHandler(
+    this.reportHandler = new HeartbeatHandler(
       platform,
       this.membership,
       this.links,
-      () => this.loop,
+      () => this.leaderLoop,
       this.log,
-      () => this.stateOk(),
-      this.cancelled,
+      () => this.storeAvailable(),
+      this.cancellations,
     );
-    this.fences = new OverdueFences(
+    this.leaderlessFencing = new LeaderlessFencing(
       platform,
       this.reportHandler,
-      this.cancelled,
+      this.cancellations,
       this.links,
       this.cloud,
-      () => this.stateOk(),
+      () => this.storeAvailable(),
       this.log,
     );
   }
@@ -152,14 +156,14 @@
       });
     };
     this.listen(this.platform.internalAddr, onInternal, STATUS_CONNECTIONS);
-    this.state.setShare(this.followerShare());
+    this.store.setShare(this.followerShare());
     for (const link of this.links) link.start();
     this.membership.start();
-    this.cancelled.start();
-    setInterval(() => void this.fences.check(), FENCE_CHECK_MS);
-    this.types.start();
+    this.cancellations.start();
+    setInterval(() => void this.leaderlessFencing.check(), FENCE_CHECK_MS);
+    this.machineTypes.start();
     setInterval(() => this.shareImageLocations(), IMAGE_LOCATIONS_MS);
-    setInterval(() => this.checkHearing(), 500);
+    setInterval(() => this.resignIfUnreachable(), 500);
     for (const warning of platformWarnings(this.platform)) this.log.info({ warning }, 'settings');
     this.log.info({ zone: this.platform.zone }, 'started');
   }
@@ -249,38 +253,38 @@
     return forwarded(a) ?? own;
   }
 
-  private stateOk(): boolean {
-    return performance.now() - this.state.lastAnswerAt < STATE_FRESH_MS;
+  private storeAvailable(): boolean {
+    return performance.now() - this.store.lastAnswerAt < STATE_FRESH_MS;
   }
 
   /** While the state service is down for everybody, leaving the load balancer would only delay the return. */
   private healthy(): boolean {
-    if (this.types.current.length === 0) return false;
-    if (this.stateOk()) return true;
+    if (this.machineTypes.current.length === 0) return false;
+    if (this.storeAvailable()) return true;
     const now = performance.now();
     const reached = this.links.filter((l) => l.alive(now));
     // Cut off from the state service and from every peer: it is we who are cut off, and others can serve.
     if (this.links.length > 0 && reached.length === 0) return false;
-    return this.state.lastAnswerAt > -Infinity && !reached.some((l) => l.status?.stateOk);
+    return this.store.lastAnswerAt > -Infinity && !reached.some((l) => l.status?.stateOk);
   }
 
   // ---- peers -----------------------------------------------------------------------------------------------
 
   private status(): PeerStatus {
-    const { authority } = this.membership;
+    const { hasAuthority } = this.membership;
     return {
       node: this.platform.name,
-      leading: authority && this.loop !== null,
-      holding: this.membership.holdsLease && (this.loop?.core ?? null) !== null,
-      term: highestTerm(this.membership.election),
+      leading: hasAuthority && this.leaderLoop !== null,
+      holding: this.membership.holdsLease && (this.leaderLoop?.leaderCore ?? null) !== null,
+      term: highestTerm(this.membership.electionState),
       reaches: this.reportHandler.reachedLeader,
-      stateOk: this.stateOk(),
+      stateOk: this.storeAvailable(),
       hearing: this.reportHandler.hearing,
       leaderSeenAgoMs: this.reportHandler.leaderSeenAgoMs,
     };
   }
 
-  private heard(s: PeerStatus): void {
+  private onPeerStatus(s: PeerStatus): void {
     if (typeof s.leaderSeenAgoMs === 'number') this.reportHandler.noteLeaderSeen(s.leaderSeenAgoMs);
     if (s.leading || s.holding) this.membership.learn(s.node, s.term);
     if (s.leading) this.reportHandler.noteLeaderSeen();
@@ -292,12 +296,12 @@
       links: this.links,
       membership: this.membership,
       reportHandler: this.reportHandler,
-      cancelled: this.cancelled,
+      cancelled: this.cancellations,
       users: this.users,
       imageLocations: this.imageLocations,
-      leading: () => this.loop,
+      leading: () => this.leaderLoop,
       status: () => this.status(),
-      heard: (status) => this.heard(status),
+      heard: (status) => this.onPeerStatus(status),
       counts: (id) => this.ownCounts(id),
     });
   }
@@ -308,7 +312,7 @@
 
   /** A new leader finds out by reports what runs where, but not which images are cached: its peers tell it. */
   private shareImageLocations(): void {
-    const all = this.loop?.core?.imageLocations();
+    const all = this.leaderLoop?.leaderCore?.imageLocations();
     if (!all) return;
     const images = this.imageLocations.page(all);
     this.imageLocations.merge(images, performance.now());
@@ -316,13 +320,13 @@
   }
 
   private ownCounts(id: JobId): TaskCounts | null {
-    const job = this.loop?.core?.jobs.get(id);
+    const job = this.leaderLoop?.leaderCore?.jobs.get(id);
     return job ? { done: job.doneCount, running: job.runningCount } : null;
   }
 
   /** Counts are for display only: without the leader they are left at zero. */
   private async counts(id: JobId): Promise<TaskCounts | null> {
-    if (this.loop) return this.ownCounts(id);
+    if (this.leaderLoop) return this.ownCounts(id);
     const now = performance.now();
     const link = this.links.find((l) => l.alive(now) && l.status?.leading);
     const answer = await link?.ask({ kind: 'counts', job: id }, 500);
@@ -341,8 +345,8 @@
       authorityLeftMs: this.membership.authorityLeftMs,
       requests: { open: this.admission.busy, refused: this.admission.refused, ...stage(this.times.user) },
       reports: stage(this.times.report),
-      cancellationsBehindMs: this.cancelled.behindMs(performance.now() as Steady),
-      queue: this.loop?.core?.status() ?? null,
+      cancellationsBehindMs: this.cancellations.coverageAgeMs(performance.now() as MonotonicTime),
+      queue: this.leaderLoop?.leaderCore?.status() ?? null,
     };
     return { status: 200, body: encode(JSON.parse(JSON.stringify(body))) };
   }
@@ -350,37 +354,41 @@
   // ---- leadership ------------------------------------------------------------------------------------------
 
   /** A leader that hears no worker, directly or through its peers, gives way to one that may. */
-  private checkHearing(): void {
-    const loop = this.loop;
-    if (!loop || this.links.length === 0 || !this.membership.authority) return;
-    if (loop.deafForMs(performance.now()) < this.platform.workers.reportS * 2500 + 2500) return;
+  private resignIfUnreachable(): void {
+    const loop = this.leaderLoop;
+    if (!loop || this.links.length === 0 || !this.membership.hasAuthority) return;
+    if (
+      loop.withoutHeartbeatsForMs(performance.now()) <
+      this.platform.workers.heartbeatIntervalS * 2500 + 2500
+    )
+      return;
     this.membership.resign('no worker is heard');
   }
 
   private lead(): void {
-    this.loop?.stop();
-    this.state.setShare(leaderShare);
-    const { platform, operator, membership, state, cloud, log, random } = this;
-    this.loop = new LeaderLoop(
+    this.leaderLoop?.stop();
+    this.store.setShare(leaderShare);
+    const { platform, operator, membership, store, cloud, log, random } = this;
+    this.leaderLoop = new LeaderLoop(
       platform,
       operator,
       membership,
-      state,
+      store,
       cloud,
       log,
       random,
-      () => this.types.current,
+      () => this.machineTypes.current,
       this.imageLocations.all(),
       this.sockets.orders,
-      this.cancelled,
+      this.cancellations,
     );
-    void this.loop.start();
+    void this.leaderLoop.start();
   }
 
   private follow(why: string): void {
     this.log.info({ why }, 'leadership lost');
-    this.loop?.stop();
-    this.loop = null;
-    this.state.setShare(this.followerShare());
+    this.leaderLoop?.stop();
+    this.leaderLoop = null;
+    this.store.setShare(this.followerShare());
   }
 }
--- a/src/runtime/http-server.ts
+++ b/src/runtime/http/http-server.ts
@@ -1,6 +1,6 @@
 import type { Socket } from 'node:net';
 import { HttpError, HttpParser, type HttpMessage } from './http-parser.js';
-import type { Logger } from './logger.js';
+import type { Logger } from '../logger.js';
 
 export interface HttpReply {
   status: number;
--- a/src/runtime/state-client.ts
+++ b/src/runtime/key-value-store/key-value-store-client.ts
@@ -1,17 +1,17 @@
-import { HttpClient } from './http-client.js';
-import { Budget } from './budget.js';
-import type { Platform } from '../config/platform.js';
-import type { Counter, Stamp } from '../core/units.js';
-import { encode, tryDecode } from '../wire/cbor.js';
-import * as wire from '../wire/state.js';
+import { HttpClient } from '../http/http-client.js';
+import { TokenBucket } from './token-bucket.js';
+import type { PlatformSettings } from '../../config/platform.js';
+import type { Uint64, Revision } from '../../core/units.js';
+import { encode, tryDecode } from '../../wire/cbor.js';
+import * as wire from '../../wire/key-value-store.js';
 
 export type Outcome<T> =
   | { kind: 'ok'; value: T }
   | { kind: 'refused' } // certainly not carried out: 429, 503, over our budget, never sent
   | { kind: 'unknown' } // no answer: may have been carried out, or may yet be
   | { kind: 'gone' }; // 404 or 410
-export type TxnOutcome =
-  | { kind: 'ok'; stamp: Stamp }
+export type TransactionOutcome =
+  | { kind: 'ok'; revision: Revision }
   | { kind: 'conflict'; failed: string[] }
   | { kind: 'lease-gone' }
   /** Never carried out, and never will be in this form: too large, too many changes. */
@@ -26,26 +26,26 @@
 /** What remains in the buckets for callers that must not be starved. */
 export const reserves = { urgent: 0, normal: 2 };
 
-export class StateClient {
+export class KeyValueStoreClient {
   private readonly calls: HttpClient;
   private readonly watches: HttpClient;
   /** A pool of its own: a leader whose other calls are slow or many must not lose its lease for want of a connection. */
   private readonly leases: HttpClient;
-  private readonly requests: Budget;
-  private readonly writes: Budget;
+  private readonly requests: TokenBucket;
+  private readonly writes: TokenBucket;
   private share = 1 / 3;
   private caution = 1;
   private waiting = 0;
   /** Steady time of the last answer that was not an error; tells an outage from a quiet time. */
   lastAnswerAt = -Infinity;
 
-  constructor(private readonly platform: Platform) {
-    this.calls = new HttpClient(platform.state, 24, 20_000);
-    this.watches = new HttpClient(platform.state, 4, 20_000);
-    this.leases = new HttpClient(platform.state, 3, 20_000);
+  constructor(private readonly platform: PlatformSettings) {
+    this.calls = new HttpClient(platform.keyValueStore, 24, 20_000);
+    this.watches = new HttpClient(platform.keyValueStore, 4, 20_000);
+    this.leases = new HttpClient(platform.keyValueStore, 3, 20_000);
     const now = performance.now();
-    this.requests = new Budget(1, 1, now);
-    this.writes = new Budget(1, 1, now);
+    this.requests = new TokenBucket(1, 1, now);
+    this.writes = new TokenBucket(1, 1, now);
     this.applyShare();
   }
 
@@ -56,7 +56,7 @@
   }
 
   private applyShare(): void {
-    const { rps, writeRps } = this.platform.stateLimits;
+    const { rps, writeRps } = this.platform.keyValueStoreLimits;
     const now = performance.now();
     const part = this.share * this.caution * 0.9;
     this.requests.setRate(rps * part, Math.max(4, rps * part), now);
@@ -99,10 +99,10 @@
     return this.read(`/store/${key}`, wire.parseItem, reserve);
   }
 
-  async list(prefix: string): Promise<Outcome<{ items: wire.Item[]; ledger: Counter }>> {
+  async list(prefix: string): Promise<Outcome<{ items: wire.Item[]; ledger: Uint64 }>> {
     const items: wire.Item[] = [];
     let since: string | null = null;
-    let ledger: Counter | null = null;
+    let ledger: Uint64 | null = null;
     for (;;) {
       const page: Outcome<NonNullable<ReturnType<typeof wire.parseItems>>> = await this.read(
         wire.listTarget(prefix, since, 1000),
@@ -118,7 +118,7 @@
     }
   }
 
-  async transact(t: wire.Transaction, reserve = reserves.normal): Promise<TxnOutcome> {
+  async transact(t: wire.Transaction, reserve = reserves.normal): Promise<TransactionOutcome> {
     if (!(await this.turn(1, t.then.length, reserve))) return { kind: 'refused' };
     const r = await this.calls.request('POST', '/multi', encode(wire.transactionBody(t)), TIMEOUT_MS);
     if (!r.ok) return r.sent ? { kind: 'unknown' } : { kind: 'refused' };
@@ -127,7 +127,7 @@
     if (r.status === 200) {
       const c = wire.parseCommitted(body);
       this.lastAnswerAt = performance.now();
-      return c ? { kind: 'ok', stamp: c.ledger } : { kind: 'unknown' };
+      return c ? { kind: 'ok', revision: c.ledger } : { kind: 'unknown' };
     }
     if (r.status === 409) {
       this.lastAnswerAt = performance.now();
@@ -137,27 +137,27 @@
     return { kind: 'refused' };
   }
 
-  async lease(ttlMs: number): Promise<Outcome<Counter>> {
+  async lease(ttlMs: number): Promise<Outcome<Uint64>> {
     const r = await this.leases.request('POST', '/leases', encode(wire.leaseBody(ttlMs)), TIMEOUT_MS);
     return this.outcome(r, wire.parseLease);
   }
 
   /** Renewals pass the budget by: nothing may starve them. */
-  async extend(lease: Counter): Promise<Outcome<true>> {
+  async extend(lease: Uint64): Promise<Outcome<true>> {
     const r = await this.leases.request('POST', `/leases/${lease}/extend`, null, TIMEOUT_MS);
     return this.outcome(r, () => true as const);
   }
 
-  async endLease(lease: Counter): Promise<void> {
+  async endLease(lease: Uint64): Promise<void> {
     await this.leases.request('DELETE', `/leases/${lease}`, null, TIMEOUT_MS);
   }
 
   /** What has changed since, at once. */
-  async changes(prefix: string, since: Counter) {
+  async changes(prefix: string, since: Uint64) {
     return this.read(wire.watchTarget(prefix, since, 0), wire.parseEvents, reserves.urgent);
   }
 
-  async watch(prefix: string, since: Counter, waitMs: number) {
+  async watch(prefix: string, since: Uint64, waitMs: number) {
     const r = await this.watches.request('GET', wire.watchTarget(prefix, since, waitMs), null, waitMs + 3000);
     return this.outcome(r, wire.parseEvents);
   }
--- a/src/runtime/budget.ts
+++ b/src/runtime/key-value-store/token-bucket.ts
@@ -1,5 +1,5 @@
 /** Token bucket: `rate` a second, with a burst. Keeps what we send below a service's published limits. */
-export class Budget {
+export class TokenBucket {
   private level: number;
   private at: number;
 
