--- a/src/runtime/leader-loop.ts
+++ b/src/runtime/leadership/leader-loop.ts
@@ -1,21 +1,21 @@
 // Runs a core Leader: loads what the state service holds, carries out effects, feeds back their outcomes.
-import type { CancellationFeed } from './cancellation-feed.js';
-import type { CloudClient } from './cloud-client.js';
-import type { Logger } from './logger.js';
-import type { Membership } from './membership.js';
+import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
+import type { CloudProviderClient } from '../cloud/cloud-provider-client.js';
+import type { Logger } from '../logger.js';
+import type { LeaderElection } from './leader-election.js';
 import { LeaderRecords } from './leader-records.js';
-import type { StateClient } from './state-client.js';
-import { WorkerCalls } from './worker-calls.js';
-import type { Platform } from '../config/platform.js';
-import type { Operator } from '../config/operator.js';
-import { Leader, type Effect, type ImageLocations } from '../core/leader.js';
-import type { MachineType, Report, UnchangedReport } from '../core/types.js';
-import type { Counter, JobId, MachineId, SegmentName, Steady, WallTime } from '../core/units.js';
-import { encode, tryDecode } from '../wire/cbor.js';
-import * as wire from '../wire/state.js';
-import { ordersBody, parseReport } from '../wire/workers.js';
+import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+import { WorkerClient } from '../workers/worker-client.js';
+import type { PlatformSettings } from '../../config/platform.js';
+import type { OperatorSettings } from '../../config/operator.js';
+import { Leader, type Effect, type ImageLocations } from '../../core/leader/leader.js';
+import type { MachineType, Heartbeat, UnchangedHeartbeat } from '../../core/types.js';
+import type { Uint64, JobId, MachineId, SegmentName, MonotonicTime, WallTime } from '../../core/units.js';
+import { encode, tryDecode } from '../../wire/cbor.js';
+import * as wire from '../../wire/key-value-store.js';
+import { directCommandsBody, parseHeartbeat } from '../../wire/workers.js';
 
-const steady = (): Steady => performance.now() as Steady;
+const steady = (): MonotonicTime => performance.now() as MonotonicTime;
 const wall = (): WallTime => Date.now() as WallTime;
 const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
 const EVENT_DELAY_MS = 25;
@@ -44,15 +44,15 @@
   private tickSumMs = 0;
   private ticksLoggedAt = 0;
   private readonly timers: NodeJS.Timeout[] = [];
-  private readonly workers: WorkerCalls;
+  private readonly workers: WorkerClient;
   private readonly records: LeaderRecords;
 
   constructor(
-    private readonly platform: Platform,
-    private readonly operator: Operator,
-    private readonly membership: Membership,
-    private readonly state: StateClient,
-    private readonly cloud: CloudClient,
+    private readonly platform: PlatformSettings,
+    private readonly operator: OperatorSettings,
+    private readonly membership: LeaderElection,
+    private readonly store: KeyValueStoreClient,
+    private readonly cloud: CloudProviderClient,
     private readonly log: Logger,
     private readonly random: () => number,
     private readonly types: () => MachineType[],
@@ -60,20 +60,20 @@
     orderSockets: number,
     private readonly cancelled: Pick<CancellationFeed, 'has' | 'jobs'>,
   ) {
-    this.workers = new WorkerCalls(orderSockets);
-    this.records = new LeaderRecords(platform.stateLimits, membership, state, log);
+    this.workers = new WorkerClient(orderSockets);
+    this.records = new LeaderRecords(platform.keyValueStoreLimits, membership, store, log);
   }
 
-  get core(): Leader | null {
+  get leaderCore(): Leader | null {
     return this.leader;
   }
 
   async start(): Promise<void> {
-    const held = this.membership.election.held;
+    const held = this.membership.electionState.held;
     if (!held) return;
     const startedAt = steady();
     const leader = new Leader(
-      { term: held.term, keyStamp: held.keyStamp },
+      { term: held.term, keyRevision: held.keyRevision },
       {
         workers: this.platform.workers,
         teams: this.platform.teams,
@@ -81,26 +81,27 @@
         idleHoldS: this.operator.idleHoldS,
         capacityRetryS: this.operator.capacityRetryS,
         headroom: this.operator.headroom,
-        listLagS: this.platform.cloudLimits.listLagS,
+        listLagS: this.platform.cloudProviderLimits.listLagS,
         agingS: this.operator.agingS,
-        fitsRosterPage: (machines) => wire.fitsRosterPage(machines, this.platform.stateLimits.valueKb),
-        segmentBytes: wire.segmentBytes(this.platform.stateLimits.valueKb),
-        progressRps: this.platform.stateLimits.writeRps * PROGRESS_SHARE,
-        cycleWork: Math.max(LEAST_CYCLE_WORK, this.platform.limits.cpu * CYCLE_WORK_OF_A_CORE),
+        fitsRegistryPage: (machines) =>
+          wire.fitsRegistryPage(machines, this.platform.keyValueStoreLimits.valueKb),
+        segmentBytes: wire.segmentBytes(this.platform.keyValueStoreLimits.valueKb),
+        progressWritesPerS: this.platform.keyValueStoreLimits.writeRps * PROGRESS_SHARE,
+        cycleWorkLimit: Math.max(LEAST_CYCLE_WORK, this.platform.limits.cpu * CYCLE_WORK_OF_A_CORE),
         random: this.random,
       },
       startedAt,
     );
-    const roster = await this.load(wire.keys.rosterPrefix);
+    const roster = await this.load(wire.keys.registryPrefix);
     const jobs = await this.load(wire.keys.activePrefix);
     const progress = await this.load(wire.keys.progressPrefix);
     if (!roster || !jobs || !progress || this.ended) return;
     // Read only now: types that arrive while the state service is being read would otherwise be missed, and nothing
     // could be placed before the next refresh.
-    leader.setTypes(this.types());
+    leader.setMachineTypes(this.types());
     for (const item of roster.items) {
-      const page = item.key.slice(wire.keys.rosterPrefix.length);
-      const machines = wire.parseRosterPage(item.data);
+      const page = item.key.slice(wire.keys.registryPrefix.length);
+      const machines = wire.parseRegistryPage(item.data);
       if (!machines) this.log.error({ key: item.key }, 'damaged page of the roster');
       for (const m of machines ?? []) leader.loadMachine(m, page, startedAt);
     }
@@ -109,7 +110,7 @@
     for (const item of progress.items) {
       const [, id, segment] = item.key.split('/');
       this.records.progressLoaded(item.key, item.stamp);
-      const bits = wire.parseProgress(item.data);
+      const bits = wire.parseProgressRecord(item.data);
       if (bits !== null)
         leader.loadProgress(id as JobId, segment as SegmentName, Buffer.from(bits, 'base64'));
     }
@@ -122,7 +123,7 @@
     const loadedMs = Math.round(this.ledSince - startedAt);
     const counts = { jobs: jobs.items.length, roster: roster.items.length };
     this.log.info({ term: held.term, ...counts, revisions, loadedMs }, 'leading');
-    this.timers.push(setInterval(() => this.soon(), this.operator.cycleMs));
+    this.timers.push(setInterval(() => this.requestTick(), this.operator.cycleMs));
     void this.watchJobs(jobs.ledger);
     void this.pollCloud();
   }
@@ -135,70 +136,70 @@
     this.workers.close();
   }
 
-  learnCancelled(jobs: JobId[]): void {
+  applyCancellations(jobs: JobId[]): void {
     if (!this.leader) return;
-    for (const id of jobs) this.leader.learnCancelled(id, steady());
-    this.soon();
+    for (const id of jobs) this.leader.applyCancellation(id, steady());
+    this.requestTick();
   }
 
-  report(report: Report): ReturnType<Leader['onReport']> {
+  onHeartbeat(report: Heartbeat): ReturnType<Leader['onHeartbeat']> {
     const leader = this.leader;
     if (!leader) return [];
     const now = steady();
     this.heardAt = now;
-    const commands = leader.onReport(report, now);
-    if (leader.hasChanges) this.soon();
+    const commands = leader.onHeartbeat(report, now);
+    if (leader.hasChanges) this.requestTick();
     return commands;
   }
 
   /** The machines of which the next report is needed in full. */
-  unchangedReports(unchanged: UnchangedReport[]): MachineId[] | null {
+  onUnchangedHeartbeats(unchanged: UnchangedHeartbeat[]): MachineId[] | null {
     const leader = this.leader;
     if (!leader) return null;
     const now = steady();
     this.heardAt = now;
-    return unchanged.filter((v) => !leader.onUnchangedReport(v, now)).map((v) => v.machine);
+    return unchanged.filter((v) => !leader.onUnchangedHeartbeat(v, now)).map((v) => v.machine);
   }
 
   /** How long no worker at all has been heard, though machines are known to be up. */
-  deafForMs(now: number): number {
-    if (!this.leader || !this.leader.expectsReports) return 0;
+  withoutHeartbeatsForMs(now: number): number {
+    if (!this.leader || !this.leader.expectsHeartbeats) return 0;
     return now - Math.max(this.heardAt, this.ledSince);
   }
 
-  setTypes(types: MachineType[]): void {
-    this.leader?.setTypes(types);
+  setMachineTypes(types: MachineType[]): void {
+    this.leader?.setMachineTypes(types);
   }
 
   private async load(prefix: string) {
     while (!this.ended) {
-      const r = await this.state.list(prefix);
+      const r = await this.store.list(prefix);
       if (r.kind === 'ok') return r.value;
       await sleep(200);
     }
     return null;
   }
 
-  private learn(leader: Leader, key: string, data: unknown, stamp: Counter, earlier: boolean): void {
+  private learn(leader: Leader, key: string, data: unknown, stamp: Uint64, earlier: boolean): void {
     const record = wire.parseJobRecord(data);
     const id = key.slice(wire.keys.activePrefix.length) as JobId;
     if (record) {
-      leader.learnJob(id, record, stamp, earlier, steady(), wall());
-      if (this.cancelled.has(id)) leader.learnCancelled(id, steady());
+      leader.applyJobRecord(id, record, stamp, earlier, steady(), wall());
+      if (this.cancelled.has(id)) leader.applyCancellation(id, steady());
     } else this.log.error({ key }, 'damaged job record, not placed');
   }
 
-  private async watchJobs(from: Counter): Promise<void> {
+  private async watchJobs(from: Uint64): Promise<void> {
     let since = from;
     while (!this.ended) {
-      const r = await this.state.watch(wire.keys.activePrefix, since, WATCH_MS);
+      const r = await this.store.watch(wire.keys.activePrefix, since, WATCH_MS);
       if (this.ended || !this.leader) return;
       if (r.kind === 'ok') {
         since = r.value.ledger;
         for (const e of r.value.log) {
           if ('put' in e) this.learn(this.leader, e.put, e.data, e.stamp, false);
         }
-        if (r.value.log.length > 0) this.soon();
+        if (r.value.log.length > 0) this.requestTick();
       } else if (r.kind === 'gone') {
         const all = await this.load(wire.keys.activePrefix);
         if (!all || !this.leader) return;
@@ -211,18 +212,18 @@
   }
 
   private async pollCloud(): Promise<void> {
-    const interval = Math.max(2000, 4000 / this.platform.cloudLimits.rps);
+    const interval = Math.max(2000, 4000 / this.platform.cloudProviderLimits.rps);
     while (!this.ended) {
-      if (this.membership.authority) {
-        const listed = await this.cloud.list();
-        if (listed) this.leader?.onList(listed, steady());
+      if (this.membership.hasAuthority) {
+        const listed = await this.cloud.listMachines();
+        if (listed) this.leader?.onMachineList(listed, steady());
       }
       await sleep(interval);
     }
   }
 
   /** Runs the loop soon: events that come together share one cycle. */
-  private soon(): void {
+  private requestTick(): void {
     if (this.queued) return;
     this.queued = true;
     // A tick's cost rises with the cluster: its pace falls with it, so that answers to workers, users and the
@@ -242,7 +243,7 @@
     if (!leader || this.ended) return;
     const began = steady();
     // Without authority nothing is decided: another controller may lead already.
-    if (this.membership.authority) leader.tick(began, wall());
+    if (this.membership.hasAuthority) leader.tick(began, wall());
     else {
       const { authorityLeftMs } = this.membership;
       this.log.limited('authority', 'info', { authorityLeftMs }, 'no authority: nothing is decided');
@@ -272,92 +273,98 @@
       case 'log':
         this.log[e.level](e.fields, e.text);
         return;
-      case 'finish':
+      case 'write-final-record':
         void this.finish(leader, e);
         return;
-      case 'lookup':
+      case 'read-final-record':
         void this.lookUp(leader, e.job);
         return;
-      case 'progress':
+      case 'write-progress':
         void this.progress(leader, e);
         return;
-      case 'roster':
+      case 'write-registry-page':
         void this.writeRoster(leader, e);
         return;
-      case 'rent':
+      case 'create-machines':
         void this.rent(leader, e);
         return;
-      case 'return':
-        void this.cloud.giveBack(e.machines).then((ok) => {
-          leader.onReturned(e.machines, ok, steady());
+      case 'delete-machines':
+        void this.cloud.deleteMachines(e.machines).then((ok) => {
+          leader.onDeletionResult(e.machines, ok, steady());
           this.log.info({ machines: e.machines, ok }, 'machines given back');
-          this.soon();
+          this.requestTick();
         });
         return;
-      case 'orders':
+      case 'send-direct-commands':
         void this.order(leader, e);
         return;
     }
   }
 
-  private async finish(leader: Leader, e: Extract<Effect, { kind: 'finish' }>): Promise<void> {
+  private async finish(leader: Leader, e: Extract<Effect, { kind: 'write-final-record' }>): Promise<void> {
     const outcome = await this.records.finish(e);
     if (this.ended) return;
-    leader.onFinished(e.job, outcome, steady());
-    if (outcome.kind === 'ok') this.soon();
+    leader.onFinalRecordWritten(e.job, outcome, steady());
+    if (outcome.kind === 'ok') this.requestTick();
   }
 
   private async lookUp(leader: Leader, job: JobId): Promise<void> {
     const final = await this.records.readFinal(job);
     if (this.ended) return;
-    leader.onLookup(job, final, steady());
-    this.soon();
+    leader.onFinalRecordRead(job, final, steady());
+    this.requestTick();
   }
 
-  private async progress(leader: Leader, e: Extract<Effect, { kind: 'progress' }>): Promise<void> {
+  private async progress(leader: Leader, e: Extract<Effect, { kind: 'write-progress' }>): Promise<void> {
     const r = await this.records.putProgress(e.job, e.segment, e.bytes);
     if (r.kind === 'changed') leader.loadProgress(e.job, e.segment, r.bytes);
-    leader.onProgress(e.job, e.segment, e.bytes, r.kind === 'ok');
+    leader.onProgressWritten(e.job, e.segment, e.bytes, r.kind === 'ok');
   }
 
-  private async writeRoster(leader: Leader, e: Extract<Effect, { kind: 'roster' }>): Promise<void> {
+  private async writeRoster(
+    leader: Leader,
+    e: Extract<Effect, { kind: 'write-registry-page' }>,
+  ): Promise<void> {
     const ok = await this.records.writeRoster(e.page, e.machines);
     if (this.ended) return;
-    leader.onRoster(e.page, ok);
-    this.soon();
+    leader.onRegistryPageWritten(e.page, ok);
+    this.requestTick();
   }
 
-  private async rent(leader: Leader, e: Extract<Effect, { kind: 'rent' }>): Promise<void> {
-    const r = await this.cloud.rent({ request: e.request, ...e.order });
+  private async rent(leader: Leader, e: Extract<Effect, { kind: 'create-machines' }>): Promise<void> {
+    const r = await this.cloud.createMachines({ request: e.request, ...e.order });
     if (this.ended) return;
-    if (r.kind === 'rented') leader.onRented(e.request, { machines: r.machines }, steady());
-    else if (r.kind === 'no-capacity') leader.onRented(e.request, 'no-capacity', steady());
+    if (r.kind === 'rented') leader.onScaleOutResult(e.request, { machines: r.machines }, steady());
+    else if (r.kind === 'no-capacity') leader.onScaleOutResult(e.request, 'no-capacity', steady());
     else {
       await sleep(RENT_RETRY_MS);
-      if (!this.ended) leader.onRented(e.request, 'retry', steady());
+      if (!this.ended) leader.onScaleOutResult(e.request, 'retry', steady());
     }
-    this.soon();
+    this.requestTick();
   }
 
-  private async order(leader: Leader, e: Extract<Effect, { kind: 'orders' }>): Promise<void> {
-    const body = encode(ordersBody(leader.leadership.term, e.session, e.commands));
+  private async order(leader: Leader, e: Extract<Effect, { kind: 'send-direct-commands' }>): Promise<void> {
+    const body = encode(directCommandsBody(leader.leadership.term, e.incarnation, e.commands));
     const r = await this.workers.request(e.endpoint, '/orders', body, ORDER_TIMEOUT_MS);
     if (this.ended) return;
-    const { machine, session } = e;
+    const { machine, incarnation } = e;
     const answer = r.ok ? r.status : r.cause;
-    this.log.debug({ machine, session, term: leader.leadership.term, answer }, 'direct command answered');
+    this.log.debug(
+      { machine, session: incarnation, term: leader.leadership.term, answer },
+      'direct command answered',
+    );
     if (!r.ok) {
-      leader.onOrdersAnswer(e.machine, e.commands, { kind: r.sent ? 'unknown' : 'unsent' }, steady());
+      leader.onDirectCommandResult(e.machine, e.commands, { kind: r.sent ? 'unknown' : 'unsent' }, steady());
     } else {
-      const report = parseReport(tryDecode(r.body));
+      const report = parseHeartbeat(tryDecode(r.body));
       const kind = r.status === 200 ? 'executed' : 'refused';
-      leader.onOrdersAnswer(
+      leader.onDirectCommandResult(
         e.machine,
         e.commands,
         { kind, report: report.ok ? report.value : null },
         steady(),
       );
     }
-    this.soon();
+    this.requestTick();
   }
 }
--- a/src/runtime/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -1,13 +1,17 @@
 // What a leader writes to the state service: final states, progress, pages of the roster.
-import type { Logger } from './logger.js';
-import type { Membership } from './membership.js';
+import type { Logger } from '../logger.js';
+import type { LeaderElection } from './leader-election.js';
 import { ProgressStore, type ProgressOutcome } from './progress-store.js';
-import { reserves, type StateClient, type TxnOutcome } from './state-client.js';
-import type { StateLimits } from '../config/platform.js';
-import type { Effect, FinishOutcome } from '../core/leader.js';
-import type { FinalState, MachineInfo } from '../core/types.js';
-import type { JobId, SegmentName, Stamp } from '../core/units.js';
-import * as wire from '../wire/state.js';
+import {
+  reserves,
+  type KeyValueStoreClient,
+  type TransactionOutcome,
+} from '../key-value-store/key-value-store-client.js';
+import type { KeyValueStoreLimits } from '../../config/platform.js';
+import type { Effect, FinishOutcome } from '../../core/leader/leader.js';
+import type { FinalState, MachineInfo } from '../../core/types.js';
+import type { JobId, SegmentName, Revision } from '../../core/units.js';
+import * as wire from '../../wire/key-value-store.js';
 
 const DELETE_RETRY_MS = 2000;
 /** Changes of the transaction that finishes a job, beside the deletion of its progress. */
@@ -21,14 +25,14 @@
   private readonly progress: ProgressStore;
 
   constructor(
-    private readonly limits: StateLimits,
-    private readonly membership: Membership,
-    private readonly state: StateClient,
+    private readonly limits: KeyValueStoreLimits,
+    private readonly membership: LeaderElection,
+    private readonly store: KeyValueStoreClient,
     private readonly log: Logger,
   ) {
     this.progress = new ProgressStore(
       (then, conditions) => this.write(then, conditions, reserves.normal),
-      (key) => this.state.get(key, reserves.urgent),
+      (key) => this.store.get(key, reserves.urgent),
     );
   }
 
@@ -37,7 +41,7 @@
   }
 
   /** A segment of progress that was there when the leadership began. */
-  progressLoaded(key: string, revision: Stamp): void {
+  progressLoaded(key: string, revision: Revision): void {
     this.progress.loaded(key, revision);
   }
 
@@ -46,22 +50,22 @@
   }
 
   /** Replaces the job's active record by its final one, and deletes its progress. */
-  async finish(e: Extract<Effect, { kind: 'finish' }>): Promise<FinishOutcome> {
+  async finish(e: Extract<Effect, { kind: 'write-final-record' }>): Promise<FinishOutcome> {
     const { keys } = wire;
     const atOnce = Math.max(0, this.limits.txnOps - FINISH_CHANGES);
     const progress = e.segments.map((segment) => keys.progress(e.job, segment));
     const r = await this.write(
       [
-        { put: keys.final(e.job), data: wire.finalData(e) },
+        { put: keys.final(e.job), data: wire.finalRecordData(e) },
         { delete: keys.active(e.job) },
         ...progress.slice(0, atOnce).map((key) => ({ delete: key })),
       ],
-      [{ key: keys.active(e.job), stamp: e.stamp }],
+      [{ key: keys.active(e.job), revision: e.revision }],
     );
     if (r.kind === 'conflict') return this.reread(e.job);
     if (r.kind !== 'ok') return { kind: 'retry' };
     this.log.debug(
-      { job: e.job, state: e.state, revision: r.stamp, recordRevision: e.stamp },
+      { job: e.job, state: e.state, revision: r.revision, recordRevision: e.revision },
       'final state recorded',
     );
     this.progress.drop(e.job, e.segments);
@@ -71,23 +75,24 @@
 
   /** The record changed under us: a cancellation came first, or our own lost write was carried out. */
   private async reread(job: JobId): Promise<FinishOutcome> {
-    const active = await this.state.get(wire.keys.active(job), reserves.urgent);
+    const active = await this.store.get(wire.keys.active(job), reserves.urgent);
     const record = active.kind === 'ok' ? wire.parseJobRecord(active.value.data) : null;
-    if (active.kind === 'ok' && record) return { kind: 'changed', record, stamp: active.value.stamp };
+    if (active.kind === 'ok' && record) return { kind: 'changed', record, revision: active.value.stamp };
     const final = active.kind === 'gone' ? await this.readFinal(job) : null;
     return final === null ? { kind: 'retry' } : { kind: 'ok', state: final };
   }
 
   /** Null where there is no final record, or no answer. */
   async readFinal(job: JobId): Promise<FinalState | null> {
-    const final = await this.state.get(wire.keys.final(job), reserves.urgent);
-    return final.kind === 'ok' ? (wire.parseFinal(final.value.data)?.state ?? null) : null;
+    const final = await this.store.get(wire.keys.final(job), reserves.urgent);
+    return final.kind === 'ok' ? (wire.parseFinalRecord(final.value.data)?.state ?? null) : null;
   }
 
   /** False: it has to be tried again. */
   async writeRoster(page: string, machines: MachineInfo[]): Promise<boolean> {
-    const key = wire.keys.rosterPage(page);
-    const change = machines.length === 0 ? { delete: key } : { put: key, data: wire.rosterRecord(machines) };
+    const key = wire.keys.registryPage(page);
+    const change =
+      machines.length === 0 ? { delete: key } : { put: key, data: wire.registryPageData(machines) };
     const r = await this.write([change]);
     if (r.kind !== 'ok' && !this.ended)
       this.log.limited('roster', 'info', { outcome: r.kind }, 'roster not written, tried again');
@@ -110,14 +115,14 @@
     then: wire.Change[],
     conditions: wire.Condition[] = [],
     reserve = reserves.urgent,
-  ): Promise<TxnOutcome> {
-    const held = this.membership.election.held;
+  ): Promise<TransactionOutcome> {
+    const held = this.membership.electionState.held;
     if (!held || this.ended) return { kind: 'refused' };
-    const guard = { key: wire.keys.leader, stamp: held.keyStamp };
-    const r = await this.state.transact({ if: [guard, ...conditions], then }, reserve);
+    const guard = { key: wire.keys.leader, revision: held.keyRevision };
+    const r = await this.store.transact({ if: [guard, ...conditions], then }, reserve);
     if (r.kind === 'conflict' && r.failed.includes(wire.keys.leader)) {
       this.log.info({ term: held.term }, 'write refused: the leader key is not ours any more');
-      this.membership.deposed();
+      this.membership.onLeaderKeyChanged();
       return { kind: 'refused' };
     }
     return r;
--- a/src/runtime/progress-store.ts
+++ b/src/runtime/leadership/progress-store.ts
@@ -1,9 +1,9 @@
 // Completions of jobs under way, kept in the state service a segment at a time.
-import type { Outcome, TxnOutcome } from './state-client.js';
-import type { JobId, SegmentName, Stamp } from '../core/units.js';
-import * as wire from '../wire/state.js';
+import type { Outcome, TransactionOutcome } from '../key-value-store/key-value-store-client.js';
+import type { JobId, SegmentName, Revision } from '../../core/units.js';
+import * as wire from '../../wire/key-value-store.js';
 
-type Write = (then: wire.Change[], conditions: wire.Condition[]) => Promise<TxnOutcome>;
+type Write = (then: wire.Change[], conditions: wire.Condition[]) => Promise<TransactionOutcome>;
 type Read = (key: string) => Promise<Outcome<wire.Item>>;
 
 export type ProgressOutcome =
@@ -17,14 +17,14 @@
  * unconditional, it would put back older bits, and a next leader would run completed tasks again.
  */
 export class ProgressStore {
-  private readonly stamps = new Map<string, Stamp>();
+  private readonly stamps = new Map<string, Revision>();
 
   constructor(
     private readonly write: Write,
     private readonly read: Read,
   ) {}
 
-  loaded(key: string, stamp: Stamp): void {
+  loaded(key: string, stamp: Revision): void {
     this.stamps.set(key, stamp);
   }
 
@@ -35,10 +35,10 @@
 
   async put(job: JobId, segment: SegmentName, bytes: Uint8Array): Promise<ProgressOutcome> {
     const key = wire.keys.progress(job, segment);
-    const data = wire.progressData(bytes);
-    const r = await this.write([{ put: key, data }], [{ key, stamp: this.stamps.get(key) ?? 0 }]);
+    const data = wire.progressRecordData(bytes);
+    const r = await this.write([{ put: key, data }], [{ key, revision: this.stamps.get(key) ?? 0 }]);
     if (r.kind === 'ok') {
-      this.stamps.set(key, r.stamp);
+      this.stamps.set(key, r.revision);
       return { kind: 'ok' };
     }
     if (r.kind !== 'conflict') return { kind: 'retry' };
@@ -46,7 +46,7 @@
     if (now.kind === 'gone') this.stamps.delete(key);
     if (now.kind !== 'ok') return { kind: 'retry' };
     this.stamps.set(key, now.value.stamp);
-    const bits = wire.parseProgress(now.value.data);
+    const bits = wire.parseProgressRecord(now.value.data);
     return bits === null ? { kind: 'retry' } : { kind: 'changed', bytes: Buffer.from(bits, 'base64') };
   }
 }
--- a/src/runtime/image-locations.ts
+++ b/src/runtime/peers/image-locations.ts
@@ -1,5 +1,5 @@
 // Which machine caches what, as the leader tells it page by page; kept for the next leader.
-import type { ImageLocations } from '../core/leader.js';
+import type { ImageLocations } from '../../core/leader/leader.js';
 
 const PAGE = 100;
 const KEPT_MS = 60_000;
--- a/src/runtime/leader-route.ts
+++ b/src/runtime/peers/leader-route.ts
@@ -1,12 +1,12 @@
 // The way to the leader: the link to it, or over a peer that reaches it while the network between the two is cut.
-import type { NodeName, Steady, Term } from '../core/units.js';
+import type { NodeName, MonotonicTime, Term } from '../../core/units.js';
 import type { PeerLink } from './peer-link.js';
 import {
   parsePeerResponse,
   type LeaderRequest,
   type LeaderStatus,
   type PeerResponses,
-} from '../wire/peer-messages.js';
+} from '../../wire/peer-messages.js';
 
 /** A peer gives up on the leader's answer before the controller that asked gives up on the peer. */
 export const FORWARD_TIMEOUT_MS = 2000;
@@ -56,7 +56,7 @@
     private readonly self: NodeName,
   ) {}
 
-  find(atLeast: Term, now: Steady): LeaderRoute | null {
+  find(atLeast: Term, now: MonotonicTime): LeaderRoute | null {
     const alive = this.links.filter((link) => link.alive(now));
     const routes = [...alive.map(direct), ...alive.map(forwarded)]
       .filter(isRoute)
@@ -67,7 +67,7 @@
   }
 
   /** The leader that this controller reaches itself: what it tells its peers, so that no request goes in a circle. */
-  reaches(atLeast: Term, now: Steady): LeaderStatus | null {
+  reaches(atLeast: Term, now: MonotonicTime): LeaderStatus | null {
     const route = this.find(atLeast, now);
     return route?.over === null ? route.leader : null;
   }
--- a/src/runtime/peer-handler.ts
+++ b/src/runtime/peers/peer-handler.ts
@@ -1,13 +1,13 @@
 // Answers what other controllers ask.
-import type { CancellationFeed } from './cancellation-feed.js';
+import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
 import type { ImageLocationStore } from './image-locations.js';
-import type { LeaderLoop } from './leader-loop.js';
+import type { LeaderLoop } from '../leadership/leader-loop.js';
 import { FORWARD_TIMEOUT_MS } from './leader-route.js';
-import type { Membership } from './membership.js';
+import type { LeaderElection } from '../leadership/leader-election.js';
 import type { PeerLink } from './peer-link.js';
-import type { ReportHandler } from './report-handler.js';
-import type { UserApi } from './user-api.js';
-import type { JobId } from '../core/units.js';
+import type { HeartbeatHandler } from '../workers/heartbeat-handler.js';
+import type { UserApi } from '../users/user-api.js';
+import type { JobId } from '../../core/units.js';
 import type {
   PeerKind,
   PeerRequest,
@@ -15,13 +15,13 @@
   PeerStatus,
   RequestOf,
   TaskCounts,
-} from '../wire/peer-messages.js';
-import { parsePosition } from '../wire/peers.js';
+} from '../../wire/peer-messages.js';
+import { parsePosition } from '../../wire/cancellation-pages.js';
 
 export interface PeerHandlerDependencies {
   links: PeerLink[];
-  membership: Membership;
-  reportHandler: ReportHandler;
+  membership: LeaderElection;
+  reportHandler: HeartbeatHandler;
   cancelled: CancellationFeed;
   users: UserApi;
   imageLocations: ImageLocationStore;
@@ -62,7 +62,7 @@
   }
 
   private cancelled({ jobs }: RequestOf<'cancelled'>): Answer<'cancelled'> {
-    this.parts.cancelled.pushed(jobs);
+    this.parts.cancelled.onPushed(jobs);
     return {};
   }
 
@@ -73,8 +73,8 @@
   }
 
   private unchanged({ term, machines }: RequestOf<'vouch'>): Answer<'vouch'> {
-    const leads = this.parts.membership.election.held?.term === term;
-    return { full: leads ? (this.parts.leading()?.unchangedReports(machines) ?? null) : null };
+    const leads = this.parts.membership.electionState.held?.term === term;
+    return { full: leads ? (this.parts.leading()?.onUnchangedHeartbeats(machines) ?? null) : null };
   }
 
   /** For a peer that cannot reach the leader. Only what goes to a leader, so nothing is passed on twice. */
--- a/src/runtime/peer-link.ts
+++ b/src/runtime/peers/peer-link.ts
@@ -1,18 +1,19 @@
 // Links between controllers: length-prefixed CBOR frames. Each controller dials every peer, asks there, and
 // answers what the peers ask on their own connections.
 import { connect, type Socket } from 'node:net';
-import type { Platform } from '../config/platform.js';
-import type { LogPosition, LogPage } from '../core/cancellations.js';
-import type { NodeName, Steady, Zone } from '../core/units.js';
-import { encode, tryDecode } from '../wire/cbor.js';
+import type { PlatformSettings } from '../../config/platform.js';
+import type { CancellationLogPosition, CancellationLogPage } from '../../core/cancellation-log.js';
+import type { NodeName, MonotonicTime, Zone } from '../../core/units.js';
+import { encode, tryDecode } from '../../wire/cbor.js';
 import {
+  encodePeerRequest,
   parsePeerRequest,
   parsePeerResponse,
   type PeerRequest,
   type PeerResponses,
   type PeerStatus,
-} from '../wire/peer-messages.js';
-import { parseLogPage } from '../wire/peers.js';
+} from '../../wire/peer-messages.js';
+import { parseLogPage } from '../../wire/cancellation-pages.js';
 
 const MAX_FRAME = 256 * 1024;
 const HEARTBEAT_MS = 400;
@@ -111,8 +112,8 @@
 
 /** What each heartbeat asks a peer about cancellations, and where its answer goes. */
 export interface CancellationExchange {
-  have: (peer: NodeName) => LogPosition | null;
-  heard: (peer: NodeName, s: LogPage, askedAt: Steady) => void;
+  positionOf: (peer: NodeName) => CancellationLogPosition | null;
+  onPeerPage: (peer: NodeName, s: CancellationLogPage, askedAt: MonotonicTime) => void;
   malformed: (peer: NodeName, cause: string) => void;
 }
 
@@ -128,7 +129,7 @@
   private refusedAt = -Infinity;
 
   constructor(
-    readonly peer: Platform['peers'][number],
+    readonly peer: PlatformSettings['peers'][number],
     private readonly own: () => PeerStatus,
     private readonly onStatus: (s: PeerStatus) => void,
     private readonly cancelled: CancellationExchange,
@@ -188,15 +189,15 @@
       };
       const timer = setTimeout(() => finish(null), timeoutMs);
       this.waiting.set(i, finish);
-      outbox.push({ i, q: request });
+      outbox.push({ i, q: encodePeerRequest(request) });
     });
   }
 
   private async heartbeat(): Promise<void> {
     if (this.heartbeatOpen) return;
     this.heartbeatOpen = true;
-    const askedAt = performance.now() as Steady;
-    const have = this.cancelled.have(this.name);
+    const askedAt = performance.now() as MonotonicTime;
+    const have = this.cancelled.positionOf(this.name);
     const answer = await this.ask({ kind: 'heartbeat', from: this.own(), have }, ALIVE_MS);
     this.heartbeatOpen = false;
     if (answer === null) {
@@ -208,7 +209,7 @@
     this.status = answer.status;
     this.onStatus(answer.status);
     const page = parseLogPage(answer.cancelled);
-    if (page.ok) this.cancelled.heard(this.name, page.value, askedAt);
+    if (page.ok) this.cancelled.onPeerPage(this.name, page.value, askedAt);
     else this.cancelled.malformed(this.name, page.cause);
   }
 
--- a/src/runtime/job-lookup.ts
+++ b/src/runtime/users/job-lookup.ts
@@ -1,15 +1,15 @@
 // Reads jobs' records for users' requests. A final state never changes, so it alone is answered from memory.
-import type { Outcome, StateClient } from './state-client.js';
-import type { CancellationFeed } from './cancellation-feed.js';
-import type { FinalRecord, JobRecord } from '../core/types.js';
-import type { JobId, Stamp } from '../core/units.js';
-import { keys, parseFinal, parseJobRecord, type Item } from '../wire/state.js';
+import type { Outcome, KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
+import type { FinalRecord, JobRecord } from '../../core/types.js';
+import type { JobId, Revision } from '../../core/units.js';
+import { keys, parseFinalRecord, parseJobRecord, type Item } from '../../wire/key-value-store.js';
 
 const FINALS_KEPT = 20_000;
 
 /** What the state service says of a job. */
 export type Lookup =
-  | { kind: 'active'; record: JobRecord; stamp: Stamp }
+  | { kind: 'active'; record: JobRecord; stamp: Revision }
   | { kind: 'final'; record: FinalRecord }
   /** A record that can't be read: its job was accepted, and nothing else is known of it. */
   | { kind: 'damaged' }
@@ -24,7 +24,7 @@
   private readonly finals = new Map<JobId, FinalRecord>();
 
   constructor(
-    private readonly state: Pick<StateClient, 'get'>,
+    private readonly state: Pick<KeyValueStoreClient, 'get'>,
     private readonly known: KnownJobs,
   ) {}
 
@@ -45,7 +45,7 @@
     if (active.kind !== 'gone') return { kind: 'undecided' };
     const final = await this.read(keys.final(id));
     if (final.kind === 'gone') return { kind: 'none' };
-    const record = final.kind === 'ok' ? parseFinal(final.value.data) : null;
+    const record = final.kind === 'ok' ? parseFinalRecord(final.value.data) : null;
     if (!record) return { kind: 'undecided' };
     if (this.finals.size >= FINALS_KEPT) this.finals.delete(this.finals.keys().next().value!);
     this.finals.set(id, record);
--- a/src/runtime/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -1,17 +1,17 @@
 // Users' requests. Any controller takes them: the job's record in the state service is the truth, and nothing
 // is told to a user that it doesn't hold.
-import type { HttpMessage } from './http-parser.js';
-import type { HttpReply } from './http-server.js';
+import type { HttpMessage } from '../http/http-parser.js';
+import type { HttpReply } from '../http/http-server.js';
 import { JobLookup, type KnownJobs, type Lookup } from './job-lookup.js';
-import { reserves, type StateClient } from './state-client.js';
-import type { Platform } from '../config/platform.js';
-import { withinLimit } from '../core/scheduler/rules.js';
-import { canBeSpread, fitsSomeType } from '../core/scaling.js';
-import type { JobRecord, JobSpec, MachineType, TeamLimits } from '../core/types.js';
-import type { JobId, Team, WallTime } from '../core/units.js';
-import { encode, tryDecode } from '../wire/cbor.js';
-import { fitsValue, jobRecordData, keys } from '../wire/state.js';
-import { isJobId, parseJob, statusBody, type UserStatus } from '../wire/users.js';
+import { reserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+import type { PlatformSettings } from '../../config/platform.js';
+import { withinLimit } from '../../core/scheduler/rules.js';
+import { canBeSpread, fitsSomeType } from '../../core/scaling/scale-out-plan.js';
+import type { JobRecord, JobSpec, MachineType, TeamQuota } from '../../core/types.js';
+import type { JobId, Team, WallTime } from '../../core/units.js';
+import { encode, tryDecode } from '../../wire/cbor.js';
+import { fitsValue, jobRecordData, keys } from '../../wire/key-value-store.js';
+import { isJobId, parseJob, statusBody, type UserStatus } from '../../wire/users.js';
 
 const RETRY_S = 1;
 /** Of a write that meets others of the same record. */
@@ -33,11 +33,11 @@
 
 export class UserApi {
   private readonly jobs: JobLookup;
-  private readonly teams: Map<Team, TeamLimits>;
+  private readonly teams: Map<Team, TeamQuota>;
 
   constructor(
-    private readonly platform: Platform,
-    private readonly state: StateClient,
+    private readonly platform: PlatformSettings,
+    private readonly state: KeyValueStoreClient,
     private readonly types: () => MachineType[],
     private readonly counts: (id: JobId) => Promise<{ done: number; running: number } | null>,
     /** A user is about to be told that this job, whose tasks may still be there, is cancelled. */
@@ -77,12 +77,12 @@
     if (refusal) return refusal.status === 422 ? this.unlessKnown(raw, refusal) : refusal;
     const record: JobRecord = { spec, submittedAt: Date.now() as WallTime, cancelledAt: null };
     const largest = jobRecordData({ ...record, cancelledAt: record.submittedAt });
-    if (!fitsValue(largest, this.platform.stateLimits.valueKb))
+    if (!fitsValue(largest, this.platform.keyValueStoreLimits.valueKb))
       return this.unlessKnown(raw, bad(400, 'job description too large'));
     const r = await this.state.transact({
       if: [
-        { key: keys.active(spec.id), stamp: 0 },
-        { key: keys.final(spec.id), stamp: 0 },
+        { key: keys.active(spec.id), revision: 0 },
+        { key: keys.final(spec.id), revision: 0 },
       ],
       then: [{ put: keys.active(spec.id), data: jobRecordData(record) }],
     });
@@ -167,7 +167,7 @@
       const record = this.cancelledRecord(found.record);
       const r = await this.state.transact(
         {
-          if: [{ key: keys.active(id), stamp: found.stamp }],
+          if: [{ key: keys.active(id), revision: found.stamp }],
           then: [{ put: keys.active(id), data: jobRecordData(record) }],
         },
         reserves.urgent,
@@ -185,7 +185,7 @@
    */
   private cancelledRecord(record: JobRecord): JobRecord {
     const cancelled = { ...record, cancelledAt: Date.now() as WallTime };
-    if (fitsValue(cancelled, this.platform.stateLimits.valueKb)) return cancelled;
+    if (fitsValue(cancelled, this.platform.keyValueStoreLimits.valueKb)) return cancelled;
     return { ...cancelled, spec: { ...record.spec, types: null } };
   }
 
--- a/src/runtime/report-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -1,20 +1,20 @@
 // Workers' reports, at whichever controller they arrive: the leader answers with commands; others redirect,
 // relay, or keep the worker alive while no leader can be reached.
-import type { CancellationFeed } from './cancellation-feed.js';
-import type { HttpReply } from './http-server.js';
-import type { Membership } from './membership.js';
-import { LeaderRoutes, type LeaderRoute } from './leader-route.js';
-import type { PeerLink } from './peer-link.js';
-import type { LeaderStatus } from '../wire/peer-messages.js';
-import type { LeaderLoop } from './leader-loop.js';
-import type { Platform } from '../config/platform.js';
-import { highestTerm } from '../core/election.js';
-import type { Command, Report } from '../core/types.js';
-import { sameCounter, type MachineId, type Steady } from '../core/units.js';
-import { encode, tryDecode } from '../wire/cbor.js';
-import { UnchangedReports } from './unchanged-reports.js';
-import { parseReport, redirectBody, reportAnswer } from '../wire/workers.js';
-import type { Logger } from './logger.js';
+import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
+import type { HttpReply } from '../http/http-server.js';
+import type { LeaderElection } from '../leadership/leader-election.js';
+import { LeaderRoutes, type LeaderRoute } from '../peers/leader-route.js';
+import type { PeerLink } from '../peers/peer-link.js';
+import type { LeaderStatus } from '../../wire/peer-messages.js';
+import type { LeaderLoop } from '../leadership/leader-loop.js';
+import type { PlatformSettings } from '../../config/platform.js';
+import { highestTerm } from '../../core/election.js';
+import type { Command, Heartbeat } from '../../core/types.js';
+import { equalUint64, type MachineId, type MonotonicTime } from '../../core/units.js';
+import { encode, tryDecode } from '../../wire/cbor.js';
+import { UnchangedHeartbeats } from './unchanged-heartbeats.js';
+import { parseHeartbeat, redirectBody, heartbeatReply } from '../../wire/workers.js';
+import type { Logger } from '../logger.js';
 
 const RELAY_TIMEOUT_MS = 2500;
 /** A worker is sent elsewhere at most once in this time: each move may cost it 5 s of its lease. */
@@ -28,7 +28,7 @@
 const DIRECT_OF_A_CORE = 200;
 const LEAST_DIRECT = 10;
 
-const steady = (): Steady => performance.now() as Steady;
+const steady = (): MonotonicTime => performance.now() as MonotonicTime;
 const answer = (status: number, body: unknown): HttpReply => ({ status, body: encode(body) });
 const redirectTo = (leader: Parameters<typeof redirectBody>[0]): HttpReply =>
   answer(421, redirectBody(leader));
@@ -59,15 +59,15 @@
   }
 }
 
-export class ReportHandler {
+export class HeartbeatHandler {
   /** The last report of each machine that reports here. */
   private readonly lastReports = new Map<
     MachineId,
-    Pick<Report, 'session' | 'seq' | 'tasks'> & { at: Steady }
+    Pick<Heartbeat, 'incarnation' | 'sequence' | 'tasks'> & { at: MonotonicTime }
   >();
-  private readonly redirectedAt = new Map<MachineId, Steady>();
-  private readonly dismissedAt = new Map<MachineId, Steady>();
-  private readonly unchangedReports = new UnchangedReports();
+  private readonly redirectedAt = new Map<MachineId, MonotonicTime>();
+  private readonly dismissedAt = new Map<MachineId, MonotonicTime>();
+  private readonly unchangedReports = new UnchangedHeartbeats();
   private readonly routes: LeaderRoutes;
   private readonly direct = new Rate();
   private readonly outcomes = new Map<Outcome, number>();
@@ -76,14 +76,14 @@
   private directAt = -Infinity;
 
   constructor(
-    private readonly platform: Platform,
-    private readonly membership: Membership,
+    private readonly platform: PlatformSettings,
+    private readonly membership: LeaderElection,
     private readonly links: PeerLink[],
     private readonly leading: () => LeaderLoop | null,
     private readonly log: Logger,
-    private readonly stateOk: () => boolean,
+    private readonly storeAvailable: () => boolean,
     private readonly cancelled: Pick<CancellationFeed, 'has' | 'mayRenewLeases'>,
-    private readonly clock: () => Steady = steady,
+    private readonly clock: () => MonotonicTime = steady,
   ) {
     this.routes = new LeaderRoutes(links, platform.name);
   }
@@ -102,7 +102,7 @@
 
   /** Whether workers reach this controller themselves; a cut may spare the peers and the state service. */
   get hearing(): boolean {
-    return this.clock() - this.directAt < this.platform.workers.reportS * 2000 + 500;
+    return this.clock() - this.directAt < this.platform.workers.heartbeatIntervalS * 2000 + 500;
   }
 
   async handle(body: Buffer): Promise<HttpReply> {
@@ -119,16 +119,16 @@
     const now = this.clock();
     const [outcome, reply, machine] = await this.decide(body, true, now);
     this.count(outcome, now);
-    const quiet = machine !== undefined && (this.leading()?.core?.isQuiet(machine) ?? false);
+    const quiet = machine !== undefined && (this.leading()?.leaderCore?.isInSync(machine) ?? false);
     return { ...reply, quiet: reply.status === 200 && quiet };
   }
 
   private async decide(
     body: Buffer,
     relayed: boolean,
-    now: Steady,
+    now: MonotonicTime,
   ): Promise<[Outcome, HttpReply, MachineId?]> {
-    const parsed = parseReport(tryDecode(body));
+    const parsed = parseHeartbeat(tryDecode(body));
     if (!parsed.ok) {
       this.log.limited('report', 'info', { cause: parsed.cause }, 'malformed report refused');
       return ['refused', answer(400, { error: parsed.cause })];
@@ -150,13 +150,13 @@
    * Connections between controllers are refused, but the state service says who leads: the worker reports there
    * itself. Not behind a cut, which answers nothing: there the move would cost the worker its lease.
    */
-  private refusingLeader(now: Steady): PeerLink | null {
-    const { leader } = this.membership.election;
-    if (!leader || !this.stateOk()) return null;
+  private refusingLeader(now: MonotonicTime): PeerLink | null {
+    const { leader } = this.membership.electionState;
+    if (!leader || !this.storeAvailable()) return null;
     return this.links.find((l) => l.name === leader.node && l.refuses(now)) ?? null;
   }
 
-  private mayDismiss(report: Report, now: Steady): boolean {
+  private mayDismiss(report: Heartbeat, now: MonotonicTime): boolean {
     const last = this.dismissedAt.get(report.id);
     if (this.dismissedAt.size > 5000) this.dismissedAt.clear();
     if (last !== undefined && now - last < DISMISS_EVERY_MS) return false;
@@ -164,19 +164,19 @@
     return true;
   }
 
-  private asLeader(report: Report, relayed: boolean, now: Steady): [Outcome, HttpReply] {
+  private asLeader(report: Heartbeat, relayed: boolean, now: MonotonicTime): [Outcome, HttpReply] {
     const loop = this.leading();
-    const term = this.membership.election.held!.term;
+    const term = this.membership.electionState.held!.term;
     // An answer under a lower token would be dropped and would hold the worker here.
-    if (report.token > term) return ['sent elsewhere', redirectTo(null)];
-    if (this.membership.authority) {
+    if (report.fencingToken > term) return ['sent elsewhere', redirectTo(null)];
+    if (this.membership.hasAuthority) {
       this.leaderSeenAt = now;
       if (!this.cancelled.mayRenewLeases(now)) return ['refused', answer(503, {})];
       const closer = relayed ? null : (this.closerTo(report, now) ?? this.lessBusy(report, now));
       if (closer) return ['sent elsewhere', redirectTo(closer.name)];
-      return ['answered', answer(200, reportAnswer(term, loop?.report(report) ?? []))];
+      return ['answered', answer(200, heartbeatReply(term, loop?.onHeartbeat(report) ?? []))];
     }
-    loop?.core?.onReportWithoutAuthority(report, now);
+    loop?.leaderCore?.onHeartbeatWithoutAuthority(report, now);
     return this.renewWithoutLeader(report, now);
   }
 
@@ -184,18 +184,18 @@
    * A controller in the worker's own zone, if workers do reach it. When the zones are cut apart, the worker is then
    * already where it can be kept alive: trying the others one by one could outlast its lease.
    */
-  private closerTo(report: Report, now: Steady): PeerLink | null {
+  private closerTo(report: Heartbeat, now: MonotonicTime): PeerLink | null {
     if (report.zone === this.platform.zone) return null;
     return this.redirectToZone(report, now);
   }
 
   /** A leader with more reports of its own than it has processor for leaves them to others of the worker's zone. */
-  private lessBusy(report: Report, now: Steady): PeerLink | null {
+  private lessBusy(report: Heartbeat, now: MonotonicTime): PeerLink | null {
     const most = Math.max(LEAST_DIRECT, this.platform.limits.cpu * DIRECT_OF_A_CORE);
     return this.direct.perSecond(now) > most ? this.redirectToZone(report, now) : null;
   }
 
-  private redirectToZone(report: Report, now: Steady): PeerLink | null {
+  private redirectToZone(report: Heartbeat, now: MonotonicTime): PeerLink | null {
     const last = this.redirectedAt.get(report.id);
     if (last !== undefined && now - last < REDIRECT_EVERY_MS) return null;
     const near = this.links.filter((l) => l.zone === report.zone && l.alive(now) && l.status?.hearing);
@@ -211,16 +211,16 @@
    * and a leader that workers can't reach still hears them. A relayed answer is settled like a direct one.
    */
   private async toLeader(
-    report: Report,
+    report: Heartbeat,
     body: Buffer,
     route: LeaderRoute,
-    now: Steady,
+    now: MonotonicTime,
   ): Promise<[Outcome, HttpReply]> {
     const closer = this.closerTo(report, now);
     if (closer) return ['sent elsewhere', redirectTo(closer.name)];
     const { term, leading } = route.leader;
     if (this.mayAnswerUnchanged(report, now) && this.unchangedReports.covers(report, route))
-      return ['vouched for', answer(200, reportAnswer(term, []))];
+      return ['vouched for', answer(200, heartbeatReply(term, []))];
     const relayed = await route.ask({ kind: 'relay', report: body }, RELAY_TIMEOUT_MS);
     // One without authority may not be able to answer for the worker; then we may.
     if (relayed && (relayed.status === 200 || leading)) {
@@ -231,15 +231,20 @@
     return this.renewWithoutLeader(report, this.clock());
   }
 
-  private noteReport({ id, session, seq, tasks }: Report, now: Steady): void {
+  private noteReport({ id, incarnation, sequence, tasks }: Heartbeat, now: MonotonicTime): void {
     const last = this.lastReports.get(id);
     // A copy says nothing of now.
-    if (last && (session < last.session || (sameCounter(session, last.session) && seq <= last.seq))) return;
+    if (
+      last &&
+      (incarnation < last.incarnation ||
+        (equalUint64(incarnation, last.incarnation) && sequence <= last.sequence))
+    )
+      return;
     if (!last && this.lastReports.size >= MOST_REPORTS) this.lastReports.clear();
-    this.lastReports.set(id, { session, seq, tasks, at: now });
+    this.lastReports.set(id, { incarnation: incarnation, sequence: sequence, tasks, at: now });
   }
 
-  private mayAnswerUnchanged(report: Report, now: Steady): boolean {
+  private mayAnswerUnchanged(report: Heartbeat, now: MonotonicTime): boolean {
     return this.cancelled.mayRenewLeases(now) && !report.tasks.some((t) => this.cancelled.has(t.job));
   }
 
@@ -247,70 +252,79 @@
    * No leader in reach: work goes on under the last token. Only while every cancellation that could matter is known
    * here, and then the tasks of cancelled jobs are stopped: that is final, so it needs no authority.
    */
-  private renewWithoutLeader(report: Report, now: Steady): [Outcome, HttpReply] {
+  private renewWithoutLeader(report: Heartbeat, now: MonotonicTime): [Outcome, HttpReply] {
     const [outcome, reply] = this.decideWithoutLeader(report, now);
-    const { id: machine, session, seq, token } = report;
+    const { id: machine, incarnation, sequence, fencingToken } = report;
     const cancellationsKnown = this.cancelled.mayRenewLeases(now);
     const { leaderSeenAgoMs } = this;
     this.log.debug(
-      { machine, session, seq, token, outcome, cancellationsKnown, leaderSeenAgoMs },
+      {
+        machine,
+        session: incarnation,
+        seq: sequence,
+        token: fencingToken,
+        outcome,
+        cancellationsKnown,
+        leaderSeenAgoMs,
+      },
       'report answered without a leader',
     );
     return [outcome, reply];
   }
 
-  private decideWithoutLeader(report: Report, now: Steady): [Outcome, HttpReply] {
+  private decideWithoutLeader(report: Heartbeat, now: MonotonicTime): [Outcome, HttpReply] {
     if (!this.cancelled.mayRenewLeases(now)) return ['refused', answer(503, {})];
     // Served by the state service, and yet no leader for long: the worker may well reach it where we can't.
-    if (this.stateOk() && now - this.leaderSeenAt > this.leaderlessMs) return ['refused', answer(503, {})];
+    if (this.storeAvailable() && now - this.leaderSeenAt > this.leaderlessMs)
+      return ['refused', answer(503, {})];
     // Cut off from everybody but the workers: another controller may lead, and they can reach it. If none answers
     // them they come back, and are kept.
     if (this.isolated(now) && this.mayDismiss(report, now)) return ['sent elsewhere', redirectTo(null)];
-    const term = highestTerm(this.membership.election);
+    const term = highestTerm(this.membership.electionState);
     // A token above ours: another controller has a newer leader. A worker that comes back has found none, and is
     // answered under the token that it has, since a lower one would hold it here in vain.
-    const newer = report.token > term;
-    if (newer && (this.stateOk() || this.mayDismiss(report, now)))
+    const newer = report.fencingToken > term;
+    if (newer && (this.storeAvailable() || this.mayDismiss(report, now)))
       return ['sent elsewhere', redirectTo(null)];
-    const token = newer ? report.token : term;
-    return ['kept alive', answer(200, reportAnswer(token, this.stopsFor(report)))];
+    const token = newer ? report.fencingToken : term;
+    return ['kept alive', answer(200, heartbeatReply(token, this.stopsFor(report)))];
   }
 
-  private stopsFor(report: Report): Command[] {
+  private stopsFor(report: Heartbeat): Command[] {
     const stops: Command[] = [];
     for (const { state, job, index, attempt } of report.tasks) {
       if (state === 'exited' || !this.cancelled.has(job)) continue;
-      stops.push({ op: 'stop', job, index, attempt, graceS: 0 });
+      stops.push({ op: 'stop', job, index, attempt, gracePeriodS: 0 });
     }
     return stops;
   }
 
   private get leaderlessMs(): number {
-    const { cancelS, leaseS, reportS } = this.platform.workers;
-    return (cancelS - leaseS - 2 * reportS - 4) * 1000;
+    const { cancelS, leaseS, heartbeatIntervalS } = this.platform.workers;
+    return (cancelS - leaseS - 2 * heartbeatIntervalS - 4) * 1000;
   }
 
-  private isolated(now: Steady): boolean {
-    return !this.stateOk() && this.links.length > 0 && !this.links.some((l) => l.alive(now));
+  private isolated(now: MonotonicTime): boolean {
+    return !this.storeAvailable() && this.links.length > 0 && !this.links.some((l) => l.alive(now));
   }
 
   /** To the leader; else to whoever holds its lease: it goes on learning where tasks are, and whom to fence. */
-  private leaderRoute(now: Steady): LeaderRoute | null {
-    return this.routes.find(highestTerm(this.membership.election), now);
+  private leaderRoute(now: MonotonicTime): LeaderRoute | null {
+    return this.routes.find(highestTerm(this.membership.electionState), now);
   }
 
   /** The leader that this controller reaches without another one in between. */
   get reachedLeader(): LeaderStatus | null {
-    return this.routes.reaches(highestTerm(this.membership.election), this.clock());
+    return this.routes.reaches(highestTerm(this.membership.electionState), this.clock());
   }
 
   /** Somebody knows the whole cluster: this controller, or one that it can reach. */
-  leaderInReach(now: Steady): boolean {
-    return (this.leading()?.core ?? null) !== null || this.leaderRoute(now) !== null;
+  leaderInReach(now: MonotonicTime): boolean {
+    return (this.leading()?.leaderCore ?? null) !== null || this.leaderRoute(now) !== null;
   }
 
   /** Machines that reported to us themselves, and now are silent, with what they last held. */
-  silentFor(ms: number, now: Steady): [MachineId, Report['tasks']][] {
+  silentFor(ms: number, now: MonotonicTime): [MachineId, Heartbeat['tasks']][] {
     const silent = [...this.lastReports].filter(([, r]) => now - r.at >= ms);
     return silent.map(([id, r]) => [id, r.tasks]);
   }
@@ -325,7 +339,7 @@
     this.lastReports.delete(id);
   }
 
-  private count(outcome: Outcome, now: Steady): void {
+  private count(outcome: Outcome, now: MonotonicTime): void {
     this.outcomes.set(outcome, (this.outcomes.get(outcome) ?? 0) + 1);
     if (now - this.loggedAt < REPORTS_LOG_MS) return;
     this.loggedAt = now;
--- a/src/runtime/overdue-fences.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -1,12 +1,12 @@
 // Guards against a cancelled task on a machine that hangs while nobody leads: the leader ended, and in an outage of
 // the state service none can follow it. A hanging worker heeds no stop, and does not notice the end of its lease.
-import type { CancellationFeed } from './cancellation-feed.js';
-import type { ReportHandler } from './report-handler.js';
-import type { CloudClient } from './cloud-client.js';
-import type { Logger } from './logger.js';
-import type { PeerLink } from './peer-link.js';
-import type { Platform } from '../config/platform.js';
-import type { MachineId, Steady } from '../core/units.js';
+import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
+import type { HeartbeatHandler } from './heartbeat-handler.js';
+import type { CloudProviderClient } from '../cloud/cloud-provider-client.js';
+import type { Logger } from '../logger.js';
+import type { PeerLink } from '../peers/peer-link.js';
+import type { PlatformSettings } from '../../config/platform.js';
+import type { MachineId, MonotonicTime } from '../../core/units.js';
 
 /** Later than a leader would, were there one. */
 const OVERDUE_CANCELS = 0.6;
@@ -16,19 +16,19 @@
 /** Within this time a controller that was ended and its workers have found one another again. */
 const SETTLING_LEASES = 1.5;
 
-export class OverdueFences {
+export class LeaderlessFencing {
   private open = false;
-  private readonly startedAt: Steady;
+  private readonly startedAt: MonotonicTime;
 
   constructor(
-    private readonly platform: Platform,
-    private readonly reportHandler: ReportHandler,
-    private readonly cancelled: Pick<CancellationFeed, 'learned' | 'someLearned'>,
+    private readonly platform: PlatformSettings,
+    private readonly reportHandler: HeartbeatHandler,
+    private readonly cancelled: Pick<CancellationFeed, 'learnedAtOf' | 'anyLearnedBetween'>,
     private readonly links: PeerLink[],
-    private readonly cloud: Pick<CloudClient, 'giveBack' | 'list'>,
-    private readonly stateOk: () => boolean,
+    private readonly cloud: Pick<CloudProviderClient, 'deleteMachines' | 'listMachines'>,
+    private readonly storeAvailable: () => boolean,
     private readonly log: Logger,
-    private readonly clock: () => Steady = () => performance.now() as Steady,
+    private readonly clock: () => MonotonicTime = () => performance.now() as MonotonicTime,
   ) {
     this.startedAt = clock();
   }
@@ -38,8 +38,8 @@
     const now = this.clock();
     if (this.open || this.reportHandler.leaderInReach(now)) return;
     const { cancelS } = this.platform.workers;
-    const before = (now - cancelS * 1000 * OVERDUE_CANCELS) as Steady;
-    if (!this.cancelled.someLearned((now - cancelS * 2000) as Steady, before)) return;
+    const before = (now - cancelS * 1000 * OVERDUE_CANCELS) as MonotonicTime;
+    if (!this.cancelled.anyLearnedBetween((now - cancelS * 2000) as MonotonicTime, before)) return;
     this.open = true;
     try {
       await this.fence(this.knownToHold(before, now), await this.unheard(now));
@@ -48,11 +48,11 @@
     }
   }
 
-  private knownToHold(before: Steady, now: Steady): MachineId[] {
+  private knownToHold(before: MonotonicTime, now: MonotonicTime): MachineId[] {
     return this.reportHandler
       .silentFor(this.platform.workers.leaseS * 1000, now)
       .filter(([, tasks]) =>
-        tasks.some((t) => t.state !== 'exited' && (this.cancelled.learned(t.job) ?? Infinity) < before),
+        tasks.some((t) => t.state !== 'exited' && (this.cancelled.learnedAtOf(t.job) ?? Infinity) < before),
       )
       .map(([id]) => id);
   }
@@ -61,10 +61,10 @@
    * Machines of which nothing is known here. What they held was told to a controller that has ended, and the roster
    * can't be read in an outage: one that reports to nobody may hang with any task.
    */
-  private async unheard(now: Steady): Promise<MachineId[]> {
+  private async unheard(now: MonotonicTime): Promise<MachineId[]> {
     const settlingMs = this.platform.workers.leaseS * 1000 * SETTLING_LEASES;
-    if (this.stateOk() || now - this.startedAt < settlingMs) return [];
-    const listed = await this.cloud.list();
+    if (this.storeAvailable() || now - this.startedAt < settlingMs) return [];
+    const listed = await this.cloud.listMachines();
     const up = (listed ?? []).filter((m) => m.status === 'running').map((m) => m.id);
     const heard = new Set(this.reportHandler.heardOf(up));
     return up.filter((id) => !heard.has(id));
@@ -83,7 +83,7 @@
     const all = answers.every((answer) => answer !== null);
     const silent = machines.filter((id) => !heard.has(id) && (all || known.includes(id)));
     if (silent.length === 0) return;
-    const ok = await this.cloud.giveBack(silent);
+    const ok = await this.cloud.deleteMachines(silent);
     this.log.info({ machines: silent, ok }, 'silent with a cancelled task, and no leader: fenced');
     if (ok) for (const id of silent) this.reportHandler.forgetReport(id);
   }
--- a/src/runtime/unchanged-reports.ts
+++ b/src/runtime/workers/unchanged-heartbeats.ts
@@ -1,9 +1,9 @@
 // Unchanged reports, vouched for in batches: most reports of a large cluster say what the one before said, and the
 // leader need not read each. It decides which machines may be vouched for, and asks for the rest in full.
-import { sameTasks } from '../core/cluster.js';
-import type { Report, UnchangedReport } from '../core/types.js';
-import { sameCounter, type Counter, type MachineId, type Term } from '../core/units.js';
-import { sameRoute, type LeaderRoute } from './leader-route.js';
+import { sameTaskStatuses } from '../../core/task-status.js';
+import type { Heartbeat, UnchangedHeartbeat } from '../../core/types.js';
+import { equalUint64, type Uint64, type MachineId, type Term } from '../../core/units.js';
+import { sameRoute, type LeaderRoute } from '../peers/leader-route.js';
 
 const GATHER_MS = 200;
 const TIMEOUT_MS = 1500;
@@ -13,40 +13,54 @@
 interface Known {
   term: Term;
   /** The report that the leader has read in full. */
-  base: Report;
+  base: Heartbeat;
   /** The newest one vouched for. */
-  seq: Counter;
+  seq: Uint64;
 }
 
-export class UnchangedReports {
+export class UnchangedHeartbeats {
   private readonly known = new Map<MachineId, Known>();
-  private batch = new Map<MachineId, UnchangedReport>();
+  private batch = new Map<MachineId, UnchangedHeartbeat>();
   private batchRoute: LeaderRoute | null = null;
 
   /** The leader has read this report, and says whether its machine needs nothing and awaits nothing. */
-  learn(report: Report, term: Term, quiet: boolean): void {
-    if (!quiet || report.noticeS !== null || !sameCounter(report.token, term)) {
+  learn(report: Heartbeat, term: Term, quiet: boolean): void {
+    if (!quiet || report.interruptionNoticeS !== null || !equalUint64(report.fencingToken, term)) {
       this.known.delete(report.id);
       return;
     }
     if (this.known.size >= MOST_KEPT) this.known.clear();
-    this.known.set(report.id, { term, base: report, seq: report.seq });
+    this.known.set(report.id, { term, base: report, seq: report.sequence });
   }
 
   /** Whether this report can be answered here; if so the leader is told of it soon. */
-  covers(report: Report, route: LeaderRoute): boolean {
+  covers(report: Heartbeat, route: LeaderRoute): boolean {
     const { term } = route.leader;
     const k = this.known.get(report.id);
-    if (!k || k.term !== term || !sameCounter(report.token, term) || report.noticeS !== null) return false;
+    if (
+      !k ||
+      k.term !== term ||
+      !equalUint64(report.fencingToken, term) ||
+      report.interruptionNoticeS !== null
+    )
+      return false;
     // An older report or a copy unchanged for nothing.
-    if (!sameCounter(report.session, k.base.session) || !(report.seq > k.seq)) return false;
-    if (!sameTasks(report.tasks, k.base.tasks) || report.endpoint !== k.base.endpoint) return false;
-    k.seq = report.seq;
-    this.add({ machine: report.id, session: report.session, seq: report.seq, base: k.base.seq }, route);
+    if (!equalUint64(report.incarnation, k.base.incarnation) || !(report.sequence > k.seq)) return false;
+    if (!sameTaskStatuses(report.tasks, k.base.tasks) || report.endpoint !== k.base.endpoint) return false;
+    k.seq = report.sequence;
+    this.add(
+      {
+        machine: report.id,
+        incarnation: report.incarnation,
+        sequence: report.sequence,
+        baseSequence: k.base.sequence,
+      },
+      route,
+    );
     return true;
   }
 
-  private add(v: UnchangedReport, route: LeaderRoute): void {
+  private add(v: UnchangedHeartbeat, route: LeaderRoute): void {
     if (this.batchRoute && !sameRoute(this.batchRoute, route)) this.batch.clear();
     this.batchRoute = route;
     this.batch.set(v.machine, v);
--- a/src/runtime/worker-calls.ts
+++ b/src/runtime/workers/worker-client.ts
@@ -1,7 +1,7 @@
 // Orders sent straight to workers, over a bounded number of connections.
-import { HttpClient, type HttpResult } from './http-client.js';
-import { parseAddress } from '../config/platform.js';
-import type { Endpoint } from '../core/units.js';
+import { HttpClient, type HttpResult } from '../http/http-client.js';
+import { parseAddress } from '../../config/platform.js';
+import type { Endpoint } from '../../core/units.js';
 
 const MAX_IDLE_MS = 10_000;
 const MAX_BODY = 1 << 20;
@@ -16,7 +16,7 @@
  * sockets, and can then neither renew its lease nor be reached: beyond the budget the longest unused is closed, and
  * when all are busy the order is not sent; it goes with the answer to the worker's next report.
  */
-export class WorkerCalls {
+export class WorkerClient {
   /** In the order of their last use. */
   private readonly lines = new Map<Endpoint, Line>();
 
--- a/src/test/broken-variants.test.ts
+++ b/src/test/broken-variants.test.ts
@@ -10,15 +10,15 @@
   type Meeting,
 } from './sim/meeting.js';
 import type { Job } from '../core/job.js';
-import { Leader } from '../core/leader.js';
-import { Fleet } from '../core/leader/fleet.js';
-import { Queue } from '../core/leader/queue.js';
-import { LeaderState } from '../core/leader/state.js';
-import { CancellationFeed } from '../runtime/cancellation-feed.js';
-import { OverdueFences } from '../runtime/overdue-fences.js';
-import { StateClient } from '../runtime/state-client.js';
-import { UserApi } from '../runtime/user-api.js';
-import type { Transaction } from '../wire/state.js';
+import { Leader } from '../core/leader/leader.js';
+import { MachinePool } from '../core/leader/machine-pool.js';
+import { SchedulingQueue } from '../core/leader/scheduling-queue.js';
+import { LeaderState } from '../core/leader/leader-state.js';
+import { CancellationFeed } from '../runtime/cancellations/cancellation-feed.js';
+import { LeaderlessFencing } from '../runtime/workers/leaderless-fencing.js';
+import { KeyValueStoreClient } from '../runtime/key-value-store/key-value-store-client.js';
+import { UserApi } from '../runtime/users/user-api.js';
+import type { Transaction } from '../wire/key-value-store.js';
 
 const times = { quietMs: 140_000, endMs: 260_000 };
 
@@ -36,7 +36,7 @@
 });
 
 test('without the fence when nobody leads', async (t: TestContext) => {
-  t.mock.method(OverdueFences.prototype, 'check', () => Promise.resolve());
+  t.mock.method(LeaderlessFencing.prototype, 'check', () => Promise.resolve());
   await breaks(
     'ran_cancelled',
     cancelledAsMachinesHang((m) => m.sim.at(MEETING + 4000, () => m.sim.restart(m.sim.leader!, 5000))),
@@ -45,8 +45,8 @@
 
 test('with workers kept alive whether or not every cancellation is known', async (t: TestContext) => {
   t.mock.method(CancellationFeed.prototype, 'mayRenewLeases', () => true);
-  t.mock.method(CancellationFeed.prototype, 'heard', () => undefined);
-  t.mock.method(CancellationFeed.prototype, 'pushed', () => undefined);
+  t.mock.method(CancellationFeed.prototype, 'onPeerPage', () => undefined);
+  t.mock.method(CancellationFeed.prototype, 'onPushed', () => undefined);
   await breaks('ran_cancelled', (m) => {
     const jobs = begin(m);
     m.sim.at(MEETING, () => {
@@ -58,7 +58,7 @@
 });
 
 test('with a new leader that takes silent machines for empty ones', async (t: TestContext) => {
-  t.mock.method(LeaderState.prototype, 'mayBeOnSilent', () => false);
+  t.mock.method(LeaderState.prototype, 'mayRunOnUnreconciledMachine', () => false);
   await breaks('ran_twice', (m) => {
     const jobs = begin(m);
     m.sim.at(MEETING, () => {
@@ -69,8 +69,11 @@
 });
 
 test('with cancelled jobs that no longer count while silent machines may hold their tasks', async (t: TestContext) => {
-  const mayBe = Reflect.get<LeaderState, 'mayBeOnSilent'>(LeaderState.prototype, 'mayBeOnSilent');
-  t.mock.method(LeaderState.prototype, 'mayBeOnSilent', function (this: LeaderState, job: Job) {
+  const mayBe = Reflect.get<LeaderState, 'mayRunOnUnreconciledMachine'>(
+    LeaderState.prototype,
+    'mayRunOnUnreconciledMachine',
+  );
+  t.mock.method(LeaderState.prototype, 'mayRunOnUnreconciledMachine', function (this: LeaderState, job: Job) {
     return !job.cancelled && mayBe.call(this, job);
   });
   await breaks('quota', cancelledAtTheLimit);
@@ -84,21 +87,29 @@
 });
 
 test('with a leader that leaves work waiting', async (t: TestContext) => {
-  const waiting = Reflect.get<Queue, 'waiting'>(Queue.prototype, 'waiting');
-  t.mock.method(Queue.prototype, 'waiting', function (this: Queue, ...now: Parameters<Queue['waiting']>) {
-    const { queue, blocked } = waiting.apply(this, now);
-    return { queue: queue.filter((job) => job.id !== 'wk-1'), blocked };
-  });
+  const waiting = Reflect.get<SchedulingQueue, 'buildQueue'>(SchedulingQueue.prototype, 'buildQueue');
+  t.mock.method(
+    SchedulingQueue.prototype,
+    'buildQueue',
+    function (this: SchedulingQueue, ...now: Parameters<SchedulingQueue['buildQueue']>) {
+      const { queue, blocked } = waiting.apply(this, now);
+      return { queue: queue.filter((job) => job.id !== 'wk-1'), blocked };
+    },
+  );
   await breaks('left_waiting', begin);
 });
 
 test('with machines given up before the cloud has answered that they are gone', async (t: TestContext) => {
-  const fence = Reflect.get<Fleet, 'fence'>(Fleet.prototype, 'fence');
-  t.mock.method(Fleet.prototype, 'fence', function (this: Fleet, ...a: Parameters<Fleet['fence']>) {
-    const [machine, , now] = a;
-    fence.apply(this, a);
-    this.onReturned([machine.id], true, now);
-  });
+  const fence = Reflect.get<MachinePool, 'fence'>(MachinePool.prototype, 'fence');
+  t.mock.method(
+    MachinePool.prototype,
+    'fence',
+    function (this: MachinePool, ...a: Parameters<MachinePool['fence']>) {
+      const [machine, , now] = a;
+      fence.apply(this, a);
+      this.onDeletionResult([machine.id], true, now);
+    },
+  );
   await breaks('ran_twice', (m) => {
     const jobs = begin(m);
     // Healthy, but not heard: their tasks go on.
@@ -107,11 +118,11 @@
 });
 
 test('with writes that overwrite whatever has come in between', async (t: TestContext) => {
-  const transact = Reflect.get<StateClient, 'transact'>(StateClient.prototype, 'transact');
+  const transact = Reflect.get<KeyValueStoreClient, 'transact'>(KeyValueStoreClient.prototype, 'transact');
   t.mock.method(
-    StateClient.prototype,
+    KeyValueStoreClient.prototype,
     'transact',
-    function (this: StateClient, w: Transaction, reserve?: number) {
+    function (this: KeyValueStoreClient, w: Transaction, reserve?: number) {
       const own = w.if.filter((c) => c.key.startsWith('l/'));
       return transact.call(this, { ...w, if: own }, reserve);
     },
--- a/src/test/cancellations.test.ts
+++ b/src/test/cancellations.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Cancellations, renewalWindowMs, type Incarnation } from '../core/cancellations.js';
-import type { JobId, NodeName, Steady } from '../core/units.js';
-import { parseLogPage } from '../wire/peers.js';
+import { CancellationLog, renewalWindowMs, type Incarnation } from '../core/cancellation-log.js';
+import type { JobId, NodeName, MonotonicTime } from '../core/units.js';
+import { parseLogPage } from '../wire/cancellation-pages.js';
 
-const at = (ms: number): Steady => ms as Steady;
+const at = (ms: number): MonotonicTime => ms as MonotonicTime;
 const job = (n: number): JobId => `wk-${n}` as JobId;
 const KEPT = 160_000;
 
 /** Controllers a, b and c; each asks and hears the others by hand. */
 const cluster = () => {
   const names = ['a', 'b', 'c'] as NodeName[];
-  const make = (name: string, run = 1): Cancellations =>
-    new Cancellations(
+  const make = (name: string, run = 1): CancellationLog =>
+    new CancellationLog(
       `${name}${run}` as Incarnation,
       names.filter((n) => n !== name),
       KEPT,
@@ -20,7 +20,7 @@
   const logs = { a: make('a'), b: make('b'), c: make('c') };
   const ask = (who: 'a' | 'b' | 'c', whom: 'a' | 'b' | 'c', ms: number): void => {
     const s = logs[whom].pageAfter(logs[who].positionOf(whom as NodeName), at(ms + 1));
-    logs[who].heard(whom as NodeName, s, at(ms), at(ms + 2));
+    logs[who].mergePage(whom as NodeName, s, at(ms), at(ms + 2));
   };
   return { logs, ask, make };
 };
@@ -28,8 +28,8 @@
 test('a read of the state service proves what was confirmed before it was asked for', () => {
   const { logs } = cluster();
   assert.equal(logs.a.provenUntil(at(50)), -Infinity, 'a process that has just begun knows nothing');
-  logs.a.stateRead(at(100));
-  logs.a.stateRead(at(70));
+  logs.a.onStoreRead(at(100));
+  logs.a.onStoreRead(at(70));
   assert.equal(logs.a.provenUntil(at(200)), 100, 'a late answer does not move it back');
 });
 
@@ -38,7 +38,7 @@
   ask('a', 'b', 0);
   ask('a', 'c', 0);
   assert.equal(logs.a.provenUntil(at(10)), -Infinity, 'what their earlier processes confirmed is not known');
-  logs.a.stateRead(at(100));
+  logs.a.onStoreRead(at(100));
   logs.b.add(job(1), at(150));
   ask('a', 'b', 200);
   assert.ok(logs.a.has(job(1)));
@@ -52,7 +52,7 @@
 test('a peer restarted within an outage proves nothing about its process before', () => {
   const { logs, ask, make } = cluster();
   for (const peer of ['b', 'c'] as const) ask('a', peer, 0);
-  logs.a.stateRead(at(100));
+  logs.a.onStoreRead(at(100));
   for (const peer of ['b', 'c'] as const) ask('a', peer, 200);
   assert.equal(logs.a.provenUntil(at(210)), 200);
   logs.b.add(job(1), at(250)); // confirmed, and then it ends before anybody has heard
@@ -60,7 +60,7 @@
   for (const peer of ['b', 'c'] as const) ask('a', peer, 300);
   for (const peer of ['b', 'c'] as const) ask('a', peer, 400);
   assert.equal(logs.a.provenUntil(at(410)), 200);
-  logs.a.stateRead(at(500));
+  logs.a.onStoreRead(at(500));
   for (const peer of ['b', 'c'] as const) ask('a', peer, 600);
   assert.equal(logs.a.provenUntil(at(610)), 600, 'a read covers the gap');
 });
@@ -69,7 +69,7 @@
   const { logs, ask } = cluster();
   logs.b.add(job(1), at(50));
   logs.b.add(job(2), at(60));
-  logs.b.stateRead(at(1000));
+  logs.b.onStoreRead(at(1000));
   ask('a', 'b', 3000);
   assert.ok(logs.a.has(job(1)) && logs.a.has(job(2)));
   const proven = logs.a.provenUntil(at(3010));
@@ -79,7 +79,7 @@
 test('part of a long log moves nothing, the rest of it does', () => {
   const { logs, ask } = cluster();
   for (let n = 0; n < 2500; n++) logs.b.add(job(n), at(1));
-  logs.b.stateRead(at(100));
+  logs.b.onStoreRead(at(100));
   ask('a', 'b', 200);
   assert.ok(logs.a.has(job(0)) && !logs.a.has(job(2400)));
   assert.equal(logs.a.provenUntil(at(210)), -Infinity);
--- a/src/test/checker.test.ts
+++ b/src/test/checker.test.ts
@@ -3,9 +3,9 @@
 import { Checker } from './sim/checker.js';
 import { Day } from './sim/day.js';
 import { jobSpec, teams } from './sim/fixtures.js';
-import { Leader } from '../core/leader.js';
-import type { Command, JobSpec, MachineInfo, Report } from '../core/types.js';
-import type { Endpoint, JobId, MachineId, Steady, Team, TypeName, Zone } from '../core/units.js';
+import { Leader } from '../core/leader/leader.js';
+import type { Command, JobSpec, MachineInfo, Heartbeat } from '../core/types.js';
+import type { Endpoint, JobId, MachineId, MonotonicTime, Team, TypeName, Zone } from '../core/units.js';
 
 const at = (id: string, zone: string, spot = false): MachineInfo => ({
   id: id as MachineId,
@@ -111,13 +111,13 @@
 test('the checker finds a leader that does not stop cancelled tasks', () => {
   // Broken on purpose: leaves out every stop.
   class Deaf extends Leader {
-    override onReport(report: Report, now: Steady): Command[] {
-      return super.onReport(report, now).filter((c) => c.op !== 'stop');
+    override onHeartbeat(report: Heartbeat, now: MonotonicTime): Command[] {
+      return super.onHeartbeat(report, now).filter((c) => c.op !== 'stop');
     }
     override takeEffects() {
       return super
         .takeEffects()
-        .filter((e) => e.kind !== 'orders' || e.commands.every((c) => c.op === 'start'));
+        .filter((e) => e.kind !== 'send-direct-commands' || e.commands.every((c) => c.op === 'start'));
     }
   }
   const day = new Day(8, (...a) => new Deaf(...a));
--- a/src/test/cloud.test.ts
+++ b/src/test/cloud.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { createServer, type AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import type { Platform } from '../config/platform.js';
-import { CloudClient } from '../runtime/cloud-client.js';
-import { httpConnections } from '../runtime/http-server.js';
+import type { PlatformSettings } from '../config/platform.js';
+import { CloudProviderClient } from '../runtime/cloud/cloud-provider-client.js';
+import { httpConnections } from '../runtime/http/http-server.js';
 import { Logger } from '../runtime/logger.js';
 import type { MachineId, TypeName, Zone } from '../core/units.js';
 import { encode } from '../wire/cbor.js';
@@ -21,14 +21,17 @@
   t.after(() => server.close());
   const { port } = server.address() as AddressInfo;
   const cloud = { host: '127.0.0.1', port };
-  const platform = { cloud, cloudLimits: { rps: 2, listLagS: 8 } } as unknown as Platform;
+  const platform = {
+    cloudProvider: cloud,
+    cloudProviderLimits: { rps: 2, listLagS: 8 },
+  } as unknown as PlatformSettings;
   // Time stands still: nothing comes back to the budget, a burst of two and a half.
   t.mock.method(performance, 'now', () => 1000);
-  const client = new CloudClient(platform);
-  assert.deepEqual(await client.list(), []);
-  assert.equal(await client.list(), null, 'what is left is not for lists');
+  const client = new CloudProviderClient(platform);
+  assert.deepEqual(await client.listMachines(), []);
+  assert.equal(await client.listMachines(), null, 'what is left is not for lists');
   const order = { type: 'g8' as TypeName, zone: 'a' as Zone, spot: false, count: 2 };
-  assert.equal((await client.rent({ request: 't1-1', ...order })).kind, 'rented');
-  assert.equal(await client.giveBack(['host-1' as MachineId]), false, 'the budget is used up');
+  assert.equal((await client.createMachines({ request: 't1-1', ...order })).kind, 'rented');
+  assert.equal(await client.deleteMachines(['host-1' as MachineId]), false, 'the budget is used up');
   assert.deepEqual(asked, ['GET /machines', 'POST /machines']);
 });
--- a/src/test/day.test.ts
+++ b/src/test/day.test.ts
@@ -3,8 +3,8 @@
 import { Day } from './sim/day.js';
 import { jobSpec } from './sim/fixtures.js';
 import { matchTrace } from './trace.js';
-import { Leader } from '../core/leader.js';
-import type { JobId, MachineId, Steady, Team, WallTime, Zone } from '../core/units.js';
+import { Leader } from '../core/leader/leader.js';
+import type { JobId, MachineId, MonotonicTime, Team, WallTime, Zone } from '../core/units.js';
 
 const minutes = (n: number): number => n * 60_000;
 
@@ -186,9 +186,9 @@
 test('the checker finds a leader that starts tasks again without being sure that they are gone', () => {
   // Broken on purpose: takes a machine's silence as proof that it holds nothing.
   class Hasty extends Leader {
-    override tick(now: Steady, wall: WallTime): void {
+    override tick(now: MonotonicTime, wall: WallTime): void {
       for (const m of this.machines.values()) {
-        if (m.lastReportAt === null || now - m.lastReportAt < 5000) continue;
+        if (m.lastHeartbeatAt === null || now - m.lastHeartbeatAt < 5000) continue;
         for (const { job, placement } of [...m.placements.values()]) {
           job.release(placement.index);
           m.unassign(job.id, placement.index);
@@ -251,8 +251,8 @@
 
 test('the checker finds a leader that forgets a job', () => {
   class Forgetful extends Leader {
-    override learnJob(...a: Parameters<Leader['learnJob']>): void {
-      if (a[0] !== 'wk-2') super.learnJob(...a);
+    override applyJobRecord(...a: Parameters<Leader['applyJobRecord']>): void {
+      if (a[0] !== 'wk-2') super.applyJobRecord(...a);
     }
   }
   const day = new Day(12, (...a) => new Forgetful(...a));
@@ -265,8 +265,8 @@
 test('a copy of a start that was carried out and answered never runs the task again', () => {
   // The checker must see it: this variant forgets attempts at once, as an earlier version did.
   class Reaping extends Leader {
-    override tick(now: Steady, wall: WallTime): void {
-      for (const m of this.machines.values()) if (!m.orderOpen) m.startsOnTheWay.clear();
+    override tick(now: MonotonicTime, wall: WallTime): void {
+      for (const m of this.machines.values()) if (!m.directCommandInFlight) m.inFlightStarts.clear();
       super.tick(now, wall);
     }
   }
@@ -331,10 +331,12 @@
   const held = workers.map((w) => w.report());
   for (const w of workers) w.cut = true;
   day.clock.runUntil(74_000);
-  if (!lost) for (const report of held) day.leader!.onReport(report, day.clock.now as Steady);
+  if (!lost) for (const report of held) day.leader!.onHeartbeat(report, day.clock.now as MonotonicTime);
   for (const w of workers) w.cut = false;
   day.clock.runUntil(80_000);
-  assert.ok(busy.every((w) => w.session === 2 && day.leader!.machines.get(w.info.id)?.leaving === null));
+  assert.ok(
+    busy.every((w) => w.session === 2 && day.leader!.machines.get(w.info.id)?.decommissioning === null),
+  );
   // Nor is one fenced as the last that are silent, while the others are heard again.
   assert.deepEqual(
     day.trace.filter((l) => l.includes('fenced')),
--- a/src/test/decision-log.test.ts
+++ b/src/test/decision-log.test.ts
@@ -35,7 +35,9 @@
   const day = new LeaderHarness(2, RUN_MS);
   const job = day.submit('wk-1', { kind: 'gang', tasks: 2, gpus: 8 });
   const effects = day.tick();
-  const started = effects.flatMap((e) => (e.kind === 'orders' ? e.commands : [])).map((c) => c.attempt);
+  const started = effects
+    .flatMap((e) => (e.kind === 'send-direct-commands' ? e.commands : []))
+    .map((c) => c.attempt);
   const placed = day.logged.filter(({ text, fields }) => text === 'placed' && fields['job'] === job);
   assert.equal(new Set(started).size, 1);
   assert.deepEqual(
--- a/src/test/dependencies.test.ts
+++ b/src/test/dependencies.test.ts
@@ -5,21 +5,21 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { jobSpec } from './sim/fixtures.js';
 import { Job } from '../core/job.js';
-import { Dependencies } from '../core/leader/dependencies.js';
+import { JobDependencies } from '../core/leader/job-dependencies.js';
 import type { LeaderSettings } from '../core/leader/effects.js';
-import { Lateness } from '../core/leader/lateness.js';
-import { LeaderState } from '../core/leader/state.js';
+import { DeadlinePrediction } from '../core/leader/deadline-prediction.js';
+import { LeaderState } from '../core/leader/leader-state.js';
 import { markGuaranteed } from '../core/scheduler/guarantees.js';
 import { priorityRank, type FinalState, type JobSpec, type Priority } from '../core/types.js';
-import type { JobId, Steady, Team, Term, WallTime } from '../core/units.js';
+import type { JobId, MonotonicTime, Team, Term, WallTime } from '../core/units.js';
 
-const now = 0 as Steady;
+const now = 0 as MonotonicTime;
 const idOf = (n: number): JobId => `wk-${n}` as JobId;
 
 const setup = () => {
-  const state = new LeaderState({ term: 1 as Term, keyStamp: 1 }, {} as LeaderSettings, now);
+  const state = new LeaderState({ term: 1 as Term, keyRevision: 1 }, {} as LeaderSettings, now);
   const ready: JobId[] = [];
-  const dependencies = new Dependencies(state, (job) => ready.push(job.id));
+  const dependencies = new JobDependencies(state, (job) => ready.push(job.id));
   const learn = (id: JobId, over: Partial<JobSpec> = {}): Job => {
     const record = { spec: jobSpec(id, over), submittedAt: 0 as WallTime, cancelledAt: null };
     const job = new Job(id, record, 1, false, now);
@@ -40,7 +40,7 @@
   learn(idOf(2));
   const last = learn(idOf(3), { dependsOn: [idOf(1), idOf(2)] });
   assert.deepEqual(ready, [idOf(1), idOf(2)]);
-  assert.deepEqual(last.reason, { why: 'waiting for other jobs', jobs: 2 });
+  assert.deepEqual(last.waitReason, { why: 'waiting for other jobs', jobs: 2 });
   finish(idOf(2), 'done');
   assert.equal(last.ready, false);
   finish(idOf(1), 'done');
@@ -51,14 +51,14 @@
   const { state, ready, dependencies, learn } = setup();
   const after = learn(idOf(3), { dependsOn: [idOf(1)] });
   const other = learn(idOf(4), { dependsOn: [idOf(2)] });
-  assert.deepEqual(dependencies.takeLookups(now), [idOf(1), idOf(2)]);
-  assert.deepEqual(dependencies.takeLookups(now), [], 'asked for once');
-  dependencies.onLookup(idOf(1), null, now);
-  dependencies.onLookup(idOf(2), 'cancelled', now);
+  assert.deepEqual(dependencies.takeDueLookups(now), [idOf(1), idOf(2)]);
+  assert.deepEqual(dependencies.takeDueLookups(now), [], 'asked for once');
+  dependencies.onFinalRecordRead(idOf(1), null, now);
+  dependencies.onFinalRecordRead(idOf(2), 'cancelled', now);
   assert.ok(!after.ready && !after.cancelled && other.cancelled);
-  assert.deepEqual(dependencies.takeLookups(499 as Steady), []);
-  assert.deepEqual(dependencies.takeLookups(500 as Steady), [idOf(1)]);
-  dependencies.onLookup(idOf(1), 'done', 500 as Steady);
+  assert.deepEqual(dependencies.takeDueLookups(499 as MonotonicTime), []);
+  assert.deepEqual(dependencies.takeDueLookups(500 as MonotonicTime), [idOf(1)]);
+  dependencies.onFinalRecordRead(idOf(1), 'done', 500 as MonotonicTime);
   assert.deepEqual(ready, [idOf(3)]);
   assert.ok(state.jobs.get(idOf(3))!.ready);
 });
@@ -66,28 +66,28 @@
 test('many final records are read a few at a time', () => {
   const { dependencies, learn } = setup();
   learn(idOf(0), { dependsOn: Array.from({ length: 100 }, (_, n) => idOf(n + 1)) });
-  const asked = dependencies.takeLookups(now);
+  const asked = dependencies.takeDueLookups(now);
   assert.ok(asked.length > 1 && asked.length < 50);
-  dependencies.onLookup(asked[0], 'done', now);
-  assert.equal(dependencies.takeLookups(now).length, 1);
+  dependencies.onFinalRecordRead(asked[0], 'done', now);
+  assert.equal(dependencies.takeDueLookups(now).length, 1);
 });
 
 test('priority and due time are inherited from the jobs after; own ones are never lowered', () => {
   const { dependencies, learn } = setup();
   const first = learn(idOf(1), { priority: 'low', estimateS: 10 });
   const second = learn(idOf(2), { dependsOn: [idOf(1)], priority: 'low', estimateS: 20 });
-  dependencies.propagate();
+  dependencies.propagateUrgency();
   assert.equal(first.priority, 'low');
   assert.equal(first.dueAt, null);
   const alert = { dependsOn: [idOf(2)], priority: 'high', estimateS: 5, deadlineS: 100 } as const;
   learn(idOf(3), { ...alert, dependsOn: [idOf(2)] });
   const urgent = learn(idOf(4), { dependsOn: [idOf(2)], priority: 'low' });
-  dependencies.propagate();
+  dependencies.propagateUrgency();
   assert.deepEqual([first.priority, second.priority, urgent.priority], ['high', 'high', 'low']);
   assert.deepEqual([first.dueAt, second.dueAt], [75_000, 95_000]);
   const production = learn(idOf(5), { priority: 'production', deadlineS: 30 });
   learn(idOf(6), { dependsOn: [idOf(5)], priority: 'low', deadlineS: 1000 });
-  dependencies.propagate();
+  dependencies.propagateUrgency();
   assert.equal(production.priority, 'production');
   assert.equal(production.dueAt, 30_000);
 });
@@ -96,13 +96,13 @@
   const { state, dependencies, learn } = setup();
   const first = learn(idOf(1), { priority: 'low' });
   const alert = learn(idOf(2), { dependsOn: [idOf(1)], priority: 'high' });
-  dependencies.propagate();
+  dependencies.propagateUrgency();
   assert.equal(first.priority, 'high');
   alert.record = { ...alert.record, cancelledAt: 1 as WallTime };
   dependencies.cancelDependents(alert.id);
-  dependencies.propagate();
+  dependencies.propagateUrgency();
   assert.equal(first.priority, 'low');
-  assert.equal(state.jobs.get(idOf(1))!.inherited?.priority, 'low');
+  assert.equal(state.jobs.get(idOf(1))!.inheritedUrgency?.priority, 'low');
 });
 
 test('a chain of 20,000 jobs needs no recursion', () => {
@@ -110,7 +110,7 @@
   const first = learn(idOf(0), { priority: 'low' });
   for (let n = 1; n < 20_000; n++) learn(idOf(n), { dependsOn: [idOf(n - 1)], priority: 'low' });
   learn(idOf(20_000), { dependsOn: [idOf(19_999)], priority: 'high' });
-  dependencies.propagate();
+  dependencies.propagateUrgency();
   assert.equal(first.priority, 'high');
   dependencies.cancelDependents(first.id);
   assert.ok(state.jobs.get(idOf(20_000))!.cancelled);
@@ -128,10 +128,10 @@
 
 test('a pipeline that can not be in time is seen when it turns, and when it is in time again', () => {
   const { state, learn, finish } = setup();
-  const lateness = new Lateness(state);
+  const lateness = new DeadlinePrediction(state);
   const messages = (): string[] => state.takeEffects().flatMap((e) => (e.kind === 'log' ? [e.text] : []));
   const look = (atS: number): string[] => {
-    lateness.watch((atS * 1000) as Steady, (atS * 1000) as WallTime);
+    lateness.update((atS * 1000) as MonotonicTime, (atS * 1000) as WallTime);
     return messages();
   };
   learn(idOf(1), { estimateS: 30 });
@@ -195,7 +195,7 @@
         } else if (jobs[n].state === 'cancelled') finish(job.id, 'cancelled');
       }
       settle(jobs);
-      dependencies.propagate();
+      dependencies.propagateUrgency();
       for (const [n, model] of jobs.entries()) {
         const job = state.jobs.get(idOf(n));
         if (!job) continue;
--- a/src/test/four-zones.test.ts
+++ b/src/test/four-zones.test.ts
@@ -4,11 +4,11 @@
 import { types } from './sim/fixtures.js';
 import { playDay, playMeeting, type Meeting } from './sim/meeting.js';
 import type { Setup } from './sim/service.js';
-import type { TeamLimits } from '../core/types.js';
+import type { TeamQuota } from '../core/types.js';
 import type { JobId, Team, Zone } from '../core/units.js';
 
 const zones = ['north', 'east', 'south', 'west'];
-const teams: TeamLimits[] = [
+const teams: TeamQuota[] = [
   { name: 'green' as Team, cpus: 0, cpusMax: 0, gpus: 16, gpusMax: 60 },
   { name: 'blue' as Team, cpus: 0, cpusMax: 0, gpus: 8, gpusMax: 24 },
 ];
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -10,11 +10,11 @@
 import { markGuaranteed } from '../core/scheduler/guarantees.js';
 import { Preemption } from '../core/scheduler/preemption.js';
 import type { Job } from '../core/job.js';
-import type { Machine } from '../core/cluster.js';
-import { priorityRank, type JobSpec, type TeamLimits } from '../core/types.js';
+import type { Machine } from '../core/machine.js';
+import { priorityRank, type JobSpec, type TeamQuota } from '../core/types.js';
 import type { JobId, Team, WallTime } from '../core/units.js';
 
-const team = (name: string, over: Partial<TeamLimits> = {}): TeamLimits => ({
+const team = (name: string, over: Partial<TeamQuota> = {}): TeamQuota => ({
   name: name as Team,
   cpus: 0,
   cpusMax: 0,
@@ -27,7 +27,7 @@
 const none = 'none' as Team;
 const teams = [team('red', { gpus: 2 }), team('gold', { gpus: 2 }), team('none')];
 
-const within = (jobs: Job[], limits: TeamLimits[]): string[] => {
+const within = (jobs: Job[], limits: TeamQuota[]): string[] => {
   markGuaranteed(jobs, new Map(limits.map((t) => [t.name, t])));
   return jobs.filter((j) => j.withinGuarantee).map((j) => j.id);
 };
@@ -170,7 +170,7 @@
 };
 
 /** Carries out what a cycle decides as if victims left at once; whether anything changed. */
-const settleOnce = (machines: Machine[], jobs: Job[], limits: TeamLimits[]): boolean => {
+const settleOnce = (machines: Machine[], jobs: Job[], limits: TeamQuota[]): boolean => {
   const inOrder = [...jobs].sort(
     (a, b) =>
       Number(b.withinGuarantee) - Number(a.withinGuarantee) ||
--- a/src/test/report-handler.test.ts
+++ b/src/test/heartbeat-handler.test.ts
@@ -1,23 +1,23 @@
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
-import { ReportHandler } from '../runtime/report-handler.js';
-import type { Membership } from '../runtime/membership.js';
-import type { PeerLink } from '../runtime/peer-link.js';
+import { HeartbeatHandler } from '../runtime/workers/heartbeat-handler.js';
+import type { LeaderElection } from '../runtime/leadership/leader-election.js';
+import type { PeerLink } from '../runtime/peers/peer-link.js';
 import type { PeerRequest } from '../wire/peer-messages.js';
 import { Logger } from '../runtime/logger.js';
-import type { Platform } from '../config/platform.js';
-import { emptyElection, learnLeader } from '../core/election.js';
-import { renewalWindowMs } from '../core/cancellations.js';
-import { Leader } from '../core/leader.js';
-import type { MachineId, NodeName, Steady, Term } from '../core/units.js';
+import type { PlatformSettings } from '../config/platform.js';
+import { initialElectionState, learnLeader } from '../core/election.js';
+import { renewalWindowMs } from '../core/cancellation-log.js';
+import { Leader } from '../core/leader/leader.js';
+import type { MachineId, NodeName, MonotonicTime, Term } from '../core/units.js';
 import { decode, encode } from '../wire/cbor.js';
-import { parseReport } from '../wire/workers.js';
+import { parseHeartbeat } from '../wire/workers.js';
 
-const workers = { reportS: 2, leaseS: 10, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
+const workers = { heartbeatIntervalS: 2, leaseS: 10, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
 
 /** A follower in zone east whose leader, in zone west, it may or may not reach. */
 const follower = () => {
-  const election = emptyElection();
+  const election = initialElectionState();
   learnLeader(election, 'stable-1' as NodeName, 3 as Term);
   const world = { now: 1000, linked: true, relayed: 0, stateOk: true, hearing: true, refuses: false };
   const cancelled = { jobs: new Set<string>(), provenUntil: Infinity };
@@ -34,10 +34,14 @@
       return Promise.resolve({ status: 200, body: encode({ reins: 3, calls: [] }) });
     },
   } as unknown as PeerLink;
-  const membership = { election, holdsLease: false, authority: false } as unknown as Membership;
-  const platform = { zone: 'east', workers, limits: { cpu: 0.25 } } as unknown as Platform;
+  const membership = {
+    electionState: election,
+    holdsLease: false,
+    hasAuthority: false,
+  } as unknown as LeaderElection;
+  const platform = { zone: 'east', workers, limits: { cpu: 0.25 } } as unknown as PlatformSettings;
   const log = new Logger('test', 'error');
-  const reportHandler = new ReportHandler(
+  const reportHandler = new HeartbeatHandler(
     platform,
     membership,
     [link],
@@ -49,7 +53,7 @@
       mayRenewLeases: (now) =>
         now <= cancelled.provenUntil + renewalWindowMs(workers.cancelS, workers.leaseS),
     },
-    () => world.now as Steady,
+    () => world.now as MonotonicTime,
   );
   const report = async (zone: string, reins = 3, hands: unknown[] = []): Promise<string> => {
     const body = {
@@ -120,7 +124,7 @@
   const { world, reportHandler, report } = follower();
   reportHandler.noteLeaderSeen();
   world.linked = false;
-  const windowMs = (workers.cancelS - workers.leaseS - 2 * workers.reportS - 4) * 1000;
+  const windowMs = (workers.cancelS - workers.leaseS - 2 * workers.heartbeatIntervalS - 4) * 1000;
   world.now += windowMs - 1;
   assert.equal(await report('east'), '200 {"reins":3,"calls":[]}');
   assert.equal(
@@ -172,13 +176,17 @@
     headroom: 0,
     listLagS: 4,
     agingS: 90,
-    fitsRosterPage: () => true,
+    fitsRegistryPage: () => true,
     segmentBytes: 2048,
-    progressRps: 20,
-    cycleWork: 100_000,
+    progressWritesPerS: 20,
+    cycleWorkLimit: 100_000,
     random: () => 0.5,
   };
-  const world = { leader: new Leader({ term, keyStamp: 1 }, settings, 0 as Steady), linked: true, now: 0 };
+  const world = {
+    leader: new Leader({ term, keyRevision: 1 }, settings, 0 as MonotonicTime),
+    linked: true,
+    now: 0,
+  };
   const asked: string[] = [];
   const link = {
     name: 'stable-1',
@@ -190,28 +198,30 @@
       asked.push(q.kind);
       if (!world.linked) return Promise.resolve(null);
       if (q.kind === 'vouch') {
-        const full = q.machines.filter((v) => !world.leader.onUnchangedReport(v, world.now as Steady));
+        const full = q.machines.filter(
+          (v) => !world.leader.onUnchangedHeartbeat(v, world.now as MonotonicTime),
+        );
         return Promise.resolve({ full: full.map((v) => v.machine) });
       }
       assert.ok(q.kind === 'relay');
-      const parsed = parseReport(decode(Buffer.from(q.report)));
+      const parsed = parseHeartbeat(decode(Buffer.from(q.report)));
       assert.ok(parsed.ok);
-      const calls = world.leader.onReport(parsed.value, world.now as Steady);
+      const calls = world.leader.onHeartbeat(parsed.value, world.now as MonotonicTime);
       const body = encode({ reins: term, calls });
-      return Promise.resolve({ status: 200, body, quiet: world.leader.isQuiet(parsed.value.id) });
+      return Promise.resolve({ status: 200, body, quiet: world.leader.isInSync(parsed.value.id) });
     },
   } as unknown as PeerLink;
-  const election = emptyElection();
+  const election = initialElectionState();
   learnLeader(election, 'stable-1' as NodeName, term);
-  const reportHandler = new ReportHandler(
-    { zone: 'east', workers, limits: { cpu: 0.25 } } as unknown as Platform,
-    { election, holdsLease: false, authority: false } as unknown as Membership,
+  const reportHandler = new HeartbeatHandler(
+    { zone: 'east', workers, limits: { cpu: 0.25 } } as unknown as PlatformSettings,
+    { electionState: election, holdsLease: false, hasAuthority: false } as unknown as LeaderElection,
     [link],
     () => null,
     new Logger('test', 'error'),
     () => true,
     { has: () => false, mayRenewLeases: () => true },
-    () => world.now as Steady,
+    () => world.now as MonotonicTime,
   );
   const report = async (tally: number, over: Record<string, unknown> = {}): Promise<string> => {
     world.now += 2000;
@@ -234,7 +244,7 @@
     await new Promise((r) => setImmediate(r));
     return asked.join(' ');
   };
-  const seen = (): unknown => world.leader.machines.get('host-1' as MachineId)?.seq;
+  const seen = (): unknown => world.leader.machines.get('host-1' as MachineId)?.sequence;
   return { world, report, seen };
 };
 
@@ -266,12 +276,12 @@
   assert.equal(await report(3), 'relay', 'the batch got no answer');
   assert.equal(await report(4), 'vouch');
   // Something is awaited from the machine: a vouch must not settle it.
-  world.leader.machines.get('host-1' as MachineId)!.changed();
+  world.leader.machines.get('host-1' as MachineId)!.invalidate();
   assert.equal(await report(5), 'vouch');
   assert.equal(seen(), 4, 'not taken in');
   assert.equal(await report(6), 'relay');
   // The leader has read a newer report, as from an order's answer: the base is not the same any more.
-  world.leader.machines.get('host-1' as MachineId)!.readSeq = 7;
+  world.leader.machines.get('host-1' as MachineId)!.processedSequence = 7;
   assert.equal(await report(8), 'vouch');
   assert.equal(seen(), 6);
   assert.equal(await report(9), 'relay');
--- a/src/test/http.test.ts
+++ b/src/test/http.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { createServer, connect, type AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import { HttpClient } from '../runtime/http-client.js';
-import { HttpError, HttpParser } from '../runtime/http-parser.js';
-import { httpConnections } from '../runtime/http-server.js';
+import { HttpClient } from '../runtime/http/http-client.js';
+import { HttpError, HttpParser } from '../runtime/http/http-parser.js';
+import { httpConnections } from '../runtime/http/http-server.js';
 import { Logger } from '../runtime/logger.js';
 
 const limits = { headerBytes: 1024, headerCount: 10, bodyBytes: 100 };
--- a/src/test/large-cluster.test.ts
+++ b/src/test/large-cluster.test.ts
@@ -5,11 +5,11 @@
 import { Day } from './sim/day.js';
 import { jobSpec, types } from './sim/fixtures.js';
 import type { LeaderSettings } from '../core/leader/effects.js';
-import { Fleet } from '../core/leader/fleet.js';
-import { Renting } from '../core/leader/renting.js';
-import { LeaderState } from '../core/leader/state.js';
-import { capacityKey } from '../core/scaling.js';
-import type { Steady, Term } from '../core/units.js';
+import { MachinePool } from '../core/leader/machine-pool.js';
+import { Autoscaler } from '../core/leader/autoscaler.js';
+import { LeaderState } from '../core/leader/leader-state.js';
+import { capacityKey } from '../core/scaling/scale-out-plan.js';
+import type { MonotonicTime, Term } from '../core/units.js';
 
 const MACHINES = 4000;
 const whole = { cpus: 16, gpus: 2, memoryGb: 60, imageGb: 1, checkpointS: 0, saveS: 0 } as const;
@@ -69,20 +69,20 @@
     headroom: 0,
     idleHoldS: 15,
     random: () => 0.5,
-    workers: { reportS: 2 },
+    workers: { heartbeatIntervalS: 2 },
   };
   const state = new LeaderState(
-    { term: 1 as Term, keyStamp: 1 },
+    { term: 1 as Term, keyRevision: 1 },
     settings as unknown as LeaderSettings,
-    0 as Steady,
+    0 as MonotonicTime,
   );
   state.types = types;
-  state.listed = true;
-  const renting = new Renting(state, new Fleet(state));
+  state.machinesListed = true;
+  const renting = new Autoscaler(state, new MachinePool(state));
   const many = Array.from({ length: 8 }, (_, i) => job(`wk-${i}`, { ...whole, tasks: 200 }));
   const requests = (atS: number) => {
-    renting.scale(many, (atS * 1000) as Steady);
-    return state.takeEffects().flatMap((e) => (e.kind === 'rent' ? [e] : []));
+    renting.scale(many, (atS * 1000) as MonotonicTime);
+    return state.takeEffects().flatMap((e) => (e.kind === 'create-machines' ? [e] : []));
   };
   const first = requests(1);
   assert.equal(
@@ -92,7 +92,7 @@
   );
   assert.ok(first.length > 1 && first.every((e) => e.order.count <= 50));
   assert.equal(new Set(first.map((e) => e.request)).size, first.length);
-  for (const e of first) renting.onRented(e.request, 'no-capacity', 1000 as Steady);
+  for (const e of first) renting.onScaleOutResult(e.request, 'no-capacity', 1000 as MonotonicTime);
   const kind = (e: (typeof first)[number]): string => `${e.order.type} ${e.order.zone}`;
   assert.ok(!requests(10).some((e) => kind(e) === kind(first[0])), 'not before the rest is over');
   assert.ok(
--- a/src/test/late-command-meetings.test.ts
+++ b/src/test/late-command-meetings.test.ts
@@ -3,8 +3,8 @@
 import { test, type TestContext } from 'node:test';
 import { playDay, playMeeting } from './sim/meeting.js';
 import { commandsAreHeldUp, usersLookClosely } from './sim/scripts.js';
-import { Reports } from '../core/leader/reports.js';
-import { JobLookup } from '../runtime/job-lookup.js';
+import { HeartbeatReconciler } from '../core/leader/heartbeat-reconciler.js';
+import { JobLookup } from '../runtime/users/job-lookup.js';
 
 const times = { quietMs: 140_000, endMs: 330_000 };
 
@@ -15,17 +15,23 @@
   playMeeting(times, usersLookClosely));
 
 test('with a leader that gives up on a start whose command got no answer', async (t: TestContext) => {
-  const onOrdersAnswer = Reflect.get<Reports, 'onOrdersAnswer'>(Reports.prototype, 'onOrdersAnswer');
+  const onDirectCommandResult = Reflect.get<HeartbeatReconciler, 'onDirectCommandResult'>(
+    HeartbeatReconciler.prototype,
+    'onDirectCommandResult',
+  );
   t.mock.method(
-    Reports.prototype,
-    'onOrdersAnswer',
-    function (this: Reports, ...[id, commands, result, now]: Parameters<Reports['onOrdersAnswer']>) {
-      onOrdersAnswer.call(this, id, commands, result, now);
+    HeartbeatReconciler.prototype,
+    'onDirectCommandResult',
+    function (
+      this: HeartbeatReconciler,
+      ...[id, commands, result, now]: Parameters<HeartbeatReconciler['onDirectCommandResult']>
+    ) {
+      onDirectCommandResult.call(this, id, commands, result, now);
       if (result.kind !== 'unknown') return;
       for (const { op, job: jobId, index } of commands) {
         const job = this['state'].jobs.get(jobId);
         const placement = job?.placements.get(index);
-        if (job && placement && op === 'start') this['state'].release(job, placement, 'exited', now);
+        if (job && placement && op === 'start') this['state'].releasePlacement(job, placement, 'exited', now);
       }
     },
   );
--- a/src/test/meeting-variants.test.ts
+++ b/src/test/meeting-variants.test.ts
@@ -9,9 +9,9 @@
   zoneBoundJobsLoseMachines,
   zoneIsCutOff,
 } from './sim/scripts.js';
-import { Leader } from '../core/leader.js';
-import { Fleet } from '../core/leader/fleet.js';
-import { LeaderState } from '../core/leader/state.js';
+import { Leader } from '../core/leader/leader.js';
+import { MachinePool } from '../core/leader/machine-pool.js';
+import { LeaderState } from '../core/leader/leader-state.js';
 import { Snapshot } from '../core/scheduler/snapshot.js';
 
 /** What breaks on days with several seeds: the one that needs the safeguard may be any of them. */
@@ -28,7 +28,7 @@
 });
 
 test('with leaders that do not wait for what earlier ones started', async (t: TestContext) => {
-  t.mock.method(LeaderState.prototype, 'mayBeOnSilent', () => false);
+  t.mock.method(LeaderState.prototype, 'mayRunOnUnreconciledMachine', () => false);
   t.mock.method(Leader.prototype, 'readyToPlace' as 'takeEffects', () => true as never);
   assert.match(await found(leadersChangeTenTimes(0)), /ran_twice|wrong_place/);
 });
@@ -39,11 +39,15 @@
 });
 
 test('with silent machines of a cut zone given up at once, before the cloud has answered', async (t: TestContext) => {
-  const fence = Reflect.get<Fleet, 'fence'>(Fleet.prototype, 'fence');
-  t.mock.method(Fleet.prototype, 'fence', function (this: Fleet, ...args: Parameters<Fleet['fence']>) {
-    const [machine, , now] = args;
-    fence.apply(this, args);
-    this.onReturned([machine.id], true, now);
-  });
+  const fence = Reflect.get<MachinePool, 'fence'>(MachinePool.prototype, 'fence');
+  t.mock.method(
+    MachinePool.prototype,
+    'fence',
+    function (this: MachinePool, ...args: Parameters<MachinePool['fence']>) {
+      const [machine, , now] = args;
+      fence.apply(this, args);
+      this.onDeletionResult([machine.id], true, now);
+    },
+  );
   assert.match(await found(zoneIsCutOff, [1, 2, 3, 4]), /ran_twice|ran_cancelled/);
 });
--- a/src/test/parted-zones.test.ts
+++ b/src/test/parted-zones.test.ts
@@ -6,7 +6,7 @@
 import { playDay, type Meeting } from './sim/meeting.js';
 import type { Trouble } from './sim/network.js';
 import type { Setup } from './sim/service.js';
-import { LeaderRoutes } from '../runtime/leader-route.js';
+import { LeaderRoutes } from '../runtime/peers/leader-route.js';
 import type { JobId, Zone } from '../core/units.js';
 
 const zones = ['north', 'east', 'south'];
--- a/src/test/peer-messages.test.ts
+++ b/src/test/peer-messages.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import { test, type TestContext } from 'node:test';
-import { answerPeer } from '../runtime/peer-link.js';
+import { answerPeer } from '../runtime/peers/peer-link.js';
 import { decode, encode } from '../wire/cbor.js';
 import { parsePeerRequest, parsePeerResponse } from '../wire/peer-messages.js';
 
--- a/src/test/pipeline-variants.test.ts
+++ b/src/test/pipeline-variants.test.ts
@@ -4,10 +4,10 @@
 import { LONG_OUTAGE, MEETING, playDay, type Meeting } from './sim/meeting.js';
 import { START, cancelledBeforeAnOutage, submitPipelines } from './sim/pipelines.js';
 import { Job } from '../core/job.js';
-import { Dependencies } from '../core/leader/dependencies.js';
-import { JobLookup } from '../runtime/job-lookup.js';
-import { CancellationFeed } from '../runtime/cancellation-feed.js';
-import { UserApi } from '../runtime/user-api.js';
+import { JobDependencies } from '../core/leader/job-dependencies.js';
+import { JobLookup } from '../runtime/users/job-lookup.js';
+import { CancellationFeed } from '../runtime/cancellations/cancellation-feed.js';
+import { UserApi } from '../runtime/users/user-api.js';
 import type { JobId } from '../core/units.js';
 
 const broken = async (script: (m: Meeting) => void, seed = 1): Promise<string> =>
@@ -19,12 +19,15 @@
 });
 
 test('with a leader that takes what it does not know as unfinished for done', async (t: TestContext) => {
-  const onLookup = Reflect.get<Dependencies, 'onLookup'>(Dependencies.prototype, 'onLookup');
+  const onFinalRecordRead = Reflect.get<JobDependencies, 'onFinalRecordRead'>(
+    JobDependencies.prototype,
+    'onFinalRecordRead',
+  );
   t.mock.method(
-    Dependencies.prototype,
-    'onLookup',
-    function (this: Dependencies, ...[id, , now]: Parameters<Dependencies['onLookup']>) {
-      onLookup.call(this, id, 'done', now);
+    JobDependencies.prototype,
+    'onFinalRecordRead',
+    function (this: JobDependencies, ...[id, , now]: Parameters<JobDependencies['onFinalRecordRead']>) {
+      onFinalRecordRead.call(this, id, 'done', now);
     },
   );
   const script = (m: Meeting): void => {
@@ -44,7 +47,7 @@
 });
 
 test('with controllers that call a job cancelled before its own record says so', async (t: TestContext) => {
-  t.mock.method(Dependencies.prototype, 'cancelDependents', () => undefined);
+  t.mock.method(JobDependencies.prototype, 'cancelDependents', () => undefined);
   t.mock.method(
     UserApi.prototype as unknown as { recordCancelled: () => unknown },
     'recordCancelled',
@@ -53,7 +56,7 @@
     },
   );
   // As for a controller that has not heard of a cancellation yet: the others know no more than the records say.
-  t.mock.method(CancellationFeed.prototype, 'heard', () => undefined);
-  t.mock.method(CancellationFeed.prototype, 'pushed', () => undefined);
+  t.mock.method(CancellationFeed.prototype, 'onPeerPage', () => undefined);
+  t.mock.method(CancellationFeed.prototype, 'onPushed', () => undefined);
   assert.match(await broken(cancelledBeforeAnOutage(MEETING, LONG_OUTAGE)), /went_back|orphaned|not called/);
 });
--- a/src/test/production-size.test.ts
+++ b/src/test/production-size.test.ts
@@ -20,7 +20,7 @@
   capacity: MACHINES * 1.5,
   up: { type: 'small', perZone: MACHINES / 2 },
   sockets: 2000,
-  workers: { reportS: 3, leaseS: 17, cancelS: 42 },
+  workers: { heartbeatIntervalS: 3, leaseS: 17, cancelS: 42 },
   stateLimits: { rps: 400, writeRps: 100, valueKb: 16, txnOps: 16 },
 };
 
--- a/src/test/progress-store.test.ts
+++ b/src/test/progress-store.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ProgressStore } from '../runtime/progress-store.js';
+import { ProgressStore } from '../runtime/leadership/progress-store.js';
 import type { JobId, SegmentName } from '../core/units.js';
-import type { Change, Condition } from '../wire/state.js';
+import type { Change, Condition } from '../wire/key-value-store.js';
 
 const job = 'wk-1' as JobId;
 const first = '0' as SegmentName;
@@ -14,7 +14,7 @@
   let revision = 0;
   const world = { value: null as { data: unknown; stamp: number } | null, loseNext: false };
   const apply = (then: Change[], conditions: Condition[]): boolean => {
-    if (conditions.some((c) => c.stamp !== (world.value?.stamp ?? 0))) return false;
+    if (conditions.some((c) => c.revision !== (world.value?.stamp ?? 0))) return false;
     for (const c of then) if ('put' in c) world.value = { data: c.data, stamp: ++revision };
     return true;
   };
@@ -27,7 +27,7 @@
       }
       return Promise.resolve(
         apply(then, conditions)
-          ? { kind: 'ok', stamp: world.value!.stamp }
+          ? { kind: 'ok', revision: world.value!.stamp }
           : { kind: 'conflict', failed: ['p/wk-1/0'] },
       );
     },
--- a/src/test/queue.test.ts
+++ b/src/test/queue.test.ts
@@ -2,23 +2,26 @@
 import { test } from 'node:test';
 import { Job } from '../core/job.js';
 import type { LeaderSettings } from '../core/leader/effects.js';
-import { Queue } from '../core/leader/queue.js';
-import { LeaderState } from '../core/leader/state.js';
+import { SchedulingQueue } from '../core/leader/scheduling-queue.js';
+import { LeaderState } from '../core/leader/leader-state.js';
 import type { JobSpec } from '../core/types.js';
-import type { Stamp, Steady, Term, WallTime } from '../core/units.js';
+import type { Revision, MonotonicTime, Term, WallTime } from '../core/units.js';
 import { jobSpec } from './sim/fixtures.js';
 
 /** The order of the queue at a time when the first job has waited so many seconds. */
 const order = (now: number, jobs: [string, number, Partial<JobSpec>][]): string[] => {
   const settings = { agingS: 90, objectives: [], teams: [] } as unknown as LeaderSettings;
-  const leadership = { term: 1 as Term, keyStamp: 1 as Stamp };
-  const state = new LeaderState(leadership, settings, 0 as Steady);
+  const leadership = { term: 1 as Term, keyRevision: 1 as Revision };
+  const state = new LeaderState(leadership, settings, 0 as MonotonicTime);
   for (const [id, submittedS, over] of jobs) {
     const spec = jobSpec(id, over);
     const record = { spec, submittedAt: (submittedS * 1000) as WallTime, cancelledAt: null };
-    state.jobs.set(spec.id, new Job(spec.id, record, 1, false, 0 as Steady));
+    state.jobs.set(spec.id, new Job(spec.id, record, 1, false, 0 as MonotonicTime));
   }
-  const { queue } = new Queue(state).waiting((now * 1000) as Steady, (now * 1000) as WallTime);
+  const { queue } = new SchedulingQueue(state).buildQueue(
+    (now * 1000) as MonotonicTime,
+    (now * 1000) as WallTime,
+  );
   return queue.map((j) => j.id);
 };
 
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -2,18 +2,18 @@
 import { test } from 'node:test';
 import { cycle, job, machine, now, put, show } from './sim/cycle.js';
 import { jobSpec, types } from './sim/fixtures.js';
-import { authorityEnds, emptyElection, hasAuthority, learnLeader } from '../core/election.js';
-import type { Machine } from '../core/cluster.js';
+import { leaseExpiresAt, initialElectionState, hasAuthority, learnLeader } from '../core/election.js';
+import type { Machine } from '../core/machine.js';
 import type { Job } from '../core/job.js';
-import { planScaling } from '../core/scaling.js';
+import { planScaling } from '../core/scaling/scale-out-plan.js';
 import type { JobSpec } from '../core/types.js';
 import type {
   Attempt,
   JobId,
   NodeName,
   SegmentName,
-  Stamp,
-  Steady,
+  Revision,
+  MonotonicTime,
   Team,
   Term,
   TypeName,
@@ -57,7 +57,7 @@
 test('an urgent gang takes the place of array work on a machine with its image rather than fetch for long', () => {
   const cold = machine('a', 'large', 'east');
   const warm = machine('b', 'small', 'west');
-  warm.useImage('img-1', 30);
+  warm.recordImageUse('img-1', 30);
   const array = job('wk-9', { tasks: 2, priority: 'low', saveS: 2, checkpointS: 10 });
   put(warm, array, 0);
   put(warm, array, 1);
@@ -76,7 +76,7 @@
   );
   const slowToSave = job('wk-8', { tasks: 2, priority: 'low', saveS: 16, checkpointS: 10 });
   const held = machine('c', 'small', 'west');
-  held.useImage('img-1', 30);
+  held.recordImageUse('img-1', 30);
   put(held, slowToSave, 0);
   put(held, slowToSave, 1);
   assert.deepEqual(show(cycle([cold, held], [gang()])), onCold, 'saving takes as long as half of the fetch');
@@ -85,13 +85,13 @@
 test('while the victims of a warm gang leave, it neither takes a cold machine nor stops others', () => {
   const cold = machine('a', 'large', 'east');
   const warm = machine('b', 'small', 'west');
-  warm.useImage('img-1', 30);
+  warm.recordImageUse('img-1', 30);
   const array = job('wk-9', { tasks: 2, priority: 'low', saveS: 2, checkpointS: 10 });
   put(warm, array, 0).stop = { graceS: 2, since: now, why: 'preempted' };
   put(warm, array, 1).stop = { graceS: 2, since: now, why: 'preempted' };
   const gang = job('wk-1', { kind: 'gang', tasks: 2, priority: 'high', imageGb: 30 });
   assert.deepEqual(show(cycle([cold, warm], [gang])), []);
-  assert.equal(gang.reason.why, 'waiting for victims');
+  assert.equal(gang.waitReason.why, 'waiting for victims');
 });
 
 test('of like victims, the one whose job has time left stops; a job that is late anyway goes first', () => {
@@ -123,18 +123,18 @@
     ['wk-2/0 -> a'],
     'no second nomination; other room may be used',
   );
-  assert.equal(high.reason.why, 'waiting for victims');
+  assert.equal(high.waitReason.why, 'waiting for victims');
 });
 
 test('a second image is not fetched beside a running fetch when another machine is about to be up', () => {
   const a = machine('a', 'large', 'east');
   put(a, job('wk-8', { image: 'img-8', imageGb: 30 }), 0).running = false;
   const b = machine('b', 'large', 'east');
-  b.up = b.settled = false;
-  b.rentedAt = (now - 18_000) as Steady;
+  b.up = b.reconciled = false;
+  b.provisionedAt = (now - 18_000) as MonotonicTime;
   const waits = job('wk-1', { image: 'img-1', imageGb: 30 });
   assert.deepEqual(show(cycle([a, b], [waits])), []);
-  assert.equal(waits.reason.why, 'machines booting');
+  assert.equal(waits.waitReason.why, 'machines booting');
   assert.deepEqual(show(cycle([a], [waits])), ['wk-1/0 -> a']);
 });
 
@@ -171,7 +171,7 @@
   put(b, first, 1);
   const next = job('wk-2', { tasks: 3, gpus: 2, team });
   assert.deepEqual(show(cycle([a, b, c], [next])), ['wk-2/0 -> c', 'wk-2/1 -> c']);
-  assert.equal(next.reason.why, 'team limit');
+  assert.equal(next.waitReason.why, 'team limit');
 });
 
 test('jobs run only on types, zones and kinds that they allow', () => {
@@ -190,7 +190,7 @@
 test('a machine that holds a task of an unknown job takes nothing else', () => {
   const a = machine('a', 'small', 'east');
   const lost = { job: 'wk-7' as JobId, index: 0, attempt: 1 as Attempt, cause: null, saved: false };
-  a.tasks.set('wk-7/0#1' as never, { ...lost, state: 'running' });
+  a.taskStatuses.set('wk-7/0#1' as never, { ...lost, state: 'running' });
   assert.deepEqual(show(cycle([a], [job('wk-1')])), ['wk-1 waits for 1']);
 });
 
@@ -203,10 +203,10 @@
   });
   const plan = (wants: ReturnType<typeof want>[], refused: string[] = []) =>
     planScaling({
-      rooms: [],
-      wants,
+      capacities: [],
+      demands: wants,
       types,
-      refusedUntil: new Map(refused.map((r) => [r, (now + 1) as Steady])),
+      refusedUntil: new Map(refused.map((r) => [r, (now + 1) as MonotonicTime])),
       now,
       maxNew: 10,
     }).orders.map((o) => `${o.count} ${o.type} ${o.zone}${o.spot ? ' spot' : ''}`);
@@ -221,14 +221,14 @@
 });
 
 test('authority ends before the lease can, and a higher term ends it at once', () => {
-  const e = emptyElection();
-  const held = { lease: 1, term: 3 as Term, keyStamp: 9 as Stamp, renewedAt: 1000 as Steady };
+  const e = initialElectionState();
+  const held = { lease: 1, term: 3 as Term, keyRevision: 9 as Revision, renewedAt: 1000 as MonotonicTime };
   e.held = held;
-  assert.ok(authorityEnds(held, 3000) < 4000 * (1 - 0.0005));
-  assert.ok(hasAuthority(e, 3000, 3900 as Steady));
-  assert.ok(!hasAuthority(e, 3000, 3960 as Steady));
+  assert.ok(leaseExpiresAt(held, 3000) < 4000 * (1 - 0.0005));
+  assert.ok(hasAuthority(e, 3000, 3900 as MonotonicTime));
+  assert.ok(!hasAuthority(e, 3000, 3960 as MonotonicTime));
   learnLeader(e, 'other' as NodeName, 4 as Term);
-  assert.ok(!hasAuthority(e, 3000, 1001 as Steady));
+  assert.ok(!hasAuthority(e, 3000, 1001 as MonotonicTime));
 });
 
 test('an array of 100,000 tasks: completions in segments, requeued tasks first', () => {
@@ -244,7 +244,7 @@
   big.release(98_304);
   assert.deepEqual(big.pending(2), [98_304, 98_305]);
   big.markDone(99_999);
-  assert.deepEqual([...big.unsaved], [99_999]);
+  assert.deepEqual([...big.unpersistedCompletions], [99_999]);
   assert.ok(!big.isDurable(99_999));
 });
 
--- a/src/test/sim/checker.ts
+++ b/src/test/sim/checker.ts
@@ -1,5 +1,5 @@
 // The rules of the protocol, checked against what the stand-in workers and users really saw.
-import type { JobSpec, MachineInfo, TeamLimits } from '../../core/types.js';
+import type { JobSpec, MachineInfo, TeamQuota } from '../../core/types.js';
 import type { JobId } from '../../core/units.js';
 
 interface Place {
@@ -28,7 +28,7 @@
 
   constructor(
     private readonly specs: Map<JobId, JobSpec>,
-    private readonly teams: TeamLimits[],
+    private readonly teams: TeamQuota[],
     private readonly cancelS: number,
     private readonly now: () => number,
   ) {}
--- a/src/test/sim/cycle.ts
+++ b/src/test/sim/cycle.ts
@@ -1,24 +1,25 @@
 // Single scheduling cycles on machines and jobs made for a test.
 import { teams as dayTeams } from './fixtures.js';
 import { jobSpec, types } from './fixtures.js';
-import { Machine, add } from '../../core/cluster.js';
+import { Machine } from '../../core/machine.js';
+import { addResources } from '../../core/resources.js';
 import { Job, newPlacement, type Placement } from '../../core/job.js';
-import { runCycle, type CycleResult } from '../../core/scheduler.js';
+import { runCycle, type CycleResult } from '../../core/scheduler/scheduling-cycle.js';
 import { markGuaranteed } from '../../core/scheduler/guarantees.js';
-import type { Amounts, JobSpec, TeamLimits } from '../../core/types.js';
+import type { Resources, JobSpec, TeamQuota } from '../../core/types.js';
 import type {
   Attempt,
   Endpoint,
   JobId,
   MachineId,
-  Steady,
+  MonotonicTime,
   Team,
   TypeName,
   WallTime,
   Zone,
 } from '../../core/units.js';
 
-export const now = 100_000 as Steady;
+export const now = 100_000 as MonotonicTime;
 
 export const machine = (id: string, type: string, zone: string, spot = false): Machine => {
   const info = {
@@ -33,7 +34,7 @@
     types.find((t) => t.name === type),
     now,
   );
-  m.up = m.settled = true;
+  m.up = m.reconciled = true;
   return m;
 };
 
@@ -44,22 +45,22 @@
 
 export const put = (m: Machine, j: Job, index: number): Placement => {
   const p = newPlacement(index, m.id, (index + 1) as Attempt, now);
-  p.seen = p.running = true;
+  p.observed = p.running = true;
   p.runningSince = now;
   j.place(p);
   m.assign(j, p);
   return p;
 };
 
-export const cycle = (machines: Machine[], jobs: Job[], teams: TeamLimits[] = dayTeams): CycleResult => {
+export const cycle = (machines: Machine[], jobs: Job[], teams: TeamQuota[] = dayTeams): CycleResult => {
   const teamLimits = new Map(teams.map((t) => [t.name, t]));
   const byId = new Map(jobs.map((j) => [j.id, j]));
   for (const m of machines) for (const { job: j } of m.placements.values()) byId.set(j.id, j);
   markGuaranteed(byId.values(), teamLimits);
-  const usage = new Map<Team, Amounts>();
+  const usage = new Map<Team, Resources>();
   for (const j of byId.values()) {
     const used = usage.get(j.spec.team) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
-    add(used, j.spec, j.placements.size);
+    addResources(used, j.spec, j.placements.size);
     usage.set(j.spec.team, used);
   }
   return runCycle({
--- a/src/test/sim/day.ts
+++ b/src/test/sim/day.ts
@@ -5,21 +5,21 @@
 import { VirtualClock } from './clock.js';
 import { teams, types } from './fixtures.js';
 import { Worker, type WorldView } from './worker.js';
-import { Leader, type Effect } from '../../core/leader.js';
+import { Leader, type Effect } from '../../core/leader/leader.js';
 import type { FinalState, JobRecord, JobSpec, MachineInfo } from '../../core/types.js';
 import type {
   Endpoint,
   JobId,
   MachineId,
   SegmentName,
-  Steady,
+  MonotonicTime,
   Term,
   TypeName,
   WallTime,
   Zone,
 } from '../../core/units.js';
 
-const times = { reportS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
+const times = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
 const NETWORK_MS = 5;
 
 interface Rented {
@@ -122,7 +122,7 @@
   private watchEvent(id: JobId, record: JobRecord, stamp: number): void {
     this.clock.after(NETWORK_MS, () => {
       if (this.stateDown) this.clock.after(500, () => this.watchEvent(id, record, stamp));
-      else this.leader?.learnJob(id, record, stamp, false, this.steady(), this.wall());
+      else this.leader?.applyJobRecord(id, record, stamp, false, this.steady(), this.wall());
     });
   }
 
@@ -133,7 +133,7 @@
     this.term++;
     this.leaderStamp = ++this.revision;
     const leader = this.make(
-      { term: this.term as Term, keyStamp: this.leaderStamp },
+      { term: this.term as Term, keyRevision: this.leaderStamp },
       {
         workers: times,
         teams,
@@ -143,20 +143,20 @@
         headroom: 1,
         listLagS: 4,
         agingS: 90,
-        fitsRosterPage: (machines) => machines.length <= 16,
+        fitsRegistryPage: (machines) => machines.length <= 16,
         segmentBytes: 2048,
-        progressRps: 20,
-        cycleWork: 200_000,
+        progressWritesPerS: 20,
+        cycleWorkLimit: 200_000,
         random: () => this.random(),
       },
       this.steady(),
     );
-    leader.setTypes(types);
+    leader.setMachineTypes(types);
     for (const [page, machines] of this.roster) {
       for (const m of machines) leader.loadMachine(m, page, this.steady());
     }
     for (const [id, { record, stamp }] of this.records) {
-      leader.learnJob(id, record, stamp, true, this.steady(), this.wall());
+      leader.applyJobRecord(id, record, stamp, true, this.steady(), this.wall());
     }
     for (const p of this.progress.values()) leader.loadProgress(p.job, p.segment, p.bytes);
     this.leader = leader;
@@ -184,55 +184,59 @@
   }
 
   private carryOut(leader: Leader, e: Effect): void {
-    const now = (): Steady => this.steady();
+    const now = (): MonotonicTime => this.steady();
     const ok = !this.stateDown;
     switch (e.kind) {
       case 'log':
         if (e.level === 'info' && e.text !== 'fleet') this.note(`  ${e.text} ${JSON.stringify(e.fields)}`);
         return;
-      case 'roster':
+      case 'write-registry-page':
         if (e.machines.length === 0) this.roster.delete(e.page);
         else this.roster.set(e.page, e.machines);
-        this.later(leader, NETWORK_MS, () => leader.onRoster(e.page, ok));
+        this.later(leader, NETWORK_MS, () => leader.onRegistryPageWritten(e.page, ok));
         return;
-      case 'progress':
+      case 'write-progress':
         this.progress.set(`${e.job}/${e.segment}`, { job: e.job, segment: e.segment, bytes: e.bytes });
-        this.later(leader, NETWORK_MS, () => leader.onProgress(e.job, e.segment, e.bytes, ok));
+        this.later(leader, NETWORK_MS, () => leader.onProgressWritten(e.job, e.segment, e.bytes, ok));
         return;
-      case 'finish':
+      case 'write-final-record':
         this.finish(leader, e);
         return;
-      case 'lookup': {
+      case 'read-final-record': {
         const final = ok ? (this.finals.get(e.job) ?? null) : null;
-        this.later(leader, NETWORK_MS, () => leader.onLookup(e.job, final, now()));
+        this.later(leader, NETWORK_MS, () => leader.onFinalRecordRead(e.job, final, now()));
         return;
       }
-      case 'rent':
+      case 'create-machines':
         this.later(leader, 100, () => {
-          if (this.cloudDown) leader.onRented(e.request, 'retry', now());
+          if (this.cloudDown) leader.onScaleOutResult(e.request, 'retry', now());
           else {
             const machines = this.rent(e.request, e.order);
-            leader.onRented(e.request, machines.length === 0 ? 'no-capacity' : { machines }, now());
+            leader.onScaleOutResult(e.request, machines.length === 0 ? 'no-capacity' : { machines }, now());
           }
         });
         return;
-      case 'return': {
+      case 'delete-machines': {
         const down = this.cloudDown;
         if (!down) for (const id of e.machines) this.takeAway(id);
-        this.later(leader, 100, () => leader.onReturned(e.machines, !down, now()));
+        this.later(leader, 100, () => leader.onDeletionResult(e.machines, !down, now()));
         return;
       }
-      case 'orders':
+      case 'send-direct-commands':
         this.order(leader, e);
         return;
     }
   }
 
-  private finish(leader: Leader, e: Extract<Effect, { kind: 'finish' }>): void {
+  private finish(leader: Leader, e: Extract<Effect, { kind: 'write-final-record' }>): void {
     const known = this.records.get(e.job);
-    if (known && known.stamp !== e.stamp) {
+    if (known && known.stamp !== e.revision) {
       this.later(leader, NETWORK_MS, () =>
-        leader.onFinished(e.job, { kind: 'changed', ...known }, this.steady()),
+        leader.onFinalRecordWritten(
+          e.job,
+          { kind: 'changed', record: known.record, revision: known.stamp },
+          this.steady(),
+        ),
       );
       return;
     }
@@ -241,23 +245,23 @@
     this.checker.told(e.job, e.state);
     this.note(`${e.job} is ${e.state}`);
     this.later(leader, NETWORK_MS, () =>
-      leader.onFinished(e.job, { kind: 'ok', state: e.state }, this.steady()),
+      leader.onFinalRecordWritten(e.job, { kind: 'ok', state: e.state }, this.steady()),
     );
   }
 
-  private order(leader: Leader, e: Extract<Effect, { kind: 'orders' }>): void {
+  private order(leader: Leader, e: Extract<Effect, { kind: 'send-direct-commands' }>): void {
     const worker = this.workers.get(e.machine)?.worker;
     const term = leader.leadership.term;
     for (const c of e.commands) this.note(`order to ${e.machine}: ${c.op} ${c.job}/${c.index}`);
     const arrive = (): void => {
       if (!worker?.alive) return;
-      const run = (): ReturnType<Worker['order']> => worker.order(term, Number(e.session), e.commands);
+      const run = (): ReturnType<Worker['order']> => worker.order(term, Number(e.incarnation), e.commands);
       const r = run();
       if (this.copies > 0 && this.random() < this.copies)
         this.lateCopy(() => worker.alive && !worker.cut && run());
       const kind = r.executed ? 'executed' : 'refused';
       this.later(leader, NETWORK_MS, () => {
-        leader.onOrdersAnswer(e.machine, e.commands, { kind, report: r.report }, this.steady());
+        leader.onDirectCommandResult(e.machine, e.commands, { kind, report: r.report }, this.steady());
       });
     };
     const silent =
@@ -268,14 +272,14 @@
     }
     if (worker?.deaf) {
       this.later(leader, 2500, () => {
-        leader.onOrdersAnswer(e.machine, e.commands, { kind: 'unknown' }, this.steady());
+        leader.onDirectCommandResult(e.machine, e.commands, { kind: 'unknown' }, this.steady());
       });
       return;
     }
     // Held back by the network: given up here, and perhaps delivered minutes later.
-    this.held.push(() => worker?.alive && worker.order(term, Number(e.session), e.commands));
+    this.held.push(() => worker?.alive && worker.order(term, Number(e.incarnation), e.commands));
     this.later(leader, 2500, () => {
-      leader.onOrdersAnswer(e.machine, e.commands, { kind: 'unknown' }, this.steady());
+      leader.onDirectCommandResult(e.machine, e.commands, { kind: 'unknown' }, this.steady());
     });
   }
 
@@ -325,7 +329,7 @@
     const round = (): void => {
       if (!worker.alive) return;
       this.reportFrom(worker);
-      this.clock.after(times.reportS * 1000 * (0.75 + 0.5 * this.random()), round);
+      this.clock.after(times.heartbeatIntervalS * 1000 * (0.75 + 0.5 * this.random()), round);
     };
     round();
   }
@@ -335,20 +339,22 @@
     const sentAt = this.clock.now;
     if (worker.cut) return;
     if (this.copies > 0 && this.random() < this.copies)
-      this.lateCopy(() => this.leader?.onReport(report, this.steady()));
+      this.lateCopy(() => this.leader?.onHeartbeat(report, this.steady()));
     this.clock.after(NETWORK_MS, () => {
       const leader = this.leader;
       if (!leader) {
         // Another controller keeps the worker alive under the last token, without commands.
-        this.clock.after(NETWORK_MS, () => worker.answered(this.term, [], sentAt, Number(report.session)));
+        this.clock.after(NETWORK_MS, () =>
+          worker.answered(this.term, [], sentAt, Number(report.incarnation)),
+        );
         return;
       }
       const term = leader.leadership.term;
-      let commands: ReturnType<Leader['onReport']> = [];
-      if (this.stateDown) leader.onReportWithoutAuthority(report, this.steady());
-      else commands = leader.onReport(report, this.steady());
+      let commands: ReturnType<Leader['onHeartbeat']> = [];
+      if (this.stateDown) leader.onHeartbeatWithoutAuthority(report, this.steady());
+      else commands = leader.onHeartbeat(report, this.steady());
       this.clock.after(NETWORK_MS, () => {
-        if (!worker.cut) worker.answered(term, commands, sentAt, Number(report.session));
+        if (!worker.cut) worker.answered(term, commands, sentAt, Number(report.incarnation));
       });
     });
   }
@@ -371,11 +377,11 @@
         status: 'running' as const,
         ageS: (this.clock.now - r.rentedAt) / 1000,
       }));
-    this.leader.onList(listed, this.steady());
+    this.leader.onMachineList(listed, this.steady());
   }
 
-  private steady(): Steady {
-    return this.clock.now as Steady;
+  private steady(): MonotonicTime {
+    return this.clock.now as MonotonicTime;
   }
 
   private wall(): WallTime {
--- a/src/test/sim/fixtures.ts
+++ b/src/test/sim/fixtures.ts
@@ -1,8 +1,8 @@
 // Teams, machine types and a plain job, for tests that need some and don't care which.
-import type { JobSpec, MachineType, TeamLimits } from '../../core/types.js';
+import type { JobSpec, MachineType, TeamQuota } from '../../core/types.js';
 import type { JobId, Team, TypeName, Zone } from '../../core/units.js';
 
-export const teams: TeamLimits[] = [
+export const teams: TeamQuota[] = [
   { name: 'blue' as Team, cpus: 0, cpusMax: 0, gpus: 4, gpusMax: 20 },
   { name: 'green' as Team, cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
 ];
--- a/src/test/sim/hanging-machines.ts
+++ b/src/test/sim/hanging-machines.ts
@@ -9,7 +9,7 @@
 const HANGING_IN_ZONE = 2;
 const HALF_OF_ZONE = 4;
 /** Reports, leases and cancellations as on a large cluster. */
-const slowReports = { workers: { reportS: 3, leaseS: 17, cancelS: 42 } };
+const slowReports = { workers: { heartbeatIntervalS: 3, leaseS: 17, cancelS: 42 } };
 
 export type Hanging = (m: Meeting, cancelled: JobId) => WorkerHost[];
 
--- a/src/test/sim/state-service.ts
+++ b/src/test/sim/key-value-store.ts
@@ -1,8 +1,8 @@
 // Stand-in for the state service: transactions, leases, watches; outages, refusals of one host, late transactions.
 import type { Host } from './host.js';
 import { serve, type Answer } from './serve.js';
-import type { StateLimits } from '../../config/platform.js';
-import { Budget } from '../../runtime/budget.js';
+import type { KeyValueStoreLimits } from '../../config/platform.js';
+import { TokenBucket } from '../../runtime/key-value-store/token-bucket.js';
 
 interface Item {
   data: unknown;
@@ -39,12 +39,12 @@
   answerDelayMs = 0;
   private watchers: (() => void)[] = [];
   /** What it takes; null: anything. */
-  limits: StateLimits | null = null;
+  limits: KeyValueStoreLimits | null = null;
   /** Transactions that were refused for their size. */
   tooLarge = 0;
   /** Transactions that were refused since there were too many. */
   tooMany = 0;
-  private readonly writes = new Budget(Infinity, Infinity, 0);
+  private readonly writes = new TokenBucket(Infinity, Infinity, 0);
   /** Transactions without an answer that were carried out late. */
   late = 0;
 
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -4,21 +4,30 @@
 import { VirtualClock } from './clock.js';
 import { jobSpec, teams, types } from './fixtures.js';
 import { Worker, type WorldView } from './worker.js';
-import { Leader, type Effect } from '../../core/leader.js';
-import type { Command, JobSpec, Report } from '../../core/types.js';
-import type { Endpoint, JobId, MachineId, Steady, Term, TypeName, WallTime, Zone } from '../../core/units.js';
+import { Leader, type Effect } from '../../core/leader/leader.js';
+import type { Command, JobSpec, Heartbeat } from '../../core/types.js';
+import type {
+  Endpoint,
+  JobId,
+  MachineId,
+  MonotonicTime,
+  Term,
+  TypeName,
+  WallTime,
+  Zone,
+} from '../../core/units.js';
 
 const TERM = 3 as Term;
 const TICK_MS = 200;
 export const FETCH_MS = 500;
-const times = { reportS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
+const times = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
 
 /** The commands of one request that goes straight to a worker. */
-export type DirectCommands = Extract<Effect, { kind: 'orders' }>;
+export type DirectCommands = Extract<Effect, { kind: 'send-direct-commands' }>;
 
 /** The answer to a worker's report, which the test delivers when it likes. */
 export interface ReportAnswer {
-  report: Report;
+  report: Heartbeat;
   sentAt: number;
   commands: Command[];
 }
@@ -54,7 +63,7 @@
       return new Worker({ id: `host-${i}` as MachineId, endpoint, ...place }, view);
     });
     this.leader = new Leader(
-      { term: TERM, keyStamp: 1 },
+      { term: TERM, keyRevision: 1 },
       {
         workers: times,
         teams,
@@ -64,28 +73,29 @@
         agingS: 90,
         listLagS: 8,
         headroom: 0,
-        fitsRosterPage: () => true,
+        fitsRegistryPage: () => true,
         segmentBytes: 1500,
-        progressRps: 10,
-        cycleWork: 100_000,
+        progressWritesPerS: 10,
+        cycleWorkLimit: 100_000,
         random: () => 0.5,
       },
       this.now,
     );
-    this.leader.setTypes(types);
+    this.leader.setMachineTypes(types);
     this.enroll();
   }
 
-  private get now(): Steady {
-    return this.clock.now as Steady;
+  private get now(): MonotonicTime {
+    return this.clock.now as MonotonicTime;
   }
 
   /** All machines are known, under this leader's token, and in the durable roster. */
   private enroll(): void {
     const listed = this.workers.map(({ info }) => ({ ...info, status: 'running' as const, ageS: 60 }));
-    this.leader.onList(listed, this.now);
+    this.leader.onMachineList(listed, this.now);
     for (let round = 0; round < 2; round++) for (const worker of this.workers) this.reportAndAnswer(worker);
-    for (const effect of this.tick()) if (effect.kind === 'roster') this.leader.onRoster(effect.page, true);
+    for (const effect of this.tick())
+      if (effect.kind === 'write-registry-page') this.leader.onRegistryPageWritten(effect.page, true);
   }
 
   submit(id: string, over: Partial<JobSpec> = {}): JobId {
@@ -93,12 +103,12 @@
     this.specs.set(spec.id, spec);
     const wall = this.clock.now as WallTime;
     const record = { spec, submittedAt: wall, cancelledAt: null };
-    this.leader.learnJob(spec.id, record, ++this.revision, false, this.now, wall);
+    this.leader.applyJobRecord(spec.id, record, ++this.revision, false, this.now, wall);
     return spec.id;
   }
 
   cancel(job: JobId): void {
-    this.leader.learnCancelled(job, this.now);
+    this.leader.applyCancellation(job, this.now);
     this.checker.toldCancelled(job);
   }
 
@@ -122,19 +132,19 @@
 
   /** A tick that sends commands straight to this worker. */
   tickWithCommands(worker: Worker): DirectCommands {
-    const sent = this.tick().find((e) => e.kind === 'orders' && e.machine === worker.info.id);
-    if (sent?.kind !== 'orders') throw new Error(`no direct command to ${worker.info.id}`);
+    const sent = this.tick().find((e) => e.kind === 'send-direct-commands' && e.machine === worker.info.id);
+    if (sent?.kind !== 'send-direct-commands') throw new Error(`no direct command to ${worker.info.id}`);
     return sent;
   }
 
   /** A report arrives at the leader; its answer is not delivered yet. */
   report(worker: Worker): ReportAnswer {
     const report = worker.report();
-    return { report, sentAt: this.clock.now, commands: this.leader.onReport(report, this.now) };
+    return { report, sentAt: this.clock.now, commands: this.leader.onHeartbeat(report, this.now) };
   }
 
   deliver(worker: Worker, { report, sentAt, commands }: ReportAnswer): void {
-    worker.answered(TERM, commands, sentAt, Number(report.session));
+    worker.answered(TERM, commands, sentAt, Number(report.incarnation));
   }
 
   reportAndAnswer(worker: Worker): ReportAnswer {
@@ -144,26 +154,27 @@
   }
 
   /** The worker executes the commands; the leader hears nothing of it. */
-  carryOut(worker: Worker, sent: DirectCommands): Report {
-    return worker.order(TERM, Number(sent.session), sent.commands).report;
+  carryOut(worker: Worker, sent: DirectCommands): Heartbeat {
+    return worker.order(TERM, Number(sent.incarnation), sent.commands).report;
   }
 
-  answered(sent: DirectCommands, report: Report): void {
-    this.leader.onOrdersAnswer(sent.machine, sent.commands, { kind: 'executed', report }, this.now);
+  answered(sent: DirectCommands, report: Heartbeat): void {
+    this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'executed', report }, this.now);
   }
 
   unanswered(sent: DirectCommands): void {
-    this.leader.onOrdersAnswer(sent.machine, sent.commands, { kind: 'unknown' }, this.now);
+    this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unknown' }, this.now);
   }
 
   neverSent(sent: DirectCommands): void {
-    this.leader.onOrdersAnswer(sent.machine, sent.commands, { kind: 'unsent' }, this.now);
+    this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unsent' }, this.now);
   }
 
   /** The completions that the leader knows of are written to the state service. */
   saveProgress(effects: Effect[]): void {
     for (const effect of effects)
-      if (effect.kind === 'progress') this.leader.onProgress(effect.job, effect.segment, effect.bytes, true);
+      if (effect.kind === 'write-progress')
+        this.leader.onProgressWritten(effect.job, effect.segment, effect.bytes, true);
   }
 
   /** Whether the leader counts a task of the job as being, or possibly being, on a machine. */
--- a/src/test/sim/meeting.ts
+++ b/src/test/sim/meeting.ts
@@ -3,13 +3,13 @@
 import assert from 'node:assert/strict';
 import { jobSpec, types } from './fixtures.js';
 import { ServiceSim, type Setup } from './service.js';
-import type { JobSpec, TeamLimits } from '../../core/types.js';
+import type { JobSpec, TeamQuota } from '../../core/types.js';
 import type { JobId, Team } from '../../core/units.js';
 
 const LONG_MS = 100_000;
 const DEPENDENCY_LOOK_MS = 50;
 
-export const teams: TeamLimits[] = [
+export const teams: TeamQuota[] = [
   { name: 'green' as Team, cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
   { name: 'blue' as Team, cpus: 0, cpusMax: 0, gpus: 4, gpusMax: 8 },
 ];
--- a/src/test/sim/production.ts
+++ b/src/test/sim/production.ts
@@ -4,14 +4,14 @@
 import { join } from 'node:path';
 import { fileURLToPath, pathToFileURL } from 'node:url';
 import { parse } from 'smol-toml';
-import type { Platform } from '../../config/platform.js';
+import type { PlatformSettings } from '../../config/platform.js';
 
 const ROOT = fileURLToPath(new URL('../../..', import.meta.url));
 const BUILDS = join(ROOT, 'target', 'production');
 
 /** A version of the program: what starts one of its controllers, and how it reads its settings. */
 export interface Version {
-  startController: (platform: Platform, operator: unknown) => void;
+  startController: (platform: PlatformSettings, operator: unknown) => void;
   /** A job's record as that version reads it and would write it again. */
   parseJobRecord: (raw: unknown) => unknown;
   /** The other stored records as that version reads them; null for a damaged one. */
@@ -63,6 +63,21 @@
   return built;
 };
 
+/** The settings under the names that the version in production uses. */
+const productionSettings = (settings: PlatformSettings): unknown => {
+  const { cloudProvider, cloudProviderLimits, keyValueStore, keyValueStoreLimits, workers, ...same } =
+    settings;
+  const { heartbeatIntervalS, ...times } = workers;
+  return {
+    ...same,
+    cloud: cloudProvider,
+    cloudLimits: cloudProviderLimits,
+    state: keyValueStore,
+    stateLimits: keyValueStoreLimits,
+    workers: { reportS: heartbeatIntervalS, ...times },
+  };
+};
+
 /** Imports the version that `deploy/service.toml` names. */
 export const loadProduction = async (): Promise<Version> => {
   const out = join(build(productionCommit()), 'out');
@@ -72,10 +87,13 @@
   const { checkOperator } = await load('config/operator.js');
   const records = (await load('wire/state.js')) as unknown as Pick<Version, RecordParser>;
   const { parsePeerRequest } = await load('wire/peer-messages.js');
-  const Constructor = Controller as new (platform: Platform, operator: unknown) => { start: () => void };
+  const Constructor = Controller as new (settings: unknown, operator: unknown) => { start: () => void };
   return {
     startController: (platform, operator) =>
-      new Constructor(platform, (checkOperator as (raw: unknown) => unknown)(operator)).start(),
+      new Constructor(
+        productionSettings(platform),
+        (checkOperator as (raw: unknown) => unknown)(operator),
+      ).start(),
     parseJobRecord: records.parseJobRecord,
     parseFinal: records.parseFinal,
     parseLeader: records.parseLeader,
--- a/src/test/sim/serve.ts
+++ b/src/test/sim/serve.ts
@@ -2,7 +2,7 @@
 import { createServer } from 'node:net';
 import type { Host } from './host.js';
 import { parseAddress } from '../../config/platform.js';
-import { HttpParser, type HttpMessage } from '../../runtime/http-parser.js';
+import { HttpParser, type HttpMessage } from '../../runtime/http/http-parser.js';
 import { decode, encode } from '../../wire/cbor.js';
 
 export interface Answer {
--- a/src/test/sim/service.ts
+++ b/src/test/sim/service.ts
@@ -6,17 +6,17 @@
 import { CloudService } from './cloud-service.js';
 import { World, type Host } from './host.js';
 import { Network, type Trouble } from './network.js';
-import { StateService } from './state-service.js';
+import { StateService } from './key-value-store.js';
 import type { Version } from './production.js';
 import { User } from './user.js';
 import { WorkerHost } from './worker-host.js';
 import type { Gang, WorldView } from './worker.js';
-import { checkOperator } from '../../config/operator.js';
-import { parseAddress, type Platform, type StateLimits } from '../../config/platform.js';
-import type { JobSpec, MachineInfo, MachineType, TeamLimits } from '../../core/types.js';
+import { parseOperatorSettings } from '../../config/operator.js';
+import { parseAddress, type PlatformSettings, type KeyValueStoreLimits } from '../../config/platform.js';
+import type { JobSpec, MachineInfo, MachineType, TeamQuota } from '../../core/types.js';
 import type { JobId, MachineId, NodeName, Zone } from '../../core/units.js';
 import { Controller } from '../../runtime/controller.js';
-import { HttpClient } from '../../runtime/http-client.js';
+import { HttpClient } from '../../runtime/http/http-client.js';
 
 const STATE = '10.2.0.1';
 const CLOUD = '10.2.0.2';
@@ -32,20 +32,20 @@
   zones: string[];
   /** The zone of each controller. */
   controllers: string[];
-  teams: TeamLimits[];
+  teams: TeamQuota[];
   types: MachineType[];
   /** How many machines the cloud has. */
   capacity: number;
   /** Machines that are up before the first controller starts, in each zone of their type. */
   up?: { type: string; perZone: number };
   runMs: (job: JobId) => number;
-  workers?: Partial<Platform['workers']>;
+  workers?: Partial<PlatformSettings['workers']>;
   /** Operators' settings, as the build step writes them. */
   operator?: unknown;
   /** What the state service takes at the start, as far as it is otherwise than usual. */
-  stateLimits?: Partial<StateLimits>;
+  stateLimits?: Partial<KeyValueStoreLimits>;
   /** Limits that it will have later, as the settings announce them. */
-  nextLimits?: Partial<StateLimits>;
+  nextLimits?: Partial<KeyValueStoreLimits>;
   /** Sockets that a controller may have open; few make direct commands that are never sent. */
   sockets?: number;
   /** The version that the controllers run at the start; else the present one. */
@@ -53,12 +53,12 @@
 }
 
 const USUAL_SOCKETS = 1000;
-const USUAL_LIMITS: StateLimits = { rps: 200, writeRps: 60, valueKb: 8, txnOps: 12 };
+const USUAL_LIMITS: KeyValueStoreLimits = { rps: 200, writeRps: 60, valueKb: 8, txnOps: 12 };
 
 export interface Process {
   name: NodeName;
   ip: string;
-  platform: Platform;
+  platform: PlatformSettings;
   host: Host;
   /** Null: the present version. */
   version: Version | null;
@@ -78,7 +78,7 @@
   private readonly specs = new Map<JobId, JobSpec>();
   private readonly restore: () => void;
   private readonly usersHost: Host;
-  private readonly times: Platform['workers'];
+  private readonly times: PlatformSettings['workers'];
 
   constructor(private readonly setup: Setup) {
     process.env['LOG_LEVEL'] ??= 'error';
@@ -86,7 +86,14 @@
     this.random = () => uniformFloat64(rng);
     this.restore = this.world.install(this.network);
     const { clock } = this.world;
-    this.times = { reportS: 1.5, leaseS: 10, gangWaitS: 40, gangPeerS: 4, cancelS: 40, ...setup.workers };
+    this.times = {
+      heartbeatIntervalS: 1.5,
+      leaseS: 10,
+      gangWaitS: 40,
+      gangPeerS: 4,
+      cancelS: 40,
+      ...setup.workers,
+    };
     this.checker = new Checker(this.specs, setup.teams, this.times.cancelS, () => clock.now);
     this.usersHost = this.world.host('10.3.0.1');
     this.state = new StateService(this.world.host(STATE), `${STATE}:2379`, this.random);
@@ -128,7 +135,7 @@
   private describe(i: number, zone: string): Process {
     const ip = `10.0.0.${i + 1}`;
     const name = `stable-${i}` as NodeName;
-    const platform: Platform = {
+    const platform: PlatformSettings = {
       name,
       zone: zone as Zone,
       publicAddr: { host: ip, port: 8080 },
@@ -140,15 +147,15 @@
           address: { host: `10.0.0.${j + 1}`, port: 8081 },
         }))
         .filter((_, j) => j !== i),
-      cloud: { host: CLOUD, port: 8443 },
-      state: { host: STATE, port: 2379 },
+      cloudProvider: { host: CLOUD, port: 8443 },
+      keyValueStore: { host: STATE, port: 2379 },
       zones: this.setup.zones as Zone[],
       clockErrorMs: CLOCK_ERROR_MS,
       teams: this.setup.teams,
       objectives: [],
       workers: this.times,
-      stateLimits: this.limits,
-      cloudLimits: { rps: 6, listLagS: 4 },
+      keyValueStoreLimits: this.limits,
+      cloudProviderLimits: { rps: 6, listLagS: 4 },
       limits: { cpu: 0.25, memoryMb: 146, sockets: this.setup.sockets ?? USUAL_SOCKETS },
     };
     return { name, ip, platform, host: this.world.host(ip), version: this.setup.version ?? null };
@@ -162,8 +169,11 @@
     const { version } = p;
     if (version === null) {
       const { nextLimits = {} } = this.setup;
-      const platform = { ...p.platform, stateLimits: { ...p.platform.stateLimits, ...nextLimits } };
-      p.host.run(() => new Controller(platform, checkOperator(operator)).start());
+      const platform = {
+        ...p.platform,
+        keyValueStoreLimits: { ...p.platform.keyValueStoreLimits, ...nextLimits },
+      };
+      p.host.run(() => new Controller(platform, parseOperatorSettings(operator)).start());
     } else p.host.run(() => version.startController(p.platform, operator));
   }
 
@@ -226,7 +236,7 @@
     this.state.limits = { ...this.limits, ...this.setup.nextLimits };
   }
 
-  private get limits(): StateLimits {
+  private get limits(): KeyValueStoreLimits {
     return { ...USUAL_LIMITS, ...this.setup.stateLimits };
   }
 
--- a/src/test/sim/user.ts
+++ b/src/test/sim/user.ts
@@ -3,7 +3,7 @@
 import type { Host } from './host.js';
 import { parseAddress } from '../../config/platform.js';
 import type { JobSpec } from '../../core/types.js';
-import { HttpClient } from '../../runtime/http-client.js';
+import { HttpClient } from '../../runtime/http/http-client.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
 
 const POLL_MS = 5000;
--- a/src/test/sim/worker-host.ts
+++ b/src/test/sim/worker-host.ts
@@ -3,9 +3,9 @@
 import { serve } from './serve.js';
 import { Worker, type WorldView } from './worker.js';
 import { parseAddress } from '../../config/platform.js';
-import type { Command, MachineInfo, Report } from '../../core/types.js';
+import type { Command, MachineInfo, Heartbeat } from '../../core/types.js';
 import type { Attempt, JobId } from '../../core/units.js';
-import { HttpClient } from '../../runtime/http-client.js';
+import { HttpClient } from '../../runtime/http/http-client.js';
 import { decode, encode } from '../../wire/cbor.js';
 
 const ANSWER_LIMIT_MS = 4000;
@@ -22,7 +22,7 @@
   const [job = '', index = ''] = c.hand.split('/');
   const ref = { job: job as JobId, index: Number(index), attempt: Number(c.try) as Attempt };
   if (c.call === 'run') return { op: 'start', ...ref };
-  return c.call === 'reap' ? { op: 'forget', ...ref } : { op: 'stop', ...ref, graceS: c.slackS ?? 0 };
+  return c.call === 'reap' ? { op: 'forget', ...ref } : { op: 'stop', ...ref, gracePeriodS: c.slackS ?? 0 };
 };
 
 const stateNames = {
@@ -33,16 +33,16 @@
   exited: 'exited',
 };
 
-const reportBody = (r: Report) => ({
+const reportBody = (r: Heartbeat) => ({
   stall: r.id,
   endpoint: r.endpoint,
   breed: r.type,
   pasture: r.zone,
   loaners: r.spot,
-  shift: r.session,
-  tally: r.seq,
-  reins: r.token,
-  recallS: r.noticeS,
+  shift: r.incarnation,
+  tally: r.sequence,
+  reins: r.fencingToken,
+  recallS: r.interruptionNoticeS,
   hands: r.tasks.map((t) => ({
     hand: `${t.job}/${t.index}`,
     try: BigInt(t.attempt),
--- a/src/test/sim/worker.ts
+++ b/src/test/sim/worker.ts
@@ -6,9 +6,9 @@
   ExitCause,
   JobSpec,
   MachineInfo,
-  Report,
+  Heartbeat,
   TaskState,
-  WorkerTimes,
+  WorkerTimings,
 } from '../../core/types.js';
 import type { Attempt, JobId } from '../../core/units.js';
 
@@ -32,7 +32,7 @@
 export interface WorldView {
   clock: VirtualClock;
   checker: Checker;
-  times: WorkerTimes;
+  times: WorkerTimings;
   specs: Map<JobId, JobSpec>;
   gangs: Map<string, Gang>;
   capacity: (type: string) => { cpus: number; gpus: number; memoryGb: number };
@@ -64,7 +64,7 @@
   }
 
   get reportMs(): number {
-    return this.world.times.reportS * 1000;
+    return this.world.times.heartbeatIntervalS * 1000;
   }
 
   /** Changes whenever a report would tell something new. */
@@ -73,14 +73,14 @@
     return `${this.session} ${this.token} ${this.noticeS !== null} ${tasks.join(',')}`;
   }
 
-  report(): Report {
+  report(): Heartbeat {
     this.checkLease();
     return {
       ...this.info,
-      session: this.session,
-      seq: ++this.seq,
-      token: this.token,
-      noticeS: this.noticeS,
+      incarnation: this.session,
+      sequence: ++this.seq,
+      fencingToken: this.token,
+      interruptionNoticeS: this.noticeS,
       tasks: [...this.tasks.values()].map(({ job, index, attempt, state, cause, saved }) => {
         return { job, index, attempt, state, cause, saved };
       }),
@@ -96,7 +96,7 @@
     this.execute(commands);
   }
 
-  order(token: number, session: number, commands: Command[]): { executed: boolean; report: Report } {
+  order(token: number, session: number, commands: Command[]): { executed: boolean; report: Heartbeat } {
     this.checkLease();
     const executed = token >= this.token && session === this.session;
     if (executed) {
@@ -135,7 +135,7 @@
       if (c.op === 'forget') {
         if (held?.state === 'exited') this.forget(key, held);
       } else if (c.op === 'stop') {
-        if (held) this.stop(held, c.graceS);
+        if (held) this.stop(held, c.gracePeriodS);
       } else if (!held) {
         this.start(c.job, c.index, c.attempt, key);
       }
--- a/src/test/sockets.test.ts
+++ b/src/test/sockets.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { createServer, type AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import { httpConnections } from '../runtime/http-server.js';
-import { ImageLocationStore } from '../runtime/image-locations.js';
+import { httpConnections } from '../runtime/http/http-server.js';
+import { ImageLocationStore } from '../runtime/peers/image-locations.js';
 import { Logger } from '../runtime/logger.js';
-import { socketBudget } from '../runtime/sockets.js';
-import { WorkerCalls } from '../runtime/worker-calls.js';
+import { socketBudget } from '../runtime/http/socket-budget.js';
+import { WorkerClient } from '../runtime/workers/worker-client.js';
 import type { Endpoint } from '../core/units.js';
 import { encode } from '../wire/cbor.js';
 
@@ -35,7 +35,7 @@
   ).listen(0, '0.0.0.0');
   await new Promise((r) => server.once('listening', r));
   const { port } = server.address() as AddressInfo;
-  const calls = new WorkerCalls(3);
+  const calls = new WorkerClient(3);
   t.after(() => {
     calls.close();
     server.close();
--- a/src/test/state-limits.test.ts
+++ b/src/test/state-limits.test.ts
@@ -1,50 +1,52 @@
 // What is kept in the state service stays within its limits, also after they were lowered.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { parsePlatform } from '../config/platform.js';
-import { Completion } from '../core/leader/completion.js';
-import { Dependencies } from '../core/leader/dependencies.js';
+import { parsePlatformSettings } from '../config/platform.js';
+import { JobCompletion } from '../core/leader/job-completion.js';
+import { JobDependencies } from '../core/leader/job-dependencies.js';
 import type { Effect, LeaderSettings } from '../core/leader/effects.js';
-import { LeaderState } from '../core/leader/state.js';
+import { LeaderState } from '../core/leader/leader-state.js';
 import { Job } from '../core/job.js';
 import { segmentName, segmentStart } from '../core/progress-segments.js';
-import { Roster } from '../core/roster.js';
+import { MachineRegistry } from '../core/leader/machine-registry.js';
 import type { MachineInfo, MachineType } from '../core/types.js';
-import type { MachineId, SegmentName, Steady, Term, TypeName, WallTime } from '../core/units.js';
-import { pagesOf } from '../runtime/machine-types.js';
+import type { MachineId, SegmentName, MonotonicTime, Term, TypeName, WallTime } from '../core/units.js';
+import { pagesOf } from '../runtime/cloud/machine-type-catalog.js';
 import {
-  fitsRosterPage,
+  fitsRegistryPage,
   fitsValue,
-  parseProgress,
-  progressData,
-  rosterRecord,
+  parseProgressRecord,
+  progressRecordData,
+  registryPageData,
   segmentBytes,
-} from '../wire/state.js';
+} from '../wire/key-value-store.js';
 import { jobSpec, types } from './sim/fixtures.js';
 import { platformToml } from './sim/platform-toml.js';
 
-type ProgressEffect = Extract<Effect, { kind: 'progress' }>;
+type ProgressEffect = Extract<Effect, { kind: 'write-progress' }>;
 
-const now = 0 as Steady;
+const now = 0 as MonotonicTime;
 
 test('of the limits now and later the smaller one holds; without later ones those of now', () => {
-  const lowered = parsePlatform(platformToml('[settings.state.next]\nvalue_kb = 2.0\nwrite_rps = 90.0\n'));
-  assert.deepEqual(lowered.stateLimits, { rps: 120, writeRps: 20, valueKb: 2, txnOps: 16 });
-  assert.equal(parsePlatform(platformToml('')).stateLimits.valueKb, 16);
+  const lowered = parsePlatformSettings(
+    platformToml('[settings.state.next]\nvalue_kb = 2.0\nwrite_rps = 90.0\n'),
+  );
+  assert.deepEqual(lowered.keyValueStoreLimits, { rps: 120, writeRps: 20, valueKb: 2, txnOps: 16 });
+  assert.equal(parsePlatformSettings(platformToml('')).keyValueStoreLimits.valueKb, 16);
 });
 
 /** A leader's bookkeeping of one job, with the progress writes that it asks for. */
 const bookkeeping = (tasks: number, bytes: number, progressRps = 1000) => {
-  const settings = { segmentBytes: bytes, progressRps } as unknown as LeaderSettings;
-  const state = new LeaderState({ term: 1 as Term, keyStamp: 1 }, settings, now);
+  const settings = { segmentBytes: bytes, progressWritesPerS: progressRps } as unknown as LeaderSettings;
+  const state = new LeaderState({ term: 1 as Term, keyRevision: 1 }, settings, now);
   const spec = jobSpec('wk-1', { tasks });
   const job = new Job(spec.id, { spec, submittedAt: 0 as WallTime, cancelledAt: null }, 1, false, now);
   state.jobs.set(job.id, job);
-  const completion = new Completion(state, new Dependencies(state, () => undefined));
+  const completion = new JobCompletion(state, new JobDependencies(state, () => undefined));
   let time = 0;
   const flush = (): ProgressEffect[] => {
-    completion.finishJobs((time += 2000) as Steady);
-    return state.takeEffects().filter((e): e is ProgressEffect => e.kind === 'progress');
+    completion.finishJobs((time += 2000) as MonotonicTime);
+    return state.takeEffects().filter((e): e is ProgressEffect => e.kind === 'write-progress');
   };
   return { job, completion, flush };
 };
@@ -57,9 +59,9 @@
   assert.equal(writes.length, Math.ceil(100_000 / 8 / bytes));
   const next = bookkeeping(100_000, segmentBytes(16));
   for (const { segment, bytes: bits } of writes) {
-    const data = progressData(bits);
+    const data = progressRecordData(bits);
     assert.ok(fitsValue(data, 2), `${segment} is too large`);
-    next.completion.loadProgress(job.id, segment, Buffer.from(parseProgress(data)!, 'base64'));
+    next.completion.loadProgress(job.id, segment, Buffer.from(parseProgressRecord(data)!, 'base64'));
   }
   assert.equal(next.job.doneCount, job.doneCount);
   assert.ok(next.job.isDurable(99_999) && !next.job.isDone(99_998));
@@ -71,13 +73,13 @@
   const [first] = flush();
   job.markDone(1);
   assert.deepEqual(flush(), [], 'a write is under way');
-  completion.onProgress(job.id, first.segment, first.bytes, false);
+  completion.onProgressWritten(job.id, first.segment, first.bytes, false);
   const again = flush();
   assert.deepEqual(
     again.map((e) => [e.segment, e.bytes[0]]),
     [[first.segment, 3]],
   );
-  completion.onProgress(job.id, first.segment, again[0].bytes, true);
+  completion.onProgressWritten(job.id, first.segment, again[0].bytes, true);
   assert.deepEqual(flush(), []);
   job.markDone(29_999);
   assert.deepEqual(
@@ -112,8 +114,8 @@
   assert.equal(job.doneCount, 16_384);
   assert.ok(job.isDurable(16_384) && !job.isDurable(16_383));
   job.markDone(16_383);
-  for (const e of flush()) completion.onProgress(job.id, e.segment, e.bytes, true);
-  assert.deepEqual([...job.stored], ['1', '1x1527']);
+  for (const e of flush()) completion.onProgressWritten(job.id, e.segment, e.bytes, true);
+  assert.deepEqual([...job.persistedSegments], ['1', '1x1527']);
 });
 
 const machine = (n: number): MachineInfo => ({
@@ -122,25 +124,25 @@
 });
 
 test('a roster page that is too large now is moved piece by piece, and names each machine until another page does', () => {
-  const fits = (machines: MachineInfo[]): boolean => fitsRosterPage(machines, 2);
-  const roster = new Roster();
+  const fits = (machines: MachineInfo[]): boolean => fitsRegistryPage(machines, 2);
+  const roster = new MachineRegistry();
   const all = Array.from({ length: 81 }, (_, n) => machine(n));
   for (const info of all) roster.load('old', info);
   assert.ok(!fits(all));
   roster.remove('old', all[80].id);
-  assert.equal(roster.next('stale', fits), null, 'not written as it is');
+  assert.equal(roster.nextPageToWrite('stale', fits), null, 'not written as it is');
   const durable = new Map([['old', new Set(all.map((m) => m.id))]]);
   const named = (): number => new Set([...durable.values()].flatMap((page) => [...page])).size;
-  for (let page = 1; roster.oversized(fits).length > 0; page++) {
-    const part = roster.oversized(fits);
+  for (let page = 1; roster.splitOversizedPage(fits).length > 0; page++) {
+    const part = roster.splitOversizedPage(fits);
     assert.ok(fits(part) && part.length > 10);
-    roster.open(`new-${page}`, part);
+    roster.openPage(`new-${page}`, part);
     assert.ok(named() >= 80, 'while the write is under way');
     durable.set(`new-${page}`, new Set(part.map((m) => m.id)));
-    for (const id of roster.written(`new-${page}`, true)) roster.remove('old', id);
+    for (const id of roster.onPageWritten(`new-${page}`, true)) roster.remove('old', id);
   }
-  const rest = roster.next('stale', fits)!;
-  assert.ok(fitsValue(rosterRecord(rest.machines), 2));
+  const rest = roster.nextPageToWrite('stale', fits)!;
+  assert.ok(fitsValue(registryPageData(rest.machines), 2));
   durable.set('old', new Set(rest.machines.map((m) => m.id)));
   assert.equal(named(), 80);
 });
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -7,7 +7,7 @@
 import { submitPipelines } from './sim/pipelines.js';
 import { loadProduction, type Version } from './sim/production.js';
 import type { Setup } from './sim/service.js';
-import type { StateLimits } from '../config/platform.js';
+import type { KeyValueStoreLimits } from '../config/platform.js';
 import type { JobRecord } from '../core/types.js';
 import type {
   Endpoint,
@@ -21,23 +21,23 @@
   Zone,
 } from '../core/units.js';
 import { encode, decode } from '../wire/cbor.js';
-import { parsePeerRequest, type PeerRequest } from '../wire/peer-messages.js';
+import { encodePeerRequest, parsePeerRequest, type PeerRequest } from '../wire/peer-messages.js';
 import {
   dependenciesIn,
-  finalData,
+  finalRecordData,
   jobRecordData,
   keys,
-  parseFinal,
+  parseFinalRecord,
   parseJobRecord,
-  parseLeader,
-  parseProgress,
-  parseRosterPage,
+  parseLeaderRecord,
+  parseProgressRecord,
+  parseRegistryPage,
   parseStoredTypes,
-  parseTerm,
+  parseTermRecord,
   parseTypesPage,
-  progressData,
-  rosterRecord,
-} from '../wire/state.js';
+  progressRecordData,
+  registryPageData,
+} from '../wire/key-value-store.js';
 
 const production = await loadProduction();
 
@@ -111,7 +111,7 @@
 });
 
 /** A job whose record is larger than the service will take later is accepted, runs, and is cancelled after that. */
-const cancelLargeRecord = async (nextLimits: Partial<StateLimits>) => {
+const cancelLargeRecord = async (nextLimits: Partial<KeyValueStoreLimits>) => {
   let id = 'wk-0' as JobId;
   const others = Array.from({ length: 99 }, (_, i) => `another-type-${i}` as TypeName);
   const { sim, broken } = await playDay(
@@ -173,27 +173,32 @@
   const leader = { node: 'stable-0', term: 3 };
   const kinds: { written: unknown; form: unknown; read: unknown; readers: ((raw: unknown) => unknown)[] }[] =
     [
-      { written: finalData(done), form: done, read: done, readers: [parseFinal, production.parseFinal] },
       {
-        written: finalData(cancelled),
+        written: finalRecordData(done),
+        form: done,
+        read: done,
+        readers: [parseFinalRecord, production.parseFinal],
+      },
+      {
+        written: finalRecordData(cancelled),
         form: { state: 'withdrawn', tasks: 3 },
         read: cancelled,
-        readers: [parseFinal, production.parseFinal],
+        readers: [parseFinalRecord, production.parseFinal],
       },
       {
-        written: rosterRecord([machine]),
+        written: registryPageData([machine]),
         form: page,
         read: unenrolled,
-        readers: [parseRosterPage, production.parseRosterPage],
+        readers: [parseRegistryPage, production.parseRosterPage],
       },
       {
-        written: progressData(Uint8Array.of(5, 255)),
+        written: progressRecordData(Uint8Array.of(5, 255)),
         form: progress,
         read: 'Bf8=',
-        readers: [parseProgress, production.parseProgress],
+        readers: [parseProgressRecord, production.parseProgress],
       },
-      { written: leader, form: leader, read: leader, readers: [parseLeader, production.parseLeader] },
-      { written: { term: 3 }, form: { term: 3 }, read: 3, readers: [parseTerm, production.parseTerm] },
+      { written: leader, form: leader, read: leader, readers: [parseLeaderRecord, production.parseLeader] },
+      { written: { term: 3 }, form: { term: 3 }, read: 3, readers: [parseTermRecord, production.parseTerm] },
       { written: types, form: types, read: types, readers: [parseStoredTypes, production.parseStoredTypes] },
       {
         written: typesPage,
@@ -242,7 +247,7 @@
     ['l/leader', 'l/term', 'c/types', 'c/types/1', 'j/wk-7', 'f/wk-7'],
   );
   assert.equal(keys.progress(id, '0' as SegmentName), 'p/wk-7/0');
-  assert.equal(keys.rosterPage('3-1'), 'm/3-1');
+  assert.equal(keys.registryPage('3-1'), 'm/3-1');
 });
 
 test('messages between controllers: each version takes what the other sends', () => {
@@ -264,7 +269,7 @@
     {
       kind: 'vouch',
       term: 3 as Term,
-      machines: [{ machine: 'host-1' as MachineId, session: 1, seq: 9, base: 8 }],
+      machines: [{ machine: 'host-1' as MachineId, incarnation: 1, sequence: 9, baseSequence: 8 }],
     },
     { kind: 'user', method: 'GET', target: '/v1/jobs/wk-1', body: Buffer.alloc(0) },
     { kind: 'hints', images: {} },
@@ -273,5 +278,5 @@
   const versions: Pick<Version, 'parsePeerRequest'>[] = [production, { parsePeerRequest }];
   for (const request of requests)
     for (const version of versions)
-      assert.ok(version.parsePeerRequest(stored(request)).ok, `${request.kind} not taken`);
+      assert.ok(version.parsePeerRequest(stored(encodePeerRequest(request))).ok, `${request.kind} not taken`);
 });
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { HttpMessage } from '../runtime/http-parser.js';
-import type { StateClient } from '../runtime/state-client.js';
-import type { KnownJobs } from '../runtime/job-lookup.js';
-import { Admission } from '../runtime/admission.js';
-import { UserApi } from '../runtime/user-api.js';
-import type { Platform } from '../config/platform.js';
+import type { HttpMessage } from '../runtime/http/http-parser.js';
+import type { KeyValueStoreClient } from '../runtime/key-value-store/key-value-store-client.js';
+import type { KnownJobs } from '../runtime/users/job-lookup.js';
+import { Admission } from '../runtime/users/admission.js';
+import { UserApi } from '../runtime/users/user-api.js';
+import type { PlatformSettings } from '../config/platform.js';
 import { JobIndex } from '../core/job-index.js';
-import type { Counter, JobId } from '../core/units.js';
+import type { Uint64, JobId } from '../core/units.js';
 import { decode, encode } from '../wire/cbor.js';
-import type { Transaction } from '../wire/state.js';
+import type { Transaction } from '../wire/key-value-store.js';
 import { teams, types } from './sim/fixtures.js';
 
 /** Stand-in for the state service: transactions with conditions, and answers that get lost. */
@@ -29,8 +29,8 @@
   transact(t: Transaction) {
     if (this.mode === 'down') return Promise.resolve({ kind: 'refused' as const });
     if (this.mode === 'late') return Promise.resolve({ kind: 'unknown' as const });
-    const stampOf = (key: string): Counter => this.items.get(key)?.stamp ?? 0;
-    const failed = t.if.filter((c) => stampOf(c.key) !== c.stamp).map((c) => c.key);
+    const stampOf = (key: string): Uint64 => this.items.get(key)?.stamp ?? 0;
+    const failed = t.if.filter((c) => stampOf(c.key) !== c.revision).map((c) => c.key);
     if (failed.length > 0) return Promise.resolve({ kind: 'conflict' as const, failed });
     const stamp = ++this.revision;
     for (const c of t.then) {
@@ -83,11 +83,11 @@
 const setup = (machineTypes = types, known: KnownJobs = feed()) => {
   const store = new Store();
   const confirmed: string[] = [];
-  const platform = { teams, stateLimits: { valueKb: 8 } } as unknown as Platform;
+  const platform = { teams, keyValueStoreLimits: { valueKb: 8 } } as unknown as PlatformSettings;
   const make = (): UserApi =>
     new UserApi(
       platform,
-      store as unknown as StateClient,
+      store as unknown as KeyValueStoreClient,
       () => machineTypes,
       () => Promise.resolve(null),
       (id) => confirmed.push(id),
--- a/src/test/wire.test.ts
+++ b/src/test/wire.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { checkOperator } from '../config/operator.js';
-import { parsePlatform, platformWarnings } from '../config/platform.js';
+import { parseOperatorSettings } from '../config/operator.js';
+import { parsePlatformSettings, platformWarnings } from '../config/platform.js';
 import { decode, encode, tryDecode } from '../wire/cbor.js';
 import { parseTypes } from '../wire/cloud.js';
-import { parseItem, transactionBody } from '../wire/state.js';
+import { parseItem, transactionBody } from '../wire/key-value-store.js';
 import { parseJob } from '../wire/users.js';
-import { ordersBody, parseReport } from '../wire/workers.js';
+import { directCommandsBody, parseHeartbeat } from '../wire/workers.js';
 import type { Attempt, JobId } from '../core/units.js';
 import { platformToml } from './sim/platform-toml.js';
 
@@ -65,10 +65,10 @@
   const huge = 2n ** 63n + 1n;
   const item = parseItem(decode(encode({ key: 'a', data: null, stamp: huge })));
   assert.equal(item?.stamp, huge);
-  const body = transactionBody({ if: [{ key: 'a', stamp: huge }], then: [] });
+  const body = transactionBody({ if: [{ key: 'a', revision: huge }], then: [] });
   assert.deepEqual(decode(encode(body)), { if: [{ key: 'a', stamp: huge }], then: [] });
   const attempt = (3 * 2 ** 40) as Attempt;
-  const orders = ordersBody(7, huge, [{ op: 'start', job: 'wk-1' as JobId, index: 0, attempt }]);
+  const orders = directCommandsBody(7, huge, [{ op: 'start', job: 'wk-1' as JobId, index: 0, attempt }]);
   // Written as an integer (major type 0), not as a float.
   assert.ok(encode(orders).includes(Buffer.from('1b0000030000000000', 'hex')));
   const report = {
@@ -82,10 +82,10 @@
     reins: 1,
     hands: [{ hand: 'wk-1/0', try: 1, status: 'running' }],
   };
-  const r = parseReport(decode(encode(report)));
-  assert.ok(r.ok && r.value.seq === huge && r.value.tasks[0].job === 'wk-1');
+  const r = parseHeartbeat(decode(encode(report)));
+  assert.ok(r.ok && r.value.sequence === huge && r.value.tasks[0].job === 'wk-1');
   assert.equal(
-    parseReport({ ...report, hands: [{ hand: 'wk-1/0', try: huge, status: 'running' }] }).ok,
+    parseHeartbeat({ ...report, hands: [{ hand: 'wk-1/0', try: huge, status: 'running' }] }).ok,
     false,
   );
 });
@@ -98,18 +98,18 @@
 const platform = platformToml();
 
 test('settings: unknown fields are ignored, a bad one is named with its value and what is expected', () => {
-  assert.equal(parsePlatform(platform).publicAddr.port, 8080);
-  assert.throws(() => parsePlatform(platform.replace('lease_s = 10.0', 'lease_s = "long"')), {
+  assert.equal(parsePlatformSettings(platform).publicAddr.port, 8080);
+  assert.throws(() => parsePlatformSettings(platform.replace('lease_s = 10.0', 'lease_s = "long"')), {
     message: 'settings.workers.lease_s: "long" is not valid; expected number',
   });
-  assert.throws(() => parsePlatform(platform.replace('area = "east"', '')), {
+  assert.throws(() => parsePlatformSettings(platform.replace('area = "east"', '')), {
     message: 'area: missing is not valid; expected "area"',
   });
 });
 
 test('settings: a zone without a controller, a team without guarantee or limit, a guarantee above the limit', () => {
   const source = `${platform}\n[[settings.teams]]\nname = "red"\ngpus = 9.0\ngpus_max = 4.0\nweight = 2\n`;
-  const p = parsePlatform(source.replace(/zones = \[[^\]]*\]/, 'zones = ["east", "west", "south"]'));
+  const p = parsePlatformSettings(source.replace(/zones = \[[^\]]*\]/, 'zones = ["east", "west", "south"]'));
   assert.equal(p.zones.length, 3);
   const red = p.teams.find((t) => (t.name as string) === 'red')!;
   assert.deepEqual(
@@ -119,18 +119,21 @@
   );
   assert.deepEqual(platformWarnings(p), ['team red: 9 gpus guaranteed, served up to the limit of 4']);
   assert.throws(
-    () => parsePlatform(`${source}\n[[settings.teams]]\nname = "red"\n`),
+    () => parsePlatformSettings(`${source}\n[[settings.teams]]\nname = "red"\n`),
     /settings\.teams\.\d\.name: "red" stands twice; expected one team of each name/,
   );
   assert.throws(
-    () => parsePlatform(source.replace('gpus = 9.0', 'gpus = -1')),
+    () => parsePlatformSettings(source.replace('gpus = 9.0', 'gpus = -1')),
     /settings\.teams.*gpus: -1 .*>=0/,
   );
 });
 
 test('operator settings: defaults, bounds, and unknown names refused', () => {
-  assert.equal(checkOperator({}).leaseMs, 3000);
-  assert.equal(checkOperator({ leadership: [{ lease_ms: 5000 }] }).leaseMs, 5000);
-  assert.throws(() => checkOperator({ leadership: [{ lease_ms: 1 }] }), /leadership\.0\.lease_ms: 1 .*>=500/);
-  assert.throws(() => checkOperator({ leadreship: [{}] }), /leadreship/);
+  assert.equal(parseOperatorSettings({}).leaseMs, 3000);
+  assert.equal(parseOperatorSettings({ leadership: [{ lease_ms: 5000 }] }).leaseMs, 5000);
+  assert.throws(
+    () => parseOperatorSettings({ leadership: [{ lease_ms: 1 }] }),
+    /leadership\.0\.lease_ms: 1 .*>=500/,
+  );
+  assert.throws(() => parseOperatorSettings({ leadreship: [{}] }), /leadreship/);
 });
--- a/src/wire/peers.ts
+++ b/src/wire/cancellation-pages.ts
@@ -1,7 +1,7 @@
 // What controllers tell one another of cancellations. A frame of another shape is dropped: it proves nothing.
 import * as v from 'valibot';
 import { amount, parseWith, safeCount, text } from './common.js';
-import type { LogPosition, LogPage } from '../core/cancellations.js';
+import type { CancellationLogPosition, CancellationLogPage } from '../core/cancellation-log.js';
 import type { JobId } from '../core/units.js';
 import { isJobId } from './users.js';
 
@@ -15,19 +15,21 @@
   completeAgoMs: v.nullable(amount),
 });
 
-export const parseLogPage = (raw: unknown): { ok: true; value: LogPage } | { ok: false; cause: string } => {
+export const parseLogPage = (
+  raw: unknown,
+): { ok: true; value: CancellationLogPage } | { ok: false; cause: string } => {
   const r = parseWith(logPage, raw);
   if (!r.ok) return r;
-  const s = r.value as LogPage;
+  const s = r.value as CancellationLogPage;
   return s.from + s.jobs.length > s.end
     ? { ok: false, cause: 'jobs beyond the end of the log' }
-    : (r as { ok: true; value: LogPage });
+    : (r as { ok: true; value: CancellationLogPage });
 };
 
 /** Null where the asker holds nothing, or says so in a shape that we don't know. */
-export const parsePosition = (raw: unknown): LogPosition | null => {
+export const parsePosition = (raw: unknown): CancellationLogPosition | null => {
   const r = parseWith(position, raw);
-  return r.ok ? (r.value as LogPosition) : null;
+  return r.ok ? (r.value as CancellationLogPosition) : null;
 };
 
 export const parseCancelledJobs = (raw: unknown): JobId[] | null => {
--- a/src/wire/state.ts
+++ b/src/wire/key-value-store.ts
@@ -3,20 +3,20 @@
 import { counter, integer, parseWith, text } from './common.js';
 import type { FinalRecord, JobRecord, JobSpec, MachineInfo, MachineType } from '../core/types.js';
 import { LARGEST_SEGMENT_BYTES } from '../core/progress-segments.js';
-import type { Counter, JobId, NodeName, SegmentName, Stamp, Term, WallTime } from '../core/units.js';
+import type { Uint64, JobId, NodeName, SegmentName, Revision, Term, WallTime } from '../core/units.js';
 
 export interface Condition {
   key: string;
-  stamp: Stamp;
+  revision: Revision;
 }
-export type Change = { put: string; data: unknown; lease?: Counter } | { delete: string };
+export type Change = { put: string; data: unknown; lease?: Uint64 } | { delete: string };
 export interface Transaction {
   if: Condition[];
   then: Change[];
 }
 
 export const transactionBody = (t: Transaction) => ({
-  if: t.if.map((c) => ({ key: c.key, stamp: integer(c.stamp) })),
+  if: t.if.map((c) => ({ key: c.key, stamp: integer(c.revision) })),
   then: t.then.map((c) =>
     'put' in c
       ? c.lease === undefined
@@ -60,7 +60,7 @@
 
 export const listTarget = (prefix: string, since: string | null, most: number) =>
   `/store?under=${prefix}${since === null ? '' : `&since=${since}`}&most=${most}`;
-export const watchTarget = (prefix: string, since: Counter, waitMs: number) =>
+export const watchTarget = (prefix: string, since: Uint64, waitMs: number) =>
   `/changes?under=${prefix}&since=${since}&blockMs=${waitMs}`;
 export const leaseBody = (ttlMs: number) => ({ ttlMs });
 
@@ -72,12 +72,12 @@
   typesPage: (page: number) => `c/types/${page}`,
   activePrefix: 'j/',
   progressPrefix: 'p/',
-  rosterPrefix: 'm/',
+  registryPrefix: 'm/',
   leaderPrefix: 'l/',
   active: (id: JobId) => `j/${id}`,
   final: (id: JobId) => `f/${id}`,
   progress: (id: JobId, segment: SegmentName) => `p/${id}/${segment}`,
-  rosterPage: (page: string) => `m/${page}`,
+  registryPage: (page: string) => `m/${page}`,
 };
 
 // Our own records are written by us alone, but a damaged one must not crash a controller: shapes are checked.
@@ -138,41 +138,41 @@
 /** Whether a job's record says that it is cancelled; cheaper than reading all of it. */
 export const saysCancelled = (raw: unknown): boolean =>
   typeof raw === 'object' && raw !== null && 'cancelledAt' in raw && typeof raw.cancelledAt === 'number';
-export const parseFinal = (raw: unknown): FinalRecord | null => {
+export const parseFinalRecord = (raw: unknown): FinalRecord | null => {
   const record = orNull(finalRecord, raw);
   return record && { state: record.state === 'done' ? 'done' : 'cancelled', tasks: record.tasks };
 };
-export const finalData = ({ state, tasks }: FinalRecord) => ({
+export const finalRecordData = ({ state, tasks }: FinalRecord) => ({
   state: state === 'done' ? 'done' : STORED_CANCELLED,
   tasks,
 });
-export const parseLeader = (raw: unknown) =>
+export const parseLeaderRecord = (raw: unknown) =>
   orNull(leaderRecord, raw) as { node: NodeName; term: Term } | null;
-export const parseTerm = (raw: unknown) => (orNull(termRecord, raw)?.term ?? null) as Term | null;
-export const parseRosterPage = (raw: unknown): MachineInfo[] | null => {
+export const parseTermRecord = (raw: unknown) => (orNull(termRecord, raw)?.term ?? null) as Term | null;
+export const parseRegistryPage = (raw: unknown): MachineInfo[] | null => {
   const r = orNull(rosterPageRecord, raw);
   // The endpoint is not kept: the machine's first report tells it.
   return r === null ? null : (r.machines.map((m) => ({ ...m, endpoint: '' })) as unknown as MachineInfo[]);
 };
-export const rosterRecord = (machines: MachineInfo[]) => ({
+export const registryPageData = (machines: MachineInfo[]) => ({
   machines: machines.map(({ id, type, zone, spot }) => ({ id, type, zone, spot })),
 });
 /** Machines on one page at the most, however much a value may hold. */
 const MOST_ON_PAGE = 100;
 /** Whether one page can name all of these machines. */
-export const fitsRosterPage = (machines: MachineInfo[], valueKb: number): boolean =>
-  machines.length <= MOST_ON_PAGE && fitsValue(rosterRecord(machines), valueKb);
+export const fitsRegistryPage = (machines: MachineInfo[], valueKb: number): boolean =>
+  machines.length <= MOST_ON_PAGE && fitsValue(registryPageData(machines), valueKb);
 /** The size of a value as the state service counts it: in the form of JSON. */
 export const storedBytes = (data: unknown): number => Buffer.byteLength(JSON.stringify(data));
 /** Whether the service takes the value. */
 export const fitsValue = (data: unknown, valueKb: number): boolean => storedBytes(data) <= valueKb * 1024;
-export const progressData = (bytes: Uint8Array) => ({ bits: Buffer.from(bytes).toString('base64') });
+export const progressRecordData = (bytes: Uint8Array) => ({ bits: Buffer.from(bytes).toString('base64') });
 /** How many bytes of completions fit one value: base64 makes four characters of three bytes. */
 export const segmentBytes = (valueKb: number): number => {
-  const characters = valueKb * 1024 - storedBytes(progressData(new Uint8Array(0)));
+  const characters = valueKb * 1024 - storedBytes(progressRecordData(new Uint8Array(0)));
   return Math.max(3, Math.min(LARGEST_SEGMENT_BYTES, Math.floor(characters / 4) * 3));
 };
-export const parseProgress = (raw: unknown) => orNull(progressRecord, raw)?.bits ?? null;
+export const parseProgressRecord = (raw: unknown) => orNull(progressRecord, raw)?.bits ?? null;
 const typesPage = v.object({ pages: v.number(), types: v.array(v.record(v.string(), v.unknown())) });
 export const parseTypesPage = (raw: unknown) =>
   orNull(typesPage, raw) as unknown as { pages: number; types: MachineType[] } | null;
--- a/src/wire/peer-messages.ts
+++ b/src/wire/peer-messages.ts
@@ -2,10 +2,10 @@
 // and fields that an older version doesn't send have a value that claims nothing.
 import * as v from 'valibot';
 import { amount, parseWith, safeCount, text } from './common.js';
-import type { LogPosition } from '../core/cancellations.js';
-import type { ImageLocations } from '../core/leader.js';
-import type { UnchangedReport } from '../core/types.js';
-import type { Counter, MachineId, NodeName, Term } from '../core/units.js';
+import type { CancellationLogPosition } from '../core/cancellation-log.js';
+import type { ImageLocations } from '../core/leader/leader.js';
+import type { UnchangedHeartbeat } from '../core/types.js';
+import type { Uint64, MachineId, NodeName, Term } from '../core/units.js';
 
 export interface LeaderStatus {
   node: NodeName;
@@ -27,12 +27,12 @@
 
 /** What goes to a leader, directly or over a peer. */
 export type LeaderRequest =
-  { kind: 'relay'; report: Uint8Array } | { kind: 'vouch'; term: Term; machines: UnchangedReport[] };
+  { kind: 'relay'; report: Uint8Array } | { kind: 'vouch'; term: Term; machines: UnchangedHeartbeat[] };
 
 export type PeerRequest =
   | LeaderRequest
   /** `have`: how much of the answerer's log of cancellations the asker holds. */
-  | { kind: 'heartbeat'; from: PeerStatus; have: LogPosition | null }
+  | { kind: 'heartbeat'; from: PeerStatus; have: CancellationLogPosition | null }
   | { kind: 'cancelled'; jobs: string[] }
   /** Which of these machines reported to the answerer itself lately? */
   | { kind: 'heard'; machines: string[] }
@@ -84,9 +84,16 @@
   leaderSeenAgoMs: v.optional(v.nullable(amount), null),
 });
 const isObject = (raw: unknown): raw is Record<string, unknown> => typeof raw === 'object' && raw !== null;
-const isCounter = (raw: unknown): raw is Counter =>
+const isCounter = (raw: unknown): raw is Uint64 =>
   typeof raw === 'bigint' ? raw >= 0n : Number.isSafeInteger(raw) && (raw as number) >= 0;
-const isUnchangedReport = (raw: unknown): raw is UnchangedReport =>
+/** An unchanged heartbeat as it is encoded. */
+interface EncodedUnchangedHeartbeat {
+  machine: MachineId;
+  session: Uint64;
+  seq: Uint64;
+  base: Uint64;
+}
+const isUnchangedHeartbeat = (raw: unknown): raw is EncodedUnchangedHeartbeat =>
   isObject(raw) &&
   typeof raw['machine'] === 'string' &&
   isCounter(raw['session']) &&
@@ -97,14 +104,22 @@
 const isLocations = (raw: unknown): raw is [string, number][] => Array.isArray(raw) && raw.every(isLocation);
 
 // Lists as long as the cluster is large, several times a second: checked by plain functions, at a fortieth of the cost.
-const unchangedReports = v.custom<UnchangedReport[]>(
-  (raw) => Array.isArray(raw) && raw.every(isUnchangedReport),
+const unchangedHeartbeats = v.pipe(
+  v.custom<EncodedUnchangedHeartbeat[]>((raw) => Array.isArray(raw) && raw.every(isUnchangedHeartbeat)),
+  v.transform((encoded): UnchangedHeartbeat[] =>
+    encoded.map(({ machine, session, seq, base }) => ({
+      machine,
+      incarnation: session,
+      sequence: seq,
+      baseSequence: base,
+    })),
+  ),
 );
 const imageLocations = v.custom<ImageLocations>(
   (raw) => isObject(raw) && Object.values(raw).every(isLocations),
 );
 const relay = v.object({ kind: v.literal('relay'), report: bytes });
-const vouch = v.object({ kind: v.literal('vouch'), term: safeCount, machines: unchangedReports });
+const vouch = v.object({ kind: v.literal('vouch'), term: safeCount, machines: unchangedHeartbeats });
 
 const request = v.variant('kind', [
   relay,
@@ -136,6 +151,24 @@
   counts: v.object({ counts: v.nullable(v.object({ done: v.number(), running: v.number() })) }),
 };
 
+const encodeLeaderRequest = (message: LeaderRequest): unknown =>
+  message.kind === 'vouch'
+    ? { ...message, machines: message.machines.map(encodeUnchangedHeartbeat) }
+    : message;
+
+const encodeUnchangedHeartbeat = (heartbeat: UnchangedHeartbeat): EncodedUnchangedHeartbeat => ({
+  machine: heartbeat.machine,
+  session: heartbeat.incarnation,
+  seq: heartbeat.sequence,
+  base: heartbeat.baseSequence,
+});
+
+/** A request in its encoded form. */
+export const encodePeerRequest = (message: PeerRequest): unknown => {
+  if (message.kind === 'forward') return { ...message, request: encodeLeaderRequest(message.request) };
+  return message.kind === 'vouch' ? encodeLeaderRequest(message) : message;
+};
+
 export type Parsed<T> = { ok: true; value: T } | { ok: false; cause: string };
 
 export const parsePeerRequest = (raw: unknown): Parsed<PeerRequest> =>
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,12 +1,12 @@
 // Users' side: job submissions, status answers.
 import * as v from 'valibot';
 import { amount, parseWith, safeCount, text } from './common.js';
-import type { JobSpec, Kind } from '../core/types.js';
+import type { JobSpec, JobKind } from '../core/types.js';
 import type { JobId, Team, TypeName, Zone } from '../core/units.js';
 
 const MAX_TASKS = 100_000;
 const JOB_ID = /^wk-\d{1,32}$/;
-const kinds: Record<string, Kind> = { array: 'array', group: 'gang', service: 'service' };
+const kinds: Record<string, JobKind> = { array: 'array', group: 'gang', service: 'service' };
 
 const schema = v.object({
   nameId: v.pipe(v.string(), v.regex(JOB_ID)),
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,17 +1,8 @@
 // Workers' side: reports and commands.
 import * as v from 'valibot';
 import { amount, counter, integer, parseWith, safeCount, text } from './common.js';
-import type { Command, Report, ReportedTask, TaskState } from '../core/types.js';
-import type {
-  Attempt,
-  Counter,
-  Endpoint,
-  JobId,
-  MachineId,
-  NodeName,
-  TypeName,
-  Zone,
-} from '../core/units.js';
+import type { Command, Heartbeat, TaskStatus, TaskState } from '../core/types.js';
+import type { Attempt, Uint64, Endpoint, JobId, MachineId, NodeName, TypeName, Zone } from '../core/units.js';
 
 const states: Record<string, TaskState> = {
   pulling: 'fetching',
@@ -44,7 +35,7 @@
   ),
 });
 
-const parseTask = (t: v.InferOutput<typeof schema>['hands'][number]): ReportedTask => {
+const parseTask = (t: v.InferOutput<typeof schema>['hands'][number]): TaskStatus => {
   const slash = t.hand.indexOf('/');
   return {
     job: t.hand.slice(0, slash) as JobId,
@@ -56,7 +47,9 @@
   };
 };
 
-export const parseReport = (raw: unknown): { ok: true; value: Report } | { ok: false; cause: string } => {
+export const parseHeartbeat = (
+  raw: unknown,
+): { ok: true; value: Heartbeat } | { ok: false; cause: string } => {
   const r = parseWith(schema, raw);
   if (!r.ok) return r;
   const m = r.value;
@@ -68,10 +61,10 @@
       type: m.breed as TypeName,
       zone: m.pasture as Zone,
       spot: m.loaners,
-      session: m.shift,
-      seq: m.tally,
-      token: m.reins,
-      noticeS: m.recallS ?? null,
+      incarnation: m.shift,
+      sequence: m.tally,
+      fencingToken: m.reins,
+      interruptionNoticeS: m.recallS ?? null,
       tasks: m.hands.map(parseTask),
     },
   };
@@ -83,18 +76,18 @@
     case 'start':
       return { call: 'run', ...base };
     case 'stop':
-      return { call: 'kill', ...base, slackS: c.graceS };
+      return { call: 'kill', ...base, slackS: c.gracePeriodS };
     case 'forget':
       return { call: 'reap', ...base };
   }
 };
 
-export const reportAnswer = (token: Counter, commands: Command[]) => ({
+export const heartbeatReply = (token: Uint64, commands: Command[]) => ({
   reins: integer(token),
   calls: commands.map(encodeCommand),
 });
 
-export const ordersBody = (token: Counter, session: Counter, commands: Command[]) => ({
+export const directCommandsBody = (token: Uint64, session: Uint64, commands: Command[]) => ({
   reins: integer(token),
   shift: integer(session),
   calls: commands.map(encodeCommand),
