--- /dev/null
+++ b/lint/strict.js
@@ -0,0 +1,84 @@
+/** Rules of shape, names and documentation that every module is to satisfy. */
+import { createTypeScriptImportResolver } from 'eslint-import-resolver-typescript';
+import importX from 'eslint-plugin-import-x';
+import jsdoc from 'eslint-plugin-jsdoc';
+import { brookspur } from './plugin.js';
+
+/** Short names whose meaning is plain everywhere. */
+const SHORT_NAMES = [
+  'a',
+  'at',
+  'b',
+  'by',
+  'i',
+  'id',
+  'if',
+  'ip',
+  'j',
+  'ms',
+  'of',
+  'ok',
+  'on',
+  'op',
+  't',
+  'to',
+  'up',
+  'v',
+];
+
+/** Layers from the top; a module imports from its own layer and those below it. */
+const LAYERS = ['main.ts', 'cli', 'runtime', 'wire', 'config', 'core'];
+const upwardImports = LAYERS.flatMap((layer, i) =>
+  LAYERS.slice(0, i).map((above) => ({ target: `./src/${layer}`, from: `./src/${above}` })),
+);
+
+const MAX_FILE_LINES = 300;
+const MAX_FUNCTION_LINES = 50;
+
+/** Where the protocols' own names are mapped, and the stand-ins and tests that speak the protocols themselves. */
+export const protocolEdge = [
+  'src/wire/**',
+  'src/config/**',
+  'src/test/sim/{worker-host,user,cloud-service,key-value-store}.ts',
+  'src/test/{wire,peer-messages,upgrade}.test.ts',
+];
+
+export const plugins = { brookspur, 'import-x': importX, jsdoc };
+
+/** For the resolution of `.js` imports to their TypeScript sources. */
+export const settings = { 'import-x/resolver-next': [createTypeScriptImportResolver()] };
+
+/** Hold in every file. */
+export const importRules = {
+  'import-x/no-cycle': 'error',
+  'import-x/no-restricted-paths': ['error', { zones: upwardImports }],
+};
+
+export const shapeRules = {
+  'max-lines': ['error', { max: MAX_FILE_LINES, skipBlankLines: true, skipComments: true }],
+  'max-lines-per-function': [
+    'error',
+    { max: MAX_FUNCTION_LINES, skipBlankLines: true, skipComments: true, IIFEs: true },
+  ],
+};
+
+export const nameRules = {
+  'id-length': ['error', { min: 3, properties: 'never', exceptions: SHORT_NAMES }],
+  'brookspur/vocabulary': 'error',
+};
+
+export const docRules = {
+  'brookspur/module-comment': 'error',
+  'jsdoc/require-jsdoc': [
+    'error',
+    {
+      publicOnly: false,
+      enableFixer: false,
+      require: { FunctionDeclaration: false },
+      contexts: [
+        'ExportNamedDeclaration[declaration]',
+        'MethodDefinition[kind="method"][accessibility!="private"][override!=true]',
+      ],
+    },
+  ],
+};
