--- a/lint/strict.js
+++ b/lint/strict.js
@@ -46,7 +46,11 @@
 export const plugins = { brookspur, 'import-x': importX, jsdoc };
 
 /** For the resolution of `.js` imports to their TypeScript sources. */
-export const settings = { 'import-x/resolver-next': [createTypeScriptImportResolver()] };
+export const settings = {
+  'import-x/resolver-next': [createTypeScriptImportResolver()],
+  'import-x/parsers': { '@typescript-eslint/parser': ['.ts'] },
+  'import-x/extensions': ['.ts', '.js'],
+};
 
 /** Hold in every file. */
 export const importRules = {
