--- a/src/build/compile-settings.ts
+++ b/src/build/compile-settings.ts
@@ -4,7 +4,7 @@
 import { fileURLToPath } from 'node:url';
 import hclParser from 'hcl2-json-parser';
 import { parseOperatorSettings } from '../config/operator.js';
-import { ConfigError } from '../config/check.js';
+import { ConfigError } from '../config/validation.js';
 
 /** The package comes without types. */
 const hcl = hclParser as { parseToObject: (source: string) => Promise<unknown> };
--- a/src/cli/run.ts
+++ b/src/cli/run.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { parseArgs } from 'node:util';
-import { ConfigError } from '../config/check.js';
+import { ConfigError } from '../config/validation.js';
 import { readOperatorSettings } from '../config/operator.js';
 import { platformWarnings, readPlatformSettings } from '../config/platform.js';
 
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,6 +1,6 @@
 import { existsSync, readFileSync } from 'node:fs';
 import * as v from 'valibot';
-import { ConfigError, check } from './check.js';
+import { ConfigError, validateSettings } from './validation.js';
 
 const between = (low: number, high: number, def: number) =>
   v.optional(v.pipe(v.number(), v.minValue(low), v.maxValue(high)), def);
@@ -29,7 +29,7 @@
 }
 
 export const parseOperatorSettings = (raw: unknown): OperatorSettings => {
-  const c = check(schema, raw, 'operator settings');
+  const c = validateSettings(schema, raw, 'operator settings');
   return {
     leaseMs: c.leadership[0].lease_ms ?? 3000,
     idleHoldS: c.scaling[0].idle_hold_s ?? 15,
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
-import { ConfigError, check } from './check.js';
+import { ConfigError, validateSettings } from './validation.js';
 import type { TeamQuota } from '../core/types.js';
 import type { NodeName, Team, Zone } from '../core/units.js';
 
@@ -103,8 +103,8 @@
 export interface PlatformSettings {
   name: NodeName;
   zone: Zone;
-  publicAddr: Address;
-  internalAddr: Address;
+  publicAddress: Address;
+  internalAddress: Address;
   peers: { name: NodeName; zone: Zone; address: Address }[];
   cloudProvider: Address;
   keyValueStore: Address;
@@ -132,7 +132,7 @@
   } catch (e) {
     throw new ConfigError(`settings: not TOML: ${String(e instanceof Error ? e.message : e).split('\n')[0]}`);
   }
-  const c = check(schema, raw, 'settings');
+  const c = validateSettings(schema, raw, 'settings');
   const s = c.settings;
   const names = s.teams.map((team) => team.name);
   const twice = names.findIndex((name, i) => names.indexOf(name) < i);
@@ -143,8 +143,8 @@
   return {
     name: c.node_name as NodeName,
     zone: c.area as Zone,
-    publicAddr: parseAddress(c.public_addr),
-    internalAddr: parseAddress(c.internal_addr),
+    publicAddress: parseAddress(c.public_addr),
+    internalAddress: parseAddress(c.internal_addr),
     peers: c.peers.map((p) => ({
       name: p.node_name as NodeName,
       zone: p.area as Zone,
--- a/src/config/check.ts
+++ b/src/config/validation.ts
@@ -3,7 +3,11 @@
 /** A configuration problem, told in one line: field, value, and what is expected. */
 export class ConfigError extends Error {}
 
-export const check = <S extends v.GenericSchema>(schema: S, raw: unknown, what: string): v.InferOutput<S> => {
+export const validateSettings = <S extends v.GenericSchema>(
+  schema: S,
+  raw: unknown,
+  what: string,
+): v.InferOutput<S> => {
   const result = v.safeParse(schema, raw);
   if (result.success) return result.output;
   const issue = result.issues[0];
--- a/src/core/cancellation-log.ts
+++ b/src/core/cancellation-log.ts
@@ -164,7 +164,7 @@
 
 /** Log entries are kept for this many times `cancel_s`. */
 const KEPT_CANCELS = 4;
-export const keptMs = (cancelS: number): number => cancelS * 1000 * KEPT_CANCELS;
+export const cancellationRetentionMs = (cancelS: number): number => cancelS * 1000 * KEPT_CANCELS;
 
 /** Between the lease's end on the worker's clock and the tasks' end as others see it. */
 const MARGIN_MS = 1500;
--- a/src/core/election.ts
+++ b/src/core/election.ts
@@ -3,7 +3,7 @@
 import type { Uint64, NodeName, Revision, MonotonicTime, Term } from './units.js';
 
 export interface HeldLease {
-  lease: Uint64;
+  leaseId: Uint64;
   term: Term;
   keyRevision: Revision;
   /** Steady time at which the last successful renewal (or the grant) was sent. */
@@ -11,12 +11,12 @@
 }
 
 export interface ElectionState {
-  held: HeldLease | null;
+  heldLease: HeldLease | null;
   /** What the state service last said, or a peer with a higher term. */
   leader: { node: NodeName; term: Term } | null;
 }
 
-export const initialElectionState = (): ElectionState => ({ held: null, leader: null });
+export const initialElectionState = (): ElectionState => ({ heldLease: null, leader: null });
 
 const CLOCK_DRIFT = 0.001; // twice the published 0.05%, since two clocks are compared
 const MARGIN_MS = 50;
@@ -26,12 +26,12 @@
   (held.renewedAt + ttlMs * (1 - CLOCK_DRIFT) - MARGIN_MS) as MonotonicTime;
 
 export const hasAuthority = (e: ElectionState, ttlMs: number, now: MonotonicTime): boolean =>
-  e.held !== null && now < leaseExpiresAt(e.held, ttlMs);
+  e.heldLease !== null && now < leaseExpiresAt(e.heldLease, ttlMs);
 
-export const learnLeader = (e: ElectionState, node: NodeName, term: Term): void => {
+export const recordLeader = (e: ElectionState, node: NodeName, term: Term): void => {
   if (e.leader === null || term >= e.leader.term) e.leader = { node, term };
   // A higher term means that our lease is gone, whatever our own clock says.
-  if (e.held !== null && term > e.held.term) e.held = null;
+  if (e.heldLease !== null && term > e.heldLease.term) e.heldLease = null;
 };
 
-export const highestTerm = (e: ElectionState): Term => (e.leader?.term ?? 0) as Term;
+export const highestKnownTerm = (e: ElectionState): Term => (e.leader?.term ?? 0) as Term;
--- a/src/core/in-flight-starts.ts
+++ b/src/core/in-flight-starts.ts
@@ -17,19 +17,19 @@
   }
 
   /** A copy is about to be sent. */
-  sent(key: AttemptKey): void {
+  recordSent(key: AttemptKey): void {
     this.copiesInFlight.set(key, (this.copiesInFlight.get(key) ?? 0) + 1);
   }
 
   /** That copy was never sent after all; earlier ones were. */
-  neverSent(key: AttemptKey): void {
+  recordUnsent(key: AttemptKey): void {
     const left = (this.copiesInFlight.get(key) ?? 0) - 1;
     if (left > 0) this.copiesInFlight.set(key, left);
     else this.copiesInFlight.delete(key);
   }
 
   /** The worker refused a copy for its token or session, and will refuse every earlier one. */
-  refused(key: AttemptKey): void {
+  recordRefused(key: AttemptKey): void {
     this.copiesInFlight.delete(key);
   }
 
--- a/src/core/job.ts
+++ b/src/core/job.ts
@@ -17,7 +17,7 @@
   attempt: Attempt;
   assignedAt: MonotonicTime;
   /** The report that was answered with the start command; settled by a newer report of the same machine. */
-  startSentInReplyTo: { session: Uint64; seq: Uint64 } | null;
+  startSentInReplyTo: { incarnation: Uint64; sequence: Uint64 } | null;
   /** A start went straight to the worker and its answer is still awaited. */
   directStartInFlight: boolean;
   /** A start sent straight to the worker got no answer: it may still arrive, until the session moves on. */
@@ -25,7 +25,7 @@
   observed: boolean;
   running: boolean;
   runningSince: MonotonicTime | null;
-  stop: { graceS: number; since: MonotonicTime; why: string } | null;
+  stop: { graceS: number; since: MonotonicTime; reason: string } | null;
   /** Started after a long wait: not preempted, or it would starve all the same. */
   unpreemptible: boolean;
 }
@@ -66,7 +66,7 @@
   readonly placements = new Map<number, Placement>();
   readonly completedBits: Uint8Array;
   readonly durableBits: Uint8Array;
-  doneCount = 0;
+  completedCount = 0;
   /** Tasks whose completion the state service doesn't hold yet, and that no write under way has. */
   readonly unpersistedCompletions = new Set<number>();
   progressPersistedAt = -Infinity;
@@ -80,7 +80,7 @@
   backoffUntil = -Infinity;
   /** Room that appears after this rejection ends its back-off early. */
   rejectedAtCapacityVersion = -1;
-  rejections = 0;
+  placementRejections = 0;
   /** Error back-off isn't cut short by free capacity: the job itself may be at fault. */
   errorBackoffUntil = -Infinity;
   errorCount = 0;
@@ -164,12 +164,12 @@
     );
   }
 
-  get allDone(): boolean {
-    return this.doneCount === this.spec.tasks;
+  get allCompleted(): boolean {
+    return this.completedCount === this.spec.tasks;
   }
 
   get pendingCount(): number {
-    return this.spec.tasks - this.doneCount - this.placedNotDone;
+    return this.spec.tasks - this.completedCount - this.placedNotDone;
   }
 
   get runningCount(): number {
@@ -178,7 +178,7 @@
     return n;
   }
 
-  isDone(index: number): boolean {
+  isCompleted(index: number): boolean {
     return (this.completedBits[index >> 3] & (1 << (index & 7))) !== 0;
   }
 
@@ -186,39 +186,42 @@
     return (this.durableBits[index >> 3] & (1 << (index & 7))) !== 0;
   }
 
-  markDone(index: number): void {
-    if (index >= this.spec.tasks || this.isDone(index)) return;
+  markCompleted(index: number): void {
+    if (index >= this.spec.tasks || this.isCompleted(index)) return;
     this.completedBits[index >> 3] |= 1 << (index & 7);
-    this.doneCount++;
+    this.completedCount++;
     if (this.placements.has(index)) this.placedNotDone--;
     this.unpersistedCompletions.add(index);
   }
 
   /** The first n tasks that are neither done nor placed; none is taken away. */
-  pending(n: number): number[] {
+  firstPending(n: number): number[] {
     const out: number[] = [];
     for (const index of this.requeued) {
-      if (this.isDone(index) || this.placements.has(index)) this.requeued.delete(index);
+      if (this.isCompleted(index) || this.placements.has(index)) this.requeued.delete(index);
       else if (out.length < n) out.push(index);
       else break;
     }
     const skip = new Set(out);
-    while (this.cursor < this.spec.tasks && (this.isDone(this.cursor) || this.placements.has(this.cursor))) {
+    while (
+      this.cursor < this.spec.tasks &&
+      (this.isCompleted(this.cursor) || this.placements.has(this.cursor))
+    ) {
       this.cursor++;
     }
     for (let i = this.cursor; i < this.spec.tasks && out.length < n; i++) {
-      if (!this.isDone(i) && !this.placements.has(i) && !skip.has(i)) out.push(i);
+      if (!this.isCompleted(i) && !this.placements.has(i) && !skip.has(i)) out.push(i);
     }
     return out;
   }
 
-  place(p: Placement): void {
-    if (!this.placements.has(p.index) && !this.isDone(p.index)) this.placedNotDone++;
+  addPlacement(p: Placement): void {
+    if (!this.placements.has(p.index) && !this.isCompleted(p.index)) this.placedNotDone++;
     this.placements.set(p.index, p);
   }
 
-  release(index: number): void {
-    if (!this.placements.delete(index) || this.isDone(index)) return;
+  removePlacement(index: number): void {
+    if (!this.placements.delete(index) || this.isCompleted(index)) return;
     this.placedNotDone--;
     if (index < this.cursor) this.requeued.add(index);
   }
@@ -232,8 +235,8 @@
     }
     let count = 0;
     for (const byte of this.completedBits) for (let b = byte; b !== 0; b &= b - 1) count++;
-    this.doneCount = count;
+    this.completedCount = count;
     this.placedNotDone = 0;
-    for (const index of this.placements.keys()) if (!this.isDone(index)) this.placedNotDone++;
+    for (const index of this.placements.keys()) if (!this.isCompleted(index)) this.placedNotDone++;
   }
 }
--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -5,8 +5,8 @@
 import { Job } from '../job.js';
 import {
   capacityKey,
-  planScaling,
-  type ScaleOutOrder,
+  planScaleOut,
+  type ScaleOutRequest,
   type CapacityDemand,
 } from '../scaling/scale-out-plan.js';
 import { priorityRank, type Resources } from '../types.js';
@@ -29,7 +29,7 @@
 export class Autoscaler {
   private readonly refusedUntil = new Map<string, MonotonicTime>();
   private readonly refusals = new Map<string, number>();
-  private readonly rents = new Map<string, ScaleOutOrder>();
+  private readonly rents = new Map<string, ScaleOutRequest>();
   private requests = 0;
 
   lastScaledAt = -Infinity;
@@ -98,7 +98,7 @@
     }
     const wants: { want: CapacityDemand; rank: number }[] = [];
     for (const [job, gone] of lost) {
-      const zones = this.state.zonesOf(job);
+      const zones = this.state.placementsByZone(job);
       let tasks = 0;
       for (const [zone, n] of gone) {
         const left = (zones.get(zone) ?? 0) - n;
@@ -112,7 +112,7 @@
         spec: job.spec,
         tasks: gang ? job.spec.tasks : tasks,
         zones: gang ? new Map<Zone, number>() : zones,
-        expected: false,
+        isForecast: false,
       };
       wants.push({ want, rank: priorityRank[job.priority] });
     }
@@ -134,7 +134,7 @@
   }
 
   /** In requests of the size that the cloud takes; each has a name of its own, which a repeat keeps. */
-  private request(order: ScaleOutOrder): void {
+  private request(order: ScaleOutRequest): void {
     for (let left = order.count; left > 0; left -= MOST_RENTED) {
       const request = `t${this.state.leadership.term}-${++this.requests}`;
       const part = { ...order, count: Math.min(left, MOST_RENTED) };
@@ -144,7 +144,7 @@
   }
 
   scale(waiting: Job[], now: MonotonicTime): void {
-    if (now - this.lastScaledAt < 500 || this.state.types.length === 0) return;
+    if (now - this.lastScaledAt < 500 || this.state.machineTypes.length === 0) return;
     this.lastScaledAt = now;
     const rooms: { machine: Machine; free: Resources }[] = [];
     const silent: Machine[] = [];
@@ -163,34 +163,38 @@
     const wants: CapacityDemand[] = waiting.map((job) => ({
       spec: job.spec,
       tasks: Math.min(job.pendingCount, 200),
-      zones: this.state.zonesOf(job),
-      expected: false,
+      zones: this.state.placementsByZone(job),
+      isForecast: false,
     }));
     wants.unshift(...this.replacements(silent));
-    for (const e of this.arrivalRates.expectedTasks(this.state.types, this.state.settings.headroom, now)) {
-      wants.push({ spec: e.spec, tasks: e.tasks, zones: new Map(), expected: true });
+    for (const e of this.arrivalRates.forecastTasks(
+      this.state.machineTypes,
+      this.state.settings.headroom,
+      now,
+    )) {
+      wants.push({ spec: e.spec, tasks: e.tasks, zones: new Map(), isForecast: true });
     }
     const { refusedUntil } = this;
-    const plan = planScaling({
+    const plan = planScaleOut({
       capacities: rooms,
       demands: wants,
-      types: this.state.types,
-      refusedUntil,
+      types: this.state.machineTypes,
+      unavailableUntil: refusedUntil,
       now,
-      maxNew: this.mostNew(wants),
+      maxNewMachines: this.mostNew(wants),
     });
     const pending = this.rents.size > 0;
     // Machines that no roster names may be up, as at a first leader's start: none is rented beside them unseen.
     const blind = !this.state.machinesListed && now - this.state.startedAt < UNLISTED_MS;
     if (!pending && !blind) {
-      for (const order of plan.orders) this.request(order);
+      for (const order of plan.requests) this.request(order);
     }
     for (const m of this.state.machines.values()) {
       if (
         !m.up ||
         m.decommissioning ||
         m.busy ||
-        plan.needed.has(m.id) ||
+        plan.neededMachines.has(m.id) ||
         m.idleSince === null ||
         !m.reconciled
       )
--- a/src/core/leader/deadline-prediction.ts
+++ b/src/core/leader/deadline-predictor.ts
@@ -16,7 +16,7 @@
 };
 
 /** Predicts when jobs with a deadline end, and says so once when the prediction turns. */
-export class DeadlinePrediction {
+export class DeadlinePredictor {
   private lookedAt = -Infinity;
 
   constructor(private readonly state: LeaderState) {}
--- a/src/core/leader/decision-log.ts
+++ b/src/core/leader/decision-log.ts
@@ -49,7 +49,7 @@
     private readonly log: Log,
   ) {}
 
-  commandsSent(machine: Machine, commands: readonly Command[], channel: CommandChannel): void {
+  recordCommandsSent(machine: Machine, commands: readonly Command[], channel: CommandChannel): void {
     const { term } = this;
     const { id, incarnation } = machine;
     for (const { op, job, index: task, attempt } of commands) {
@@ -62,18 +62,18 @@
     }
   }
 
-  released(job: Job, placement: Placement, cause: ReleaseCause): void {
+  recordReleased(job: Job, placement: Placement, cause: ReleaseCause): void {
     this.counts.released++;
     const { index: task, attempt, machine } = placement;
     this.log('debug', { job: job.id, task, attempt, machine, term: this.term, cause }, 'task released');
   }
 
-  adopted(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
+  recordAdopted(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
     this.counts.adopted++;
     this.log('debug', { job, task, attempt, machine: machine.id, term: this.term }, 'task adopted');
   }
 
-  completed(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
+  recordCompleted(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
     this.counts.completed++;
     this.log('debug', { job, task, attempt, machine: machine.id, term: this.term }, 'task completed');
   }
--- a/src/core/leader/direct-command-dispatcher.ts
+++ b/src/core/leader/direct-command-dispatcher.ts
@@ -55,13 +55,13 @@
   private noteStart(machine: Machine, { job, index, attempt }: Command): void {
     const placement = this.state.jobs.get(job)?.placements.get(index);
     if (placement) placement.directStartInFlight = true;
-    machine.inFlightStarts.sent(attemptKey(job, index, attempt));
+    machine.inFlightStarts.recordSent(attemptKey(job, index, attempt));
   }
 
   private send(machine: Machine, commands: Command[]): void {
     machine.directCommandInFlight = true;
     const { id, incarnation, info } = machine;
-    this.state.decisions.commandsSent(machine, commands, { via: 'direct' });
+    this.state.decisionLog.recordCommandsSent(machine, commands, { via: 'direct' });
     this.state.effects.push({
       kind: 'send-direct-commands',
       machine: id,
--- a/src/core/leader/effects.ts
+++ b/src/core/leader/effects.ts
@@ -1,5 +1,5 @@
 // What the leader asks the runtime to do, and what it is told at its start.
-import type { ScaleOutOrder } from '../scaling/scale-out-plan.js';
+import type { ScaleOutRequest } from '../scaling/scale-out-plan.js';
 import type { Command, JobRecord, MachineInfo, TeamQuota, WorkerTimings, FinalState } from '../types.js';
 import type { Uint64, Endpoint, JobId, MachineId, SegmentName, Revision } from '../units.js';
 
@@ -16,7 +16,7 @@
   | { kind: 'read-final-record'; job: JobId }
   | { kind: 'write-progress'; job: JobId; segment: SegmentName; bytes: Uint8Array }
   | { kind: 'write-registry-page'; page: string; machines: MachineInfo[] }
-  | { kind: 'create-machines'; request: string; order: ScaleOutOrder }
+  | { kind: 'create-machines'; request: string; order: ScaleOutRequest }
   | { kind: 'delete-machines'; machines: MachineId[] }
   | {
       kind: 'send-direct-commands';
--- a/src/core/leader/failure-detector.ts
+++ b/src/core/leader/failure-detector.ts
@@ -202,7 +202,7 @@
       longestMs = Math.max(longestMs, job.cancelledForMs(now, wall));
     if (this.state.unreconciledMachines.has(machine.id))
       for (const job of unlocated)
-        if (this.state.mayRunOnUnreconciled(job, machine))
+        if (this.state.mayHaveBeenStartedOn(job, machine))
           longestMs = Math.max(longestMs, job.cancelledForMs(now, wall));
     return longestMs > limitMs ? longestMs : null;
   }
--- a/src/core/leader/heartbeat-reconciler.ts
+++ b/src/core/leader/heartbeat-reconciler.ts
@@ -40,10 +40,10 @@
     for (const c of commands) {
       if (c.op !== 'start') continue;
       const p = this.state.jobs.get(c.job)?.placements.get(c.index);
-      if (p) p.startSentInReplyTo = { session: report.incarnation, seq: report.sequence };
+      if (p) p.startSentInReplyTo = { incarnation: report.incarnation, sequence: report.sequence };
     }
     this.state.machinesWithPendingCommands.delete(m);
-    this.state.decisions.commandsSent(m, commands, { via: 'report', seq: report.sequence });
+    this.state.decisionLog.recordCommandsSent(m, commands, { via: 'report', seq: report.sequence });
     return commands;
   }
 
@@ -94,8 +94,8 @@
       // Refused: it can't be carried out later either, nor can an earlier copy, since token and session only rise. Never
       // sent: that says nothing of an earlier copy. In every other case a copy may arrive late, even of a start that
       // was answered: the attempt must stay known there.
-      if (result.kind === 'refused') m.inFlightStarts.refused(key);
-      else if (result.kind === 'unsent') m.inFlightStarts.neverSent(key);
+      if (result.kind === 'refused') m.inFlightStarts.recordRefused(key);
+      else if (result.kind === 'unsent') m.inFlightStarts.recordUnsent(key);
       else if (result.kind === 'unknown' && own) own.directStartOutcomeUnknown = true;
     }
     if ((result.kind === 'executed' || result.kind === 'refused') && result.report)
@@ -119,7 +119,7 @@
       m.inSync &&
       m.reconciled &&
       report.interruptionNoticeS === null &&
-      sameTaskStatuses(m.lastReportedTasks, report.tasks)
+      sameTaskStatuses(m.lastHeartbeatTasks, report.tasks)
     ) {
       // Most reports of a large cluster: nothing has changed.
       m.lastHeartbeatAt = now;
@@ -145,10 +145,10 @@
     m.incarnation = report.incarnation;
     m.sequence = report.sequence;
     if (report.interruptionNoticeS !== null) this.notice(m, report.interruptionNoticeS, now);
-    m.lastReportedTasks = report.tasks;
+    m.lastHeartbeatTasks = report.tasks;
     m.processedSequence = report.sequence;
     m.invalidate();
-    m.taskStatuses = new Map(report.tasks.map((t) => [attemptKey(t.job, t.index, t.attempt), t]));
+    m.reportedTasks = new Map(report.tasks.map((t) => [attemptKey(t.job, t.index, t.attempt), t]));
     if (!m.reconciled) {
       m.reconciled = equalUint64(report.fencingToken, this.state.leadership.term);
       if (!m.reconciled) return m;
@@ -212,11 +212,14 @@
     let missed = false;
     for (const { job, placement: p } of m.placements.values()) {
       if (p.startSentInReplyTo === null || p.observed || p.stop) continue;
-      if (m.taskStatuses.has(attemptKey(job.id, p.index, p.attempt))) {
+      if (m.reportedTasks.has(attemptKey(job.id, p.index, p.attempt))) {
         m.unacknowledgedReplies = 0;
         return;
       }
-      if (report.incarnation === p.startSentInReplyTo.session && report.sequence > p.startSentInReplyTo.seq)
+      if (
+        report.incarnation === p.startSentInReplyTo.incarnation &&
+        report.sequence > p.startSentInReplyTo.sequence
+      )
         missed = true;
     }
     if (missed) {
@@ -234,14 +237,14 @@
         p.observed ||
         p.directStartInFlight ||
         p.directStartOutcomeUnknown ||
-        m.taskStatuses.has(attemptKey(job.id, p.index, p.attempt));
+        m.reportedTasks.has(attemptKey(job.id, p.index, p.attempt));
       if (!unsure) this.state.releasePlacement(job, p, 'not started by a worker that heeds no command', now);
     }
   }
 
   /** Everything that it should hold is there, and everything there should be. */
   private isQuiet(m: Machine): boolean {
-    for (const [key, t] of m.taskStatuses) {
+    for (const [key, t] of m.reportedTasks) {
       if (t.state === 'exited' ? !m.inFlightStarts.has(key) : t.state === 'saving') return false;
     }
     for (const { placement: p } of m.placements.values()) if (!p.observed || p.stop !== null) return false;
@@ -274,7 +277,7 @@
   private digest(m: Machine, report: Heartbeat, source: Source, now: MonotonicTime): void {
     for (const t of report.tasks) this.digestTask(m, t, now);
     for (const { job, placement: p } of [...m.placements.values()]) {
-      if (m.taskStatuses.has(attemptKey(job.id, p.index, p.attempt))) continue;
+      if (m.reportedTasks.has(attemptKey(job.id, p.index, p.attempt))) continue;
       if (p.directStartInFlight || p.directStartOutcomeUnknown) continue;
       if (p.observed) {
         this.state.loseTask(job, p, 'task vanished', now);
@@ -292,7 +295,8 @@
       if (t.state !== 'exited' || t.cause === 'done') m.recordImageUse(job.spec.image, job.spec.imageGb);
     }
     let p = job.placements.get(t.index);
-    if (!p && t.state !== 'exited' && !job.isDone(t.index) && !job.finalizing) p = this.adopt(m, job, t, now);
+    if (!p && t.state !== 'exited' && !job.isCompleted(t.index) && !job.finalizing)
+      p = this.adopt(m, job, t, now);
     const own = p && p.machine === m.id && p.attempt === t.attempt ? p : undefined;
     if (t.state === 'exited') {
       this.digestExit(m, job, t, own, now);
@@ -322,10 +326,10 @@
   ): void {
     if (t.cause === 'done') {
       // The tasks of a gang complete together.
-      if (job.spec.kind === 'gang') for (let i = 0; i < job.spec.tasks; i++) job.markDone(i);
-      else job.markDone(t.index);
+      if (job.spec.kind === 'gang') for (let i = 0; i < job.spec.tasks; i++) job.markCompleted(i);
+      else job.markCompleted(t.index);
       m.recentlyFailedJobs.clear();
-      if (own) this.state.decisions.completed(m, t);
+      if (own) this.state.decisionLog.recordCompleted(m, t);
     }
     if (!own) return;
     if (t.cause === 'error') this.taskError(m, job, now);
@@ -335,7 +339,14 @@
     if (t.cause === 'done') return;
     this.state.log(
       t.cause === 'stopped' ? 'debug' : 'info',
-      { job: job.id, task: t.index, machine: m.id, cause: t.cause, saved: t.saved, why: wanted?.why ?? null },
+      {
+        job: job.id,
+        task: t.index,
+        machine: m.id,
+        cause: t.cause,
+        saved: t.saved,
+        why: wanted?.reason ?? null,
+      },
       'task ended without completing',
     );
     if (job.spec.kind === 'gang')
@@ -371,10 +382,10 @@
   private adopt(m: Machine, job: Job, t: TaskStatus, now: MonotonicTime): Placement {
     const p = newPlacement(t.index, m.id, t.attempt, now);
     p.observed = true;
-    job.place(p);
+    job.addPlacement(p);
     m.assign(job, p);
-    this.state.decisions.adopted(m, t);
-    if (job.cancelled) p.stop = { graceS: 0, since: now, why: 'cancelled' };
+    this.state.decisionLog.recordAdopted(m, t);
+    if (job.cancelled) p.stop = { graceS: 0, since: now, reason: 'cancelled' };
     return p;
   }
 
@@ -392,6 +403,6 @@
 
 /** Whether this report shows that a start sent with the answer to an earlier one has been executed, or never will be. */
 const settlesStart = (report: Heartbeat, source: Source, { startSentInReplyTo }: Placement): boolean => {
-  if (startSentInReplyTo === null || report.incarnation > startSentInReplyTo.session) return true;
-  return source === 'report' && report.sequence > startSentInReplyTo.seq;
+  if (startSentInReplyTo === null || report.incarnation > startSentInReplyTo.incarnation) return true;
+  return source === 'report' && report.sequence > startSentInReplyTo.sequence;
 };
--- a/src/core/leader/job-completion.ts
+++ b/src/core/leader/job-completion.ts
@@ -23,7 +23,7 @@
       // Not while a machine that has not reported to this leader may hold its tasks: they count for their team's
       // limit, and that machine must be fenced in time.
       const gone = job.placements.size === 0 && !this.state.mayRunOnUnreconciledMachine(job);
-      if (!job.allDone && !(job.cancelled && gone)) continue;
+      if (!job.allCompleted && !(job.cancelled && gone)) continue;
       job.finalizing = true;
       const state = job.cancelled ? 'cancelled' : 'done';
       const segments = [...job.persistedSegments];
@@ -33,7 +33,7 @@
         job: id,
         revision: revision,
         state,
-        tasks: job.doneCount,
+        tasks: job.completedCount,
         segments,
       });
     }
@@ -125,7 +125,7 @@
       if (m) this.state.machinesWithPendingCommands.add(m);
     }
     this.state.jobs.delete(id);
-    this.dependencies.finished(id, outcome.state, now);
+    this.dependencies.onJobFinal(id, outcome.state, now);
     this.state.needsScheduling = true;
     this.state.log('debug', { job: id, cancelled: job.cancelled }, 'job finished');
   }
--- a/src/core/leader/job-dependencies.ts
+++ b/src/core/leader/job-dependencies.ts
@@ -37,7 +37,7 @@
   ) {}
 
   /** A job that is new to this leader. */
-  learn(job: Job, now: MonotonicTime): void {
+  addJob(job: Job, now: MonotonicTime): void {
     this.lookups.delete(job.id);
     for (const id of job.spec.dependsOn) this.dependOn(job, id, now);
     if (job.spec.dependsOn.length > 0) this.changed = true;
@@ -70,7 +70,7 @@
   }
 
   /** The job is over, as a record in the state service says that can't change any more. */
-  finished(id: JobId, final: FinalState, now: MonotonicTime): void {
+  onJobFinal(id: JobId, final: FinalState, now: MonotonicTime): void {
     this.lookups.delete(id);
     if (this.finalStates.size >= FINAL_STATES_KEPT)
       this.finalStates.delete(this.finalStates.keys().next().value!);
@@ -130,7 +130,7 @@
     lookup.open = false;
     lookup.askAgainAt = (now + LOOKUP_RETRY_MS) as MonotonicTime;
     this.state.changedSinceTick = true;
-    if (final !== null) this.finished(id, final, now);
+    if (final !== null) this.onJobFinal(id, final, now);
     else if (!this.dependents.has(id)) this.lookups.delete(id);
   }
 
--- a/src/core/leader/leader-state.ts
+++ b/src/core/leader/leader-state.ts
@@ -1,7 +1,7 @@
 // Shared by the parts of the leader; stopping and releasing of placements.
 import { Machine } from '../machine.js';
 import { fits } from '../resources.js';
-import { mayRunOn } from '../scheduler/rules.js';
+import { mayRunOn } from '../scheduler/placement-constraints.js';
 import { Job, type Placement } from '../job.js';
 import type { Resources, Leadership, MachineInfo, MachineType } from '../types.js';
 import type { JobId, MachineId, MonotonicTime, Zone } from '../units.js';
@@ -12,7 +12,7 @@
 export class LeaderState {
   readonly machines = new Map<MachineId, Machine>();
   readonly jobs = new Map<JobId, Job>();
-  types: MachineType[] = [];
+  machineTypes: MachineType[] = [];
   /** Machines that may hold tasks of an earlier leader and have not reported under our token. */
   readonly unreconciledMachines = new Set<MachineId>();
   /** Machines whose return was answered: lists lag and go on showing them for a while. */
@@ -27,7 +27,7 @@
   changedSinceTick = true;
   capacityVersion = 0;
 
-  readonly decisions: DecisionLog;
+  readonly decisionLog: DecisionLog;
 
   specOf = (id: JobId): Resources | null => this.jobs.get(id)?.spec ?? null;
 
@@ -36,7 +36,7 @@
     readonly settings: LeaderSettings,
     readonly startedAt: MonotonicTime,
   ) {
-    this.decisions = new DecisionLog(leadership.term, (...line) => this.log(...line));
+    this.decisionLog = new DecisionLog(leadership.term, (...line) => this.log(...line));
   }
 
   /**
@@ -46,7 +46,7 @@
   mayRunOnUnreconciledMachine(job: Job): boolean {
     if (!job.fromEarlierLeader || this.unreconciledMachines.size === 0 || this.neverStarted(job))
       return false;
-    return this.unheardKinds().some((m) => this.mayRunOnUnreconciled(job, m));
+    return this.unheardKinds().some((m) => this.mayHaveBeenStartedOn(job, m));
   }
 
   /** A job that it depends on is not over, or was cancelled: no leader has started anything of it. */
@@ -57,7 +57,7 @@
   }
 
   /** Whether an earlier leader may have started a task of the job on this machine, which has not been heard since. */
-  mayRunOnUnreconciled(job: Job, { info, type }: Machine): boolean {
+  mayHaveBeenStartedOn(job: Job, { info, type }: Machine): boolean {
     if (!job.fromEarlierLeader || this.neverStarted(job)) return false;
     return (
       mayRunOn(job.spec, info.type, info.zone, info.spot) && (type === undefined || fits(job.spec, type))
@@ -87,10 +87,10 @@
   }
 
   releasePlacement(job: Job, p: Placement, cause: ReleaseCause, now: MonotonicTime): void {
-    this.decisions.released(job, p, cause);
+    this.decisionLog.recordReleased(job, p, cause);
     const m = this.machines.get(p.machine);
     m?.unassign(job.id, p.index);
-    job.release(p.index);
+    job.removePlacement(p.index);
     job.waitingSince = now;
     this.needsScheduling = true;
     this.noteCapacityGained();
@@ -113,7 +113,7 @@
       this.machines.get(p.machine)?.invalidate();
       return;
     }
-    p.stop = { graceS, since: now, why };
+    p.stop = { graceS, since: now, reason: why };
     this.changedSinceTick = true;
     const m = this.machines.get(p.machine);
     m?.invalidate();
@@ -141,7 +141,7 @@
     const plain = { id: info.id, endpoint: info.endpoint, type: info.type, zone: info.zone, spot: info.spot };
     const m = new Machine(
       plain,
-      this.types.find((t) => t.name === info.type),
+      this.machineTypes.find((t) => t.name === info.type),
       now,
     );
     this.machines.set(info.id, m);
@@ -153,7 +153,7 @@
     this.capacityVersion++;
   }
 
-  zonesOf(job: Job): Map<Zone, number> {
+  placementsByZone(job: Job): Map<Zone, number> {
     const zones = new Map<Zone, number>();
     for (const p of job.placements.values()) {
       const zone = this.machines.get(p.machine)?.info.zone;
--- a/src/core/leader/leader-summary.ts
+++ b/src/core/leader/leader-summary.ts
@@ -24,7 +24,7 @@
   predictedLateS: job.predictedLateS,
   waitsFor: [...job.unfinishedDependencies],
   tasks: job.spec.tasks,
-  done: job.doneCount,
+  done: job.completedCount,
   placed: job.placements.size,
   running: job.runningCount,
   waits: job.pendingCount > 0 ? job.waitReason : null,
@@ -64,7 +64,7 @@
       term: this.state.leadership.term,
       machines: this.state.machines.size,
       silent: this.state.unreconciledMachines.size,
-      decisions: { ...this.state.decisions.counts },
+      decisions: { ...this.state.decisionLog.counts },
       jobs: [...this.state.jobs.values()].map(describe),
     };
   }
--- a/src/core/leader/leader.ts
+++ b/src/core/leader/leader.ts
@@ -2,8 +2,8 @@
 // is its face and its loop; its parts are in leader/.
 import type { Machine } from '../machine.js';
 import { Job, newPlacement, type Placement } from '../job.js';
-import { runCycle, type Assumed } from '../scheduler/scheduling-cycle.js';
-import { markGuaranteed } from '../scheduler/guarantees.js';
+import { runSchedulingCycle, type AssumedPlacement } from '../scheduler/scheduling-cycle.js';
+import { markWithinGuarantee } from '../scheduler/guarantees.js';
 import { TypePenalties } from '../scheduler/type-penalties.js';
 import type {
   Command,
@@ -33,7 +33,7 @@
 import { JobDependencies } from './job-dependencies.js';
 import type { Effect, ImageLocations, LeaderSettings } from './effects.js';
 import { MachinePool } from './machine-pool.js';
-import { DeadlinePrediction } from './deadline-prediction.js';
+import { DeadlinePredictor } from './deadline-predictor.js';
 import { SchedulingQueue } from './scheduling-queue.js';
 import { Autoscaler } from './autoscaler.js';
 import { HeartbeatReconciler } from './heartbeat-reconciler.js';
@@ -63,7 +63,7 @@
   private readonly queue: SchedulingQueue;
   private readonly dependencies: JobDependencies;
   private readonly completion: JobCompletion;
-  private readonly lateness: DeadlinePrediction;
+  private readonly lateness: DeadlinePredictor;
   private readonly commands: DirectCommandDispatcher;
   private readonly summary: LeaderSummary;
 
@@ -80,7 +80,7 @@
     this.queue = new SchedulingQueue(this.state);
     this.dependencies = new JobDependencies(this.state, (job, now) => this.onReady(job, now));
     this.completion = new JobCompletion(this.state, this.dependencies);
-    this.lateness = new DeadlinePrediction(this.state);
+    this.lateness = new DeadlinePredictor(this.state);
     this.commands = new DirectCommandDispatcher(this.state);
     this.summary = new LeaderSummary(this.state);
     this.teams = new Map(settings.teams.map((t) => [t.name, t]));
@@ -162,7 +162,7 @@
   }
 
   setMachineTypes(types: MachineType[]): void {
-    this.state.types = types;
+    this.state.machineTypes = types;
     this.typePenalties.setTypes(types);
     for (const m of this.state.machines.values())
       m.type = types.find((t) => t.name === m.info.type) ?? m.type;
@@ -189,10 +189,10 @@
     const job = new Job(id, record, stamp, fromEarlierLeader, now);
     this.state.jobs.set(id, job);
     this.state.changedSinceTick = true;
-    this.typePenalties.note(record.spec);
+    this.typePenalties.recordSpec(record.spec);
     // Jobs that wait for no other were ready when they were submitted.
     if (record.spec.dependsOn.length === 0) this.renting.arrivalRates.recordArrival(record, now, wall);
-    this.dependencies.learn(job, now);
+    this.dependencies.addJob(job, now);
     const { class: name, tasks, image, estimateS, deadlineS } = record.spec;
     this.state.log('debug', { job: id, class: name, tasks, image, estimateS, deadlineS }, 'job known');
   }
@@ -301,38 +301,39 @@
     if (!this.state.needsScheduling && !this.hasDue(now)) return;
     this.state.needsScheduling = false;
     this.dependencies.propagateUrgency();
-    markGuaranteed(this.state.jobs.values(), this.teams);
+    markWithinGuarantee(this.state.jobs.values(), this.teams);
     const { queue, blocked } = this.queue.buildQueue(now, wall);
-    const result = runCycle({
+    const result = runSchedulingCycle({
       machines: this.state.machines,
       queue,
       jobs: this.state.jobs.values(),
-      specOf: this.state.specOf,
+      resourcesOf: this.state.specOf,
       usage: this.queue.teamUsage(),
-      teams: this.teams,
+      quotas: this.teams,
       now,
-      wall,
-      silentMs: this.settings.workers.heartbeatIntervalS * 2500,
-      maxTasks: MAX_TASKS_A_CYCLE,
-      maxWork: this.settings.cycleWorkLimit,
-      typePenalty: (spec, type) => this.typePenalties.penalty(spec, type),
+      wallTime: wall,
+      unreachableAfterMs: this.settings.workers.heartbeatIntervalS * 2500,
+      maxTasksPerJob: MAX_TASKS_A_CYCLE,
+      maxMachineEvaluations: this.settings.cycleWorkLimit,
+      typePenalty: (spec, type) => this.typePenalties.penaltyOf(spec, type),
     });
-    this.lastCycleWork = result.work;
+    this.lastCycleWork = result.machineEvaluations;
     this.commitAll(result.placed, now);
-    for (const { job, placement, guaranteeOf } of result.victims) {
-      const why = guaranteeOf === undefined ? 'preempted' : `preempted for the guarantee of ${guaranteeOf}`;
+    for (const { job, placement, reclaimedForTeam } of result.victims) {
+      const why =
+        reclaimedForTeam === undefined ? 'preempted' : `preempted for the guarantee of ${reclaimedForTeam}`;
       this.state.evict(job, placement, why, now);
     }
     for (const { job } of result.unplaced) {
-      job.rejections++;
+      job.placementRejections++;
       job.rejectedAtCapacityVersion = this.state.capacityVersion;
-      const delay = Math.min(BACKOFF_MAX_MS, BACKOFF_MS * 2 ** Math.min(job.rejections, 10));
+      const delay = Math.min(BACKOFF_MAX_MS, BACKOFF_MS * 2 ** Math.min(job.placementRejections, 10));
       // Individual times: groups rejected together must not come back in one wave.
       job.backoffUntil = now + delay * (0.5 + this.settings.random());
     }
-    if (result.unfinished.length > 0) this.state.needsScheduling = true;
+    if (result.unprocessed.length > 0) this.state.needsScheduling = true;
     this.explain(queue);
-    this.renting.scale([...result.unplaced.map((u) => u.job), ...result.unfinished, ...blocked], now);
+    this.renting.scale([...result.unplaced.map((u) => u.job), ...result.unprocessed, ...blocked], now);
   }
 
   private hasDue(now: MonotonicTime): boolean {
@@ -345,7 +346,7 @@
   }
 
   /** The tasks of a gang find one another by their attempt, so they share one. */
-  private commitAll(placed: readonly Assumed[], now: MonotonicTime): void {
+  private commitAll(placed: readonly AssumedPlacement[], now: MonotonicTime): void {
     const gangAttempts = new Map<JobId, Attempt>();
     for (const { job, index, machine } of placed) {
       const attempt = gangAttempts.get(job.id) ?? attemptNumber(this.leadership.term, ++this.attempts);
@@ -355,10 +356,10 @@
   }
 
   private commit(job: Job, p: Placement, m: Machine, now: MonotonicTime): void {
-    job.place(p);
+    job.addPlacement(p);
     m.assign(job, p);
     m.idleSince = null;
-    job.rejections = 0;
+    job.placementRejections = 0;
     p.unpreemptible = job.starving;
     this.state.machinesWithPendingCommands.add(m);
     this.state.log(
--- a/src/core/leader/machine-commands.ts
+++ b/src/core/leader/machine-commands.ts
@@ -43,14 +43,14 @@
   now: MonotonicTime,
 ): Command[] => {
   const commands: Command[] = [];
-  for (const task of machine.taskStatuses.values()) {
+  for (const task of machine.reportedTasks.values()) {
     const placed = machine.placements.get(taskId(task.job, task.index));
     const own = placed && placed.placement.attempt === task.attempt ? placed.placement : undefined;
     const c = forReported(machine, task, jobs.get(task.job), own, now);
     if (c) commands.push(c);
   }
   for (const { job, placement } of machine.placements.values()) {
-    if (machine.taskStatuses.has(attemptKey(job.id, placement.index, placement.attempt))) continue;
+    if (machine.reportedTasks.has(attemptKey(job.id, placement.index, placement.attempt))) continue;
     const ref = { job: job.id, index: placement.index, attempt: placement.attempt };
     if (placement.stop) {
       // A lost start could arrive at any time. Starting and stopping the attempt here and now leaves it behind
--- a/src/core/machine.ts
+++ b/src/core/machine.ts
@@ -41,8 +41,8 @@
   /** The page of the roster that names this machine. */
   registryPage: string | null = null;
   /** The last report's tasks, by attempt: two attempts of a task can be listed at once. */
-  taskStatuses = new Map<AttemptKey, TaskStatus>();
-  lastReportedTasks: TaskStatus[] = [];
+  reportedTasks = new Map<AttemptKey, TaskStatus>();
+  lastHeartbeatTasks: TaskStatus[] = [];
   /** Nothing to tell its worker, and nothing awaited from it: an unchanged report needs no work. */
   inSync = false;
   /** An order to this worker is on its way. */
@@ -104,7 +104,7 @@
     this.inSync = false;
   }
 
-  load(): MachineLoad {
+  loadSummary(): MachineLoad {
     if (this.loadMemo) return this.loadMemo;
     const load: MachineLoad = {
       releasing: noResources(),
@@ -171,7 +171,7 @@
   allocated(specOf: (job: JobId) => Resources | null): Resources {
     if (this.usedMemo !== null) return this.usedMemo;
     const sum = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const t of this.taskStatuses.values()) {
+    for (const t of this.reportedTasks.values()) {
       if (t.state === 'exited') continue;
       if (this.placements.get(taskId(t.job, t.index))?.placement.attempt === t.attempt) continue;
       const spec = specOf(t.job);
@@ -180,7 +180,7 @@
       addResources(sum, spec);
     }
     for (const { job, placement } of this.placements.values()) {
-      if (this.taskStatuses.get(attemptKey(job.id, placement.index, placement.attempt))?.state !== 'exited')
+      if (this.reportedTasks.get(attemptKey(job.id, placement.index, placement.attempt))?.state !== 'exited')
         addResources(sum, job.spec);
     }
     this.usedMemo = sum;
@@ -189,7 +189,7 @@
 
   get busy(): boolean {
     if (this.placements.size > 0) return true;
-    for (const t of this.taskStatuses.values()) if (t.state !== 'exited') return true;
+    for (const t of this.reportedTasks.values()) if (t.state !== 'exited') return true;
     return false;
   }
 }
--- a/src/core/scaling/arrival-rates.ts
+++ b/src/core/scaling/arrival-rates.ts
@@ -26,7 +26,7 @@
   }
 
   /** Room for the fluctuation of arrivals (so many standard deviations) over the time that a new machine takes. */
-  expectedTasks(
+  forecastTasks(
     types: MachineType[],
     headroom: number,
     now: MonotonicTime,
--- a/src/core/scaling/scale-out-plan.ts
+++ b/src/core/scaling/scale-out-plan.ts
@@ -1,20 +1,20 @@
 // How many machines of which type, zone and kind the waiting and the expected work needs.
 import { addResources, fits } from '../resources.js';
 import { type Machine } from '../machine.js';
-import { mayRunOn } from '../scheduler/rules.js';
+import { mayRunOn } from '../scheduler/placement-constraints.js';
 import type { Resources, JobSpec, MachineType } from '../types.js';
-import type { MachineId, MonotonicTime, TypeName, Zone } from '../units.js';
+import type { MachineId, MonotonicTime, MachineTypeName, Zone } from '../units.js';
 
 export interface CapacityDemand {
   spec: JobSpec;
   tasks: number;
   /** Zones already used by the job's tasks, for spread and one-zone jobs. */
   zones: Map<Zone, number>;
-  expected: boolean;
+  isForecast: boolean;
 }
 
-export interface ScaleOutOrder {
-  type: TypeName;
+export interface ScaleOutRequest {
+  type: MachineTypeName;
   zone: Zone;
   spot: boolean;
   count: number;
@@ -22,7 +22,7 @@
 
 interface Capacity {
   free: Resources;
-  type: TypeName;
+  type: MachineTypeName;
   zone: Zone;
   spot: boolean;
   machine: MachineId | null;
@@ -31,26 +31,27 @@
   price: number;
 }
 
-export interface ScalingInput {
+export interface ScaleOutInput {
   /** Schedulable machines with what is free on them, and machines still booting. */
   capacities: { machine: Machine; free: Resources }[];
   demands: CapacityDemand[];
   types: MachineType[];
-  refusedUntil: Map<string, MonotonicTime>;
+  unavailableUntil: Map<string, MonotonicTime>;
   now: MonotonicTime;
-  maxNew: number;
+  maxNewMachines: number;
 }
 
-export interface ScalingResult {
-  orders: ScaleOutOrder[];
+export interface ScaleOutPlan {
+  requests: ScaleOutRequest[];
   /** Machines that waiting or expected work would use: not idle, whatever they do now. */
-  needed: Set<MachineId>;
+  neededMachines: Set<MachineId>;
 }
 
-export const capacityKey = (type: TypeName, zone: Zone, spot: boolean): string => `${type}|${zone}|${spot}`;
+export const capacityKey = (type: MachineTypeName, zone: Zone, spot: boolean): string =>
+  `${type}|${zone}|${spot}`;
 
 /** How many tasks of this kind an empty machine of the type takes. */
-export const perMachine = (spec: Resources, type: MachineType): number => {
+export const tasksPerMachine = (spec: Resources, type: MachineType): number => {
   let n = 100_000;
   if (spec.cpus > 0) n = Math.min(n, Math.floor(type.cpus / spec.cpus + 1e-6));
   if (spec.gpus > 0) n = Math.min(n, Math.floor(type.gpus / spec.gpus + 1e-6));
@@ -75,11 +76,11 @@
 
 class Plan {
   private readonly rooms: Capacity[] = [];
-  private readonly orders = new Map<string, ScaleOutOrder>();
+  private readonly orders = new Map<string, ScaleOutRequest>();
   readonly needed = new Set<MachineId>();
   private fresh = 0;
 
-  constructor(private readonly input: ScalingInput) {
+  constructor(private readonly input: ScaleOutInput) {
     for (const { machine, free } of input.capacities) {
       const { type, zone, spot } = machine.info;
       const price = machine.type ? unitPrice(machine.type, spot) : 0;
@@ -95,16 +96,16 @@
     }
   }
 
-  run(): ScalingResult {
+  run(): ScaleOutPlan {
     this.rooms.sort((a, b) => this.order(a, b));
     for (const want of this.input.demands) this.satisfy(want);
-    return { orders: [...this.orders.values()], needed: this.needed };
+    return { requests: [...this.orders.values()], neededMachines: this.needed };
   }
 
   private satisfy(want: CapacityDemand): void {
     let left = want.tasks;
     // Expected work is many jobs: spread and one-zone hold within each of them, not over all.
-    const each = want.expected ? Math.max(1, want.spec.tasks) : left;
+    const each = want.isForecast ? Math.max(1, want.spec.tasks) : left;
     while (left > 0) {
       const group = Math.min(each, left);
       if (!this.place(want, new Map(want.zones), group)) return; // nothing rentable can take it at present
@@ -152,11 +153,11 @@
   }
 
   private newRoom(want: CapacityDemand, zones: Map<Zone, number>, left: number): Capacity | null {
-    if (this.fresh >= this.input.maxNew) return null;
+    if (this.fresh >= this.input.maxNewMachines) return null;
     const spec = want.spec;
     let best: { type: MachineType; zone: Zone; spot: boolean; cost: number } | null = null;
     for (const type of this.input.types) {
-      const fit = perMachine(spec, type);
+      const fit = tasksPerMachine(spec, type);
       if (fit === 0) continue;
       const used = Math.min(left, fit);
       // Room beyond this job's tasks is worth something, as others will use it, but less.
@@ -165,7 +166,10 @@
         if (!this.zoneAllowed(spec, zone, zones)) continue;
         for (const spot of spec.spot ? [true, false] : [false]) {
           if (!mayRunOn(spec, type.name, zone, spot)) continue;
-          if ((this.input.refusedUntil.get(capacityKey(type.name, zone, spot)) ?? -Infinity) > this.input.now)
+          if (
+            (this.input.unavailableUntil.get(capacityKey(type.name, zone, spot)) ?? -Infinity) >
+            this.input.now
+          )
             continue;
           const cost = (spot ? type.spotPrice : type.price) / (fit * share);
           if (best === null || cost < best.cost) best = { type, zone, spot, cost };
@@ -194,4 +198,4 @@
   }
 }
 
-export const planScaling = (input: ScalingInput): ScalingResult => new Plan(input).run();
+export const planScaleOut = (input: ScaleOutInput): ScaleOutPlan => new Plan(input).run();
--- a/src/core/scheduler/slot.ts
+++ b/src/core/scheduler/candidate-machine.ts
@@ -5,24 +5,24 @@
 import type { Resources, JobSpec } from '../types.js';
 import type { JobId, MonotonicTime } from '../units.js';
 
-export interface MachineSlot {
+export interface CandidateMachine {
   machine: Machine;
   free: Resources;
   /** Room that tasks already told to stop will leave. */
   releasing: Resources;
   /** Room that tasks ending here will leave to jobs that wait for it. */
-  promised: Resources;
+  claimed: Resources;
   /** Images being fetched here, with their sizes: they share the rate. */
-  fetching: Map<string, number>;
+  fetchingImagesGb: Map<string, number>;
   /** Expected seconds until a booting machine is up; 0 when it is. */
-  readyInS: number;
-  empty: boolean;
+  bootRemainingS: number;
+  isEmpty: boolean;
   /** Kept free for a group that has waited long. */
-  heldFor: Job | null;
+  reservedFor: Job | null;
   /** Something here was told to stop. */
-  leaving: boolean;
+  hasStoppingTasks: boolean;
   /** By priority: what tasks of lower ones take that were not told to stop when the cycle began. */
-  below: readonly (Resources | null)[];
+  preemptibleBelow: readonly (Resources | null)[];
   /** Counts changes of what is free or nominated here. */
   version: number;
 }
@@ -39,20 +39,20 @@
  * Scores of the machines that a group's members may go to, kept while its like members are placed one after the
  * other: a placement changes one machine, so only that one is scored again (the paper's opportunistic batching).
  */
-export class Ranking {
+export class CandidateRanking {
   private readonly scores: Float64Array;
   /** The machine's version when it was scored. */
   private readonly versions: Int32Array;
 
   constructor(
-    private readonly slots: MachineSlot[],
-    private readonly score: (slot: MachineSlot) => number,
+    private readonly slots: CandidateMachine[],
+    private readonly score: (slot: CandidateMachine) => number,
   ) {
     this.scores = new Float64Array(slots.length).fill(NaN);
     this.versions = new Int32Array(slots.length).fill(-1);
   }
 
-  best(allowed: (slot: MachineSlot) => boolean): MachineSlot | null {
+  best(allowed: (slot: CandidateMachine) => boolean): CandidateMachine | null {
     let best = -1;
     let bestScore = Infinity;
     for (let i = 0; i < this.slots.length; i++) {
@@ -82,52 +82,52 @@
   }
 }
 
-export interface SlotInput {
-  specOf: (job: JobId) => Resources | null;
+export interface CandidateInput {
+  resourcesOf: (job: JobId) => Resources | null;
   now: MonotonicTime;
-  silentMs: number;
+  unreachableAfterMs: number;
 }
 
 /** Null for a machine that nothing can be placed on, now or once it is up. */
-export const slotOf = (m: Machine, input: SlotInput): MachineSlot | null => {
+export const candidateOf = (m: Machine, input: CandidateInput): CandidateMachine | null => {
   if (!m.type) return null;
   const readyInS = m.up ? 0 : bootLeftS(m, input.now);
   if (m.up ? !m.schedulable : readyInS === Infinity || m.decommissioning !== null) return null;
   // A silent machine may be gone: nothing new goes there.
-  if (m.lastHeartbeatAt !== null && input.now - m.lastHeartbeatAt > input.silentMs) return null;
+  if (m.lastHeartbeatAt !== null && input.now - m.lastHeartbeatAt > input.unreachableAfterMs) return null;
   const free = { cpus: m.type.cpus, gpus: m.type.gpus, memoryGb: m.type.memoryGb };
-  addResources(free, m.allocated(input.specOf), -1);
-  const load = m.load();
+  addResources(free, m.allocated(input.resourcesOf), -1);
+  const load = m.loadSummary();
   return {
     machine: m,
     free,
     releasing: { ...load.releasing },
-    promised: { cpus: 0, gpus: 0, memoryGb: 0 },
-    fetching: new Map(load.fetching),
-    readyInS,
-    empty: !m.busy,
-    heldFor: null,
-    leaving: load.hasStoppingTasks,
-    below: load.preemptibleBelow,
+    claimed: { cpus: 0, gpus: 0, memoryGb: 0 },
+    fetchingImagesGb: new Map(load.fetching),
+    bootRemainingS: readyInS,
+    isEmpty: !m.busy,
+    reservedFor: null,
+    hasStoppingTasks: load.hasStoppingTasks,
+    preemptibleBelow: load.preemptibleBelow,
     version: 0,
   };
 };
 
 /** Expected seconds of fetching before the task could start here. */
-export const fetchS = (spec: JobSpec, slot: MachineSlot): number => {
+export const estimatedFetchS = (spec: JobSpec, slot: CandidateMachine): number => {
   if (slot.machine.hasImage(spec.image)) return 0;
   const rate = slot.machine.type!.fetchGbPerS;
   let others = 0;
-  for (const gb of slot.fetching.values()) others += gb;
+  for (const gb of slot.fetchingImagesGb.values()) others += gb;
   // Under way already: what is left of it isn't known, so a part of the whole.
-  if (slot.fetching.has(spec.image)) return (0.7 * others) / rate;
-  return Math.min(spec.imageGb * (slot.fetching.size + 1), spec.imageGb + others) / rate;
+  if (slot.fetchingImagesGb.has(spec.image)) return (0.7 * others) / rate;
+  return Math.min(spec.imageGb * (slot.fetchingImagesGb.size + 1), spec.imageGb + others) / rate;
 };
 
 /** Expected seconds until there is room, by the owners' estimates, after those who wait here already. */
-export const freeIn = (spec: JobSpec, slot: MachineSlot, now: MonotonicTime): number => {
+export const estimatedFreeInS = (spec: JobSpec, slot: CandidateMachine, now: MonotonicTime): number => {
   const room = { ...slot.free };
-  addResources(room, slot.promised, -1);
+  addResources(room, slot.claimed, -1);
   if (fits(spec, room)) return 0;
   const ends: { at: number; spec: JobSpec }[] = [];
   for (const { job, placement: p } of slot.machine.placements.values()) {
--- a/src/core/scheduler/selection.ts
+++ b/src/core/scheduler/candidate-selection.ts
@@ -3,9 +3,9 @@
 import { fits } from '../resources.js';
 import type { Job } from '../job.js';
 import type { JobSpec } from '../types.js';
-import type { TypeName, Zone } from '../units.js';
-import { signature } from './rules.js';
-import { Ranking, fetchS, type MachineSlot } from './slot.js';
+import type { MachineTypeName, Zone } from '../units.js';
+import { constraintSignature } from './placement-constraints.js';
+import { CandidateRanking, estimatedFetchS, type CandidateMachine } from './candidate-machine.js';
 import type { Snapshot, ZoneCounts } from './snapshot.js';
 
 /** Seconds of waiting that it is worth to leave an empty machine empty. */
@@ -27,13 +27,13 @@
  * Signatures that were refused: within a cycle room only shrinks, so a failure holds for all like them until something
  * that was only tried is undone.
  */
-export class Hopeless {
+export class UnschedulableSignatures {
   private readonly refused = new Set<string>();
   private readonly signatures = new Map<Job, string>();
 
   private signature(job: Job): string {
     let sig = this.signatures.get(job);
-    if (sig === undefined) this.signatures.set(job, (sig = signature(job)));
+    if (sig === undefined) this.signatures.set(job, (sig = constraintSignature(job)));
     return sig;
   }
 
@@ -43,7 +43,7 @@
   }
 
   /** Only where the zones of the job's other tasks, and machines that it avoids, have no part in the failure. */
-  note(job: Job, zones: ZoneCounts, onlyZone: Zone | null): void {
+  record(job: Job, zones: ZoneCounts, onlyZone: Zone | null): void {
     const { spread, oneZone } = job.spec;
     const zonesMatter = zones.size > 0 && (spread || oneZone);
     if (zonesMatter || job.errorMachines.size > 0) return;
@@ -56,42 +56,42 @@
   }
 }
 
-export class Selection {
-  private readonly hopeless = new Hopeless();
+export class CandidateSelection {
+  private readonly hopeless = new UnschedulableSignatures();
   /** Scores for the job that is being placed; another placed in between makes them out of date. */
-  private ranked: { job: Job; ranking: Ranking } | null = null;
-  private readonly penalties = new Map<JobSpec, Map<TypeName, number>>();
+  private ranked: { job: Job; ranking: CandidateRanking } | null = null;
+  private readonly penalties = new Map<JobSpec, Map<MachineTypeName, number>>();
 
   constructor(
     private readonly snapshot: Snapshot,
-    private readonly penaltyOf: (spec: JobSpec, type: TypeName) => number,
+    private readonly penaltyOf: (spec: JobSpec, type: MachineTypeName) => number,
   ) {}
 
   /** The best machine with room, or null. */
-  best(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): MachineSlot | null {
+  best(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): CandidateMachine | null {
     if (this.hopeless.has(job, onlyZone)) return null;
     const ranking = this.rankingFor(job);
-    this.snapshot.work += ranking.size;
-    const fitting = (slot: MachineSlot): boolean =>
+    this.snapshot.machineEvaluations += ranking.size;
+    const fitting = (slot: CandidateMachine): boolean =>
       fits(job.spec, slot.free) && this.snapshot.allows(job, slot, zones, onlyZone);
     const best = ranking.best(fitting);
-    if (!best) this.hopeless.note(job, zones, onlyZone);
+    if (!best) this.hopeless.record(job, zones, onlyZone);
     return best;
   }
 
   /** What was refused while a part of a plan was assumed isn't so without it. */
-  forgetRefusals(job: Job, onlyZone: Zone | null): void {
+  forgetUnschedulable(job: Job, onlyZone: Zone | null): void {
     this.hopeless.forget(job, onlyZone);
   }
 
   /** Expected seconds until the task can start, plus what it costs to use up this machine's room. */
-  score(spec: JobSpec, slot: MachineSlot): number {
+  score(spec: JobSpec, slot: CandidateMachine): number {
     const type = slot.machine.type!;
-    let score = fetchS(spec, slot);
-    if (!slot.machine.hasImage(spec.image) && !slot.fetching.has(spec.image)) {
-      score += (SLOWS_OTHERS * slot.fetching.size * spec.imageGb) / type.fetchGbPerS;
+    let score = estimatedFetchS(spec, slot);
+    if (!slot.machine.hasImage(spec.image) && !slot.fetchingImagesGb.has(spec.image)) {
+      score += (SLOWS_OTHERS * slot.fetchingImagesGb.size * spec.imageGb) / type.fetchGbPerS;
     }
-    if (slot.empty) score += OPEN_EMPTY_S;
+    if (slot.isEmpty) score += OPEN_EMPTY_S;
     score += TYPE_PENALTY_S * this.penalty(spec, slot.machine.info.type);
     if (spec.spot && !slot.machine.info.spot) score += ORDINARY_FOR_SPOT_S;
     const left =
@@ -99,22 +99,22 @@
     return score + FREE_ROOM_S * left;
   }
 
-  private rankingFor(job: Job): Ranking {
+  private rankingFor(job: Job): CandidateRanking {
     if (this.ranked?.job === job) return this.ranked.ranking;
-    const { open } = this.snapshot;
-    this.snapshot.work += open.length;
+    const { candidatesWithCapacity } = this.snapshot;
+    this.snapshot.machineEvaluations += candidatesWithCapacity.length;
     const anywhere: ZoneCounts = new Map();
-    const slots = open.filter(
+    const slots = candidatesWithCapacity.filter(
       (slot) => fits(job.spec, slot.free) && this.snapshot.allows(job, slot, anywhere, null),
     );
-    if (slots.length === 0) this.hopeless.note(job, anywhere, null);
-    const ranking = new Ranking(slots, (slot) => this.score(job.spec, slot));
+    if (slots.length === 0) this.hopeless.record(job, anywhere, null);
+    const ranking = new CandidateRanking(slots, (slot) => this.score(job.spec, slot));
     this.ranked = { job, ranking };
     return ranking;
   }
 
-  private penalty(spec: JobSpec, type: TypeName): number {
-    const byType = this.penalties.get(spec) ?? new Map<TypeName, number>();
+  private penalty(spec: JobSpec, type: MachineTypeName): number {
+    const byType = this.penalties.get(spec) ?? new Map<MachineTypeName, number>();
     this.penalties.set(spec, byType);
     const penalty = byType.get(type) ?? this.penaltyOf(spec, type);
     byType.set(type, penalty);
--- a/src/core/scheduler/room-holding.ts
+++ b/src/core/scheduler/capacity-reservations.ts
@@ -2,14 +2,14 @@
 // groups would otherwise take each piece as it appears and the whole would never come together. Nobody is stopped.
 import type { Job } from '../job.js';
 import type { Zone } from '../units.js';
-import { freeIn, type MachineSlot } from './slot.js';
+import { estimatedFreeInS, type CandidateMachine } from './candidate-machine.js';
 import type { Snapshot } from './snapshot.js';
 
 /** Groups for which room is held at once. */
 const MAX_HOLDS = 8;
 
 interface Holding {
-  slots: MachineSlot[];
+  slots: CandidateMachine[];
   /** Of these, held in the cycle before. */
   kept: number;
   /** Expected seconds until all of them have room. */
@@ -19,12 +19,12 @@
 const isBetter = (a: Holding, b: Holding | null): boolean =>
   b === null || a.kept > b.kept || (a.kept === b.kept && a.readyInS < b.readyInS);
 
-export class RoomHolding {
+export class CapacityReservations {
   private holds = 0;
 
   constructor(private readonly snapshot: Snapshot) {}
 
-  hold(job: Job, tasks: number, zones: (Zone | null)[]): void {
+  reserveFor(job: Job, tasks: number, zones: (Zone | null)[]): void {
     if (this.holds >= MAX_HOLDS) return;
     let best: Holding | null = null;
     for (const zone of zones) {
@@ -36,17 +36,17 @@
     this.holds++;
     for (const slot of best.slots) {
       job.reservedMachines.add(slot.machine.id);
-      slot.heldFor = job;
+      slot.reservedFor = job;
     }
   }
 
   private soonestIn(job: Job, tasks: number, zone: Zone | null): Holding | null {
-    const ends = this.snapshot.slots
+    const ends = this.snapshot.candidates
       .filter((slot) => this.snapshot.allows(job, slot, new Map(), zone))
       .map((slot) => ({
         slot,
         kept: job.reservedMachines.has(slot.machine.id),
-        readyInS: freeIn(job.spec, slot, this.snapshot.time.now),
+        readyInS: estimatedFreeInS(job.spec, slot, this.snapshot.time.now),
       }))
       .filter((end) => end.readyInS < Infinity)
       // Those held already first: expectations change, and what is half drained must not be given up for others.
--- a/src/core/scheduler/delays.ts
+++ b/src/core/scheduler/delay-scheduling.ts
@@ -2,19 +2,19 @@
 // boots fetches alone, or low work on a warm machine can leave.
 import { addResources, fits } from '../resources.js';
 import type { Job } from '../job.js';
-import { savesWithin, type Preemption } from './preemption.js';
-import { fetchS, freeIn, type MachineSlot } from './slot.js';
+import { checkpointsWithin, type Preemption } from './preemption.js';
+import { estimatedFetchS, estimatedFreeInS, type CandidateMachine } from './candidate-machine.js';
 import type { Snapshot, ZoneCounts } from './snapshot.js';
 import type { Nomination } from './victims.js';
 
 /** Shorter fetches are not waited for. */
 const WORTH_WAITING_S = 15;
 /** For shorter fetches nobody is stopped. */
-export const WORTH_PREEMPTING_S = 12;
+export const MIN_FETCH_TO_PREEMPT_S = 12;
 /** A machine with the image must be free within this share of the fetch. */
 const WAIT_SHARE = 0.7;
 
-export class Delays {
+export class DelayScheduling {
   constructor(
     private readonly snapshot: Snapshot,
     private readonly preemption: Preemption,
@@ -24,16 +24,16 @@
    * A machine that has the image and is expected to be free well before a fetch elsewhere would end is worth
    * waiting for: the task starts earlier, and no machine stands idle while it fetches.
    */
-  awaitsWarmMachine(job: Job, slot: MachineSlot, zones: ZoneCounts): boolean {
-    this.snapshot.work += this.snapshot.slots.length;
-    const coldS = fetchS(job.spec, slot);
+  awaitsMachineWithImage(job: Job, slot: CandidateMachine, zones: ZoneCounts): boolean {
+    this.snapshot.machineEvaluations += this.snapshot.candidates.length;
+    const coldS = estimatedFetchS(job.spec, slot);
     if (coldS < WORTH_WAITING_S || job.spec.kind === 'service') return false;
-    for (const other of this.snapshot.slots) {
+    for (const other of this.snapshot.candidates) {
       if (!other.machine.hasImage(job.spec.image)) continue;
       if (!this.snapshot.allows(job, other, zones, null)) continue;
-      const freeS = freeIn(job.spec, other, this.snapshot.time.now);
+      const freeS = estimatedFreeInS(job.spec, other, this.snapshot.time.now);
       if (freeS > coldS * WAIT_SHARE) continue;
-      addResources(other.promised, job.spec);
+      addResources(other.claimed, job.spec);
       job.waitReason = { why: 'waiting for a machine with its image', expectedS: Math.round(freeS) };
       return true;
     }
@@ -41,22 +41,26 @@
   }
 
   /** Rather than a second fetch beside a running one: a machine that is about to be up, and fetches this alone. */
-  awaitsBoot(job: Job, slot: MachineSlot, zones: ZoneCounts): boolean {
+  awaitsBootingMachine(job: Job, slot: CandidateMachine, zones: ZoneCounts): boolean {
     const { spec } = job;
-    if (slot.machine.hasImage(spec.image) || slot.fetching.has(spec.image) || slot.fetching.size === 0)
+    if (
+      slot.machine.hasImage(spec.image) ||
+      slot.fetchingImagesGb.has(spec.image) ||
+      slot.fetchingImagesGb.size === 0
+    )
       return false;
-    let best: MachineSlot | null = null;
-    let bestS = fetchS(spec, slot);
-    for (const booting of this.snapshot.booting) {
+    let best: CandidateMachine | null = null;
+    let bestS = estimatedFetchS(spec, slot);
+    for (const booting of this.snapshot.bootingCandidates) {
       if (!fits(spec, booting.free) || !this.snapshot.allows(job, booting, zones, null)) continue;
-      const startS = booting.readyInS + fetchS(spec, booting);
+      const startS = booting.bootRemainingS + estimatedFetchS(spec, booting);
       if (startS >= bestS) continue;
       best = booting;
       bestS = startS;
     }
     if (!best) return false;
     addResources(best.free, spec, -1);
-    best.fetching.set(spec.image, spec.imageGb);
+    best.fetchingImagesGb.set(spec.image, spec.imageGb);
     job.waitReason = { why: 'machines booting' };
     return true;
   }
@@ -65,10 +69,15 @@
    * For live work, a long fetch on a free machine loses against a machine that has the image and holds work of lower
    * priority which can save: that leaves within seconds, and goes on elsewhere from where it was.
    */
-  warmVictims(job: Job, slot: MachineSlot, zones: ZoneCounts): Nomination | null {
+  nominateWithImage(job: Job, slot: CandidateMachine, zones: ZoneCounts): Nomination | null {
     if (job.spec.kind !== 'service') return null;
-    const coldS = fetchS(job.spec, slot);
-    if (coldS < WORTH_PREEMPTING_S) return null;
-    return this.preemption.nominateWarm(job, zones, (victim) => savesWithin(victim, coldS / 2), null);
+    const coldS = estimatedFetchS(job.spec, slot);
+    if (coldS < MIN_FETCH_TO_PREEMPT_S) return null;
+    return this.preemption.nominateWithImage(
+      job,
+      zones,
+      (victim) => checkpointsWithin(victim, coldS / 2),
+      null,
+    );
   }
 }
--- a/src/core/scheduler/rules.ts
+++ b/src/core/scheduler/placement-constraints.ts
@@ -7,7 +7,7 @@
   (spec.zone === null || spec.zone === zone) &&
   (spec.spot || !spot);
 
-export const withinLimit = (
+export const withinTeamLimit = (
   spec: Resources,
   used: Resources | undefined,
   limit: TeamQuota | undefined,
@@ -22,5 +22,5 @@
 };
 
 /** Tasks with the same signature get the same answer from the filter, so a failure is asked for once a cycle. */
-export const signature = ({ spec: s, priority }: { spec: JobSpec; priority: Priority }): string =>
+export const constraintSignature = ({ spec: s, priority }: { spec: JobSpec; priority: Priority }): string =>
   `${s.cpus}|${s.gpus}|${s.memoryGb}|${s.types?.join(',') ?? ''}|${s.zone ?? ''}|${s.spot}|${priority}`;
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -1,22 +1,22 @@
 // Nominates victims: the machine on which the least work has to stop for a task. Nobody is stopped here.
 import type { Job } from '../job.js';
 import type { Zone } from '../units.js';
-import { Hopeless } from './selection.js';
-import { fetchS, freeIn, type MachineSlot } from './slot.js';
+import { UnschedulableSignatures } from './candidate-selection.js';
+import { estimatedFetchS, estimatedFreeInS, type CandidateMachine } from './candidate-machine.js';
 import type { Snapshot, ZoneCounts } from './snapshot.js';
 import {
-  borrowedVictimsOn,
-  victimsOn,
-  type Found,
+  reclaimVictims,
+  lowerPriorityVictims,
+  type CachedVictimSet,
   type Nomination,
   type Victim,
-  type Victims,
+  type VictimSet,
 } from './victims.js';
 
 const anybody = (): boolean => true;
 
 /** Array work that leaves soon and goes on elsewhere from where it was. */
-export const savesWithin = ({ job: { spec } }: Victim, seconds: number): boolean =>
+export const checkpointsWithin = ({ job: { spec } }: Victim, seconds: number): boolean =>
   spec.kind === 'array' && spec.checkpointS > 0 && spec.saveS < seconds;
 
 /**
@@ -26,97 +26,97 @@
 const isOwed = (victim: Victim, job: Job): boolean => victim.job.withinGuarantee && !job.withinGuarantee;
 
 /** Expected seconds until the job starts once the victims have left. */
-const startS = (job: Job, { slot, list }: Nomination): number =>
-  Math.max(0, ...list.map((victim) => victim.job.spec.saveS)) + fetchS(job.spec, slot);
+const startS = (job: Job, { candidate, victims }: Nomination): number =>
+  Math.max(0, ...victims.map((victim) => victim.job.spec.saveS)) + estimatedFetchS(job.spec, candidate);
 
 export class Preemption {
-  private readonly hopeless = new Hopeless();
-  private readonly hopelessBorrowed = new Hopeless();
+  private readonly hopeless = new UnschedulableSignatures();
+  private readonly hopelessBorrowed = new UnschedulableSignatures();
   /** Kept while like members are nominated for one after the other: each changes one machine. */
-  private nominated: { job: Job; bySlot: Map<MachineSlot, Found> } | null = null;
+  private nominated: { job: Job; bySlot: Map<CandidateMachine, CachedVictimSet> } | null = null;
 
   constructor(private readonly snapshot: Snapshot) {}
 
   /** The machine where room costs the least lower-priority work; an empty list: only wait for those leaving. */
-  nominate(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): Nomination | null {
+  nominateLowerPriority(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): Nomination | null {
     if (this.hopeless.has(job, onlyZone)) return null;
-    const slots = this.snapshot.mayYield(job.priority);
-    this.snapshot.work += slots.length;
+    const slots = this.snapshot.preemptionCandidates(job.priority);
+    this.snapshot.machineEvaluations += slots.length;
     let best: Nomination | null = null;
     for (const slot of slots) {
       if (!this.snapshot.allows(job, slot, zones, onlyZone)) continue;
       const victims = this.foundOn(job, slot);
-      if (victims && (best === null || victims.cost < best.cost)) best = { slot, ...victims };
+      if (victims && (best === null || victims.cost < best.cost)) best = { candidate: slot, ...victims };
     }
-    if (!best) this.hopeless.note(job, zones, onlyZone);
+    if (!best) this.hopeless.record(job, zones, onlyZone);
     return best;
   }
 
   /** The same among machines that have the job's image, with only such victims as may be stopped for that. */
-  nominateWarm(
+  nominateWithImage(
     job: Job,
     zones: ZoneCounts,
     whom: (victim: Victim) => boolean,
     onlyZone: Zone | null,
   ): Nomination | null {
-    const slots = this.snapshot.mayYield(job.priority);
-    this.snapshot.work += slots.length;
+    const slots = this.snapshot.preemptionCandidates(job.priority);
+    this.snapshot.machineEvaluations += slots.length;
     let best: Nomination | null = null;
     for (const slot of slots) {
       if (!slot.machine.hasImage(job.spec.image)) continue;
       if (!this.snapshot.allows(job, slot, zones, onlyZone)) continue;
       const victims = this.victimsOn(job, slot, whom);
-      if (victims && (best === null || victims.cost < best.cost)) best = { slot, ...victims };
+      if (victims && (best === null || victims.cost < best.cost)) best = { candidate: slot, ...victims };
     }
     return best;
   }
 
   /** Lower priority first; for a job within its team's guarantee then the work that other teams borrow. */
-  nominateAny(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): Nomination | null {
-    return this.nominate(job, zones, onlyZone) ?? this.nominateBorrowed(job, zones, onlyZone);
+  nominateVictims(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): Nomination | null {
+    return this.nominateLowerPriority(job, zones, onlyZone) ?? this.nominateReclaim(job, zones, onlyZone);
   }
 
   /** The machine where room costs the least work that other teams run beyond their own guarantees. */
-  private nominateBorrowed(job: Job, zones: ZoneCounts, onlyZone: Zone | null): Nomination | null {
+  private nominateReclaim(job: Job, zones: ZoneCounts, onlyZone: Zone | null): Nomination | null {
     if (!job.withinGuarantee || this.hopelessBorrowed.has(job, onlyZone)) return null;
-    const { slots, guarantees, time } = this.snapshot;
+    const { candidates, guaranteeAccounting, time } = this.snapshot;
     let best: Nomination | null = null;
     let soonestS = Infinity;
-    for (const slot of slots) {
+    for (const slot of candidates) {
       if (!this.snapshot.allows(job, slot, zones, onlyZone)) continue;
-      this.snapshot.work += slot.machine.placements.size;
+      this.snapshot.machineEvaluations += slot.machine.placements.size;
       const whom = (victim: Victim): boolean => !this.snapshot.isStopping(victim.placement);
-      const victims = borrowedVictimsOn(job, slot, whom, guarantees, time);
-      const coldS = fetchS(job.spec, slot);
-      soonestS = Math.min(soonestS, freeIn(job.spec, slot, time.now) + coldS);
+      const victims = reclaimVictims(job, slot, whom, guaranteeAccounting, time);
+      const coldS = estimatedFetchS(job.spec, slot);
+      soonestS = Math.min(soonestS, estimatedFreeInS(job.spec, slot, time.now) + coldS);
       if (victims && (best === null || victims.cost + coldS < best.cost))
-        best = { slot, list: victims.list, cost: victims.cost + coldS };
+        best = { candidate: slot, victims: victims.victims, cost: victims.cost + coldS };
     }
-    if (!best) this.hopelessBorrowed.note(job, zones, onlyZone);
+    if (!best) this.hopelessBorrowed.record(job, zones, onlyZone);
     return best && soonestS > startS(job, best) ? best : null;
   }
 
   /** What was refused while a part of a plan was assumed isn't so without it. */
-  forgetRefusals(job: Job, onlyZone: Zone | null): void {
+  forgetUnschedulable(job: Job, onlyZone: Zone | null): void {
     this.hopeless.forget(job, onlyZone);
     this.hopelessBorrowed.forget(job, onlyZone);
   }
 
-  private foundOn(job: Job, slot: MachineSlot): Victims | null {
+  private foundOn(job: Job, slot: CandidateMachine): VictimSet | null {
     if (this.nominated?.job !== job) this.nominated = { job, bySlot: new Map() };
     const { bySlot } = this.nominated;
     const known = bySlot.get(slot);
-    if (known?.version === slot.version) return known.victims;
+    if (known?.version === slot.version) return known.victimSet;
     const victims = this.victimsOn(job, slot, anybody);
-    if (victims) victims.cost += fetchS(job.spec, slot);
-    bySlot.set(slot, { version: slot.version, victims });
+    if (victims) victims.cost += estimatedFetchS(job.spec, slot);
+    bySlot.set(slot, { version: slot.version, victimSet: victims });
     return victims;
   }
 
-  private victimsOn(job: Job, slot: MachineSlot, whom: (victim: Victim) => boolean): Victims | null {
-    this.snapshot.work += slot.machine.placements.size;
+  private victimsOn(job: Job, slot: CandidateMachine, whom: (victim: Victim) => boolean): VictimSet | null {
+    this.snapshot.machineEvaluations += slot.machine.placements.size;
     const mayStop = (victim: Victim): boolean =>
       !this.snapshot.isStopping(victim.placement) && !isOwed(victim, job) && whom(victim);
-    return victimsOn(job, slot, mayStop, this.snapshot.time);
+    return lowerPriorityVictims(job, slot, mayStop, this.snapshot.time);
   }
 }
--- a/src/core/scheduler/snapshot.ts
+++ b/src/core/scheduler/snapshot.ts
@@ -5,21 +5,21 @@
 import type { Job, Placement } from '../job.js';
 import { priorityRank, type Resources, type Priority, type TeamQuota } from '../types.js';
 import type { MachineId, Team, WallTime, Zone } from '../units.js';
-import { GuaranteeAccounts } from './guarantees.js';
-import { mayRunOn, withinLimit } from './rules.js';
-import { slotOf, type MachineSlot, type SlotInput } from './slot.js';
+import { GuaranteeAccounting } from './guarantees.js';
+import { mayRunOn, withinTeamLimit } from './placement-constraints.js';
+import { candidateOf, type CandidateMachine, type CandidateInput } from './candidate-machine.js';
 import type { CycleTime, Victim } from './victims.js';
 
 export type ZoneCounts = Map<Zone, number>;
 
-export interface SnapshotInput extends SlotInput {
+export interface SnapshotInput extends CandidateInput {
   machines: Map<MachineId, Machine>;
   queue: Job[];
   /** All that have tasks placed. */
   jobs: Iterable<Job>;
-  wall: WallTime;
+  wallTime: WallTime;
   usage: Map<Team, Resources>;
-  teams: Map<Team, TeamQuota>;
+  quotas: Map<Team, TeamQuota>;
 }
 
 const noAmounts = (): Resources => ({ cpus: 0, gpus: 0, memoryGb: 0 });
@@ -37,38 +37,38 @@
 
 export class Snapshot {
   readonly time: CycleTime;
-  readonly guarantees: GuaranteeAccounts;
+  readonly guaranteeAccounting: GuaranteeAccounting;
   /** Machines that are up and take new tasks. */
-  readonly slots: MachineSlot[] = [];
-  readonly booting: MachineSlot[] = [];
+  readonly candidates: CandidateMachine[] = [];
+  readonly bootingCandidates: CandidateMachine[] = [];
   /** Machines with room for the smallest waiting task: all that a placement without victims can go to. */
-  readonly open: MachineSlot[] = [];
+  readonly candidatesWithCapacity: CandidateMachine[] = [];
   /** Machines looked at so far: what the cycle costs. */
-  work = 0;
-  private readonly byId = new Map<MachineId, MachineSlot>();
+  machineEvaluations = 0;
+  private readonly byId = new Map<MachineId, CandidateMachine>();
   private readonly usage = new Map<Team, Resources>();
   private readonly stopping = new Set<Placement>();
   /** By priority: machines where something is leaving or may be stopped. */
-  private stoppable: (MachineSlot[] | null)[] = [];
+  private stoppable: (CandidateMachine[] | null)[] = [];
 
   constructor(private readonly input: SnapshotInput) {
-    this.time = { now: input.now, wall: input.wall };
-    this.guarantees = new GuaranteeAccounts(input.teams, input.usage, input.jobs);
+    this.time = { now: input.now, wallTime: input.wallTime };
+    this.guaranteeAccounting = new GuaranteeAccounting(input.quotas, input.usage, input.jobs);
     for (const machine of input.machines.values()) this.addMachine(machine);
     for (const [team, used] of input.usage) this.usage.set(team, { ...used });
     // Room only shrinks within a cycle, so what is full now is not looked at again.
     const least = smallestNeed(input.queue);
-    for (const slot of this.slots) if (fits(least, slot.free)) this.open.push(slot);
+    for (const slot of this.candidates) if (fits(least, slot.free)) this.candidatesWithCapacity.push(slot);
   }
 
   private addMachine(machine: Machine): void {
-    const slot = slotOf(machine, this.input);
+    const slot = candidateOf(machine, this.input);
     if (!slot) return;
     if (!machine.up) {
-      this.booting.push(slot);
+      this.bootingCandidates.push(slot);
       return;
     }
-    this.slots.push(slot);
+    this.candidates.push(slot);
     this.byId.set(machine.id, slot);
   }
 
@@ -83,10 +83,10 @@
   }
 
   /** The filter, but for room: whether the job's next task may run there, given the zones of its others. */
-  allows(job: Job, slot: MachineSlot, zones: ZoneCounts, onlyZone: Zone | null): boolean {
+  allows(job: Job, slot: CandidateMachine, zones: ZoneCounts, onlyZone: Zone | null): boolean {
     const { info } = slot.machine;
     const { spec } = job;
-    if (slot.heldFor !== null && slot.heldFor !== job) return false;
+    if (slot.reservedFor !== null && slot.reservedFor !== job) return false;
     if (onlyZone !== null && info.zone !== onlyZone) return false;
     if (!mayRunOn(spec, info.type, info.zone, info.spot)) return false;
     if (job.errorMachines.has(info.id)) return false;
@@ -98,12 +98,12 @@
   teamAllows(job: Job, tasks: number): boolean {
     const { cpus, gpus, memoryGb } = job.spec;
     const need = { cpus: cpus * tasks, gpus: gpus * tasks, memoryGb: memoryGb * tasks };
-    return withinLimit(need, this.usage.get(job.spec.team), this.input.teams.get(job.spec.team));
+    return withinTeamLimit(need, this.usage.get(job.spec.team), this.input.quotas.get(job.spec.team));
   }
 
   /** Takes a task's room, for a placement or for one that waits for its victims. */
-  take(job: Job, slot: MachineSlot, zones: ZoneCounts): void {
-    this.takeRoom(job, slot);
+  assumeTask(job: Job, slot: CandidateMachine, zones: ZoneCounts): void {
+    this.allocate(job, slot);
     const used = this.usage.get(job.spec.team) ?? noAmounts();
     addResources(used, job.spec);
     this.usage.set(job.spec.team, used);
@@ -112,40 +112,40 @@
   }
 
   /** Undoes `take`. */
-  untake(job: Job, slot: MachineSlot): void {
-    this.leaveRoom(job, slot);
+  forgetTask(job: Job, slot: CandidateMachine): void {
+    this.deallocate(job, slot);
     addResources(this.usage.get(job.spec.team)!, job.spec, -1);
   }
 
   /** Only the room, while a plan is tried. */
-  takeRoom(job: Job, slot: MachineSlot): void {
+  allocate(job: Job, slot: CandidateMachine): void {
     addResources(slot.free, job.spec, -1);
     slot.version++;
   }
 
-  leaveRoom(job: Job, slot: MachineSlot): void {
+  deallocate(job: Job, slot: CandidateMachine): void {
     addResources(slot.free, job.spec);
     slot.version++;
   }
 
   /** Holds the room that the victims will leave for this job, so that nobody behind it in the queue takes it. */
-  reserve(job: Job, slot: MachineSlot, victims: Victim[], zones: ZoneCounts): void {
+  reserveWithVictims(job: Job, slot: CandidateMachine, victims: Victim[], zones: ZoneCounts): void {
     for (const victim of victims) {
       this.stopping.add(victim.placement);
       addResources(slot.releasing, victim.job.spec);
       slot.version++;
     }
-    this.guarantees.stop(victims);
-    if (victims.length > 0 && !slot.leaving) {
-      slot.leaving = true;
+    this.guaranteeAccounting.recordVictims(victims);
+    if (victims.length > 0 && !slot.hasStoppingTasks) {
+      slot.hasStoppingTasks = true;
       this.stoppable = []; // where nothing could leave before
     }
-    this.take(job, slot, zones);
+    this.assumeTask(job, slot, zones);
   }
 
   /** The placement was not complete: its victims stay. */
-  spare(victims: Victim[]): void {
-    this.guarantees.spare(victims);
+  withdrawVictims(victims: Victim[]): void {
+    this.guaranteeAccounting.withdrawVictims(victims);
     for (const { job, placement } of victims) {
       this.stopping.delete(placement);
       const slot = this.byId.get(placement.machine)!;
@@ -159,12 +159,12 @@
   }
 
   /** Machines where something is leaving, or where work of lower priority may be stopped. */
-  mayYield(priority: Priority): MachineSlot[] {
+  preemptionCandidates(priority: Priority): CandidateMachine[] {
     const rank = priorityRank[priority];
     let slots = this.stoppable[rank];
     if (!slots) {
-      this.work += this.slots.length;
-      slots = this.slots.filter((slot) => slot.leaving || slot.below[rank]);
+      this.machineEvaluations += this.candidates.length;
+      slots = this.candidates.filter((slot) => slot.hasStoppingTasks || slot.preemptibleBelow[rank]);
       this.stoppable[rank] = slots;
     }
     return slots;
--- a/src/core/scheduler/type-penalties.ts
+++ b/src/core/scheduler/type-penalties.ts
@@ -1,8 +1,8 @@
 // Which machine types suit which class: a task that is as well off on either leaves the one that others need.
-import { mayRunOn } from './rules.js';
-import { perMachine } from '../scaling/scale-out-plan.js';
+import { mayRunOn } from './placement-constraints.js';
+import { tasksPerMachine } from '../scaling/scale-out-plan.js';
 import type { JobSpec, MachineType } from '../types.js';
-import type { TypeName } from '../units.js';
+import type { MachineTypeName } from '../units.js';
 
 const MAX_CLASSES = 50;
 
@@ -16,14 +16,14 @@
     this.cache.clear();
   }
 
-  note(spec: JobSpec): void {
+  recordSpec(spec: JobSpec): void {
     if (this.classes.has(spec.class) || this.classes.size >= MAX_CLASSES) return;
     this.classes.set(spec.class, spec);
     this.cache.clear();
   }
 
   /** Own disadvantage of the type, less the mean disadvantage that the other classes have there. */
-  penalty(spec: JobSpec, type: TypeName): number {
+  penaltyOf(spec: JobSpec, type: MachineTypeName): number {
     const key = `${spec.class}|${spec.cpus}|${spec.gpus}|${spec.memoryGb}|${type}`;
     const known = this.cache.get(key);
     if (known !== undefined) return known;
@@ -41,12 +41,12 @@
   }
 
   /** How much more a task's share of the machine costs here than on the type where it costs least, up to 2. */
-  private disadvantage(spec: JobSpec, name: TypeName): number {
+  private disadvantage(spec: JobSpec, name: MachineTypeName): number {
     let own = Infinity;
     let least = Infinity;
     for (const t of this.types) {
       if (!t.zones.some((z) => mayRunOn(spec, t.name, z, false))) continue;
-      const fit = perMachine(spec, t);
+      const fit = tasksPerMachine(spec, t);
       if (fit === 0) continue;
       const cost = t.price / fit;
       least = Math.min(least, cost);
--- a/src/core/scheduler/victims.ts
+++ b/src/core/scheduler/victims.ts
@@ -3,35 +3,35 @@
 import type { Job, Placement } from '../job.js';
 import { priorityRank, type Resources } from '../types.js';
 import type { MonotonicTime, Team, WallTime } from '../units.js';
-import type { GuaranteeAccounts } from './guarantees.js';
-import type { MachineSlot } from './slot.js';
+import type { GuaranteeAccounting } from './guarantees.js';
+import type { CandidateMachine } from './candidate-machine.js';
 
 export interface Victim {
   job: Job;
   placement: Placement;
   /** Borrowed work, stopped for the guarantee of this team. */
-  guaranteeOf?: Team;
+  reclaimedForTeam?: Team;
 }
 
-export interface Victims {
-  list: Victim[];
+export interface VictimSet {
+  victims: Victim[];
   cost: number;
 }
 
 /** What was found for a group on a machine, as of the machine's version then. */
-export interface Found {
+export interface CachedVictimSet {
   version: number;
-  victims: Victims | null;
+  victimSet: VictimSet | null;
 }
 
-export interface Nomination extends Victims {
-  slot: MachineSlot;
+export interface Nomination extends VictimSet {
+  candidate: CandidateMachine;
 }
 
 /** The cycle's time, on both clocks: due times are counted from submissions. */
 export interface CycleTime {
   now: MonotonicTime;
-  wall: WallTime;
+  wallTime: WallTime;
 }
 
 /** About what a stop delays a task: saving, waiting for a place, and often a fetch. */
@@ -43,10 +43,10 @@
   placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
 
 /** Rises as the time left beyond the task's own run shrinks; nothing for a job that is late whatever happens. */
-const deadlineLossS = (victim: Victim, { now, wall }: CycleTime): number => {
+const deadlineLossS = (victim: Victim, { now, wallTime }: CycleTime): number => {
   const { dueAt, spec } = victim.job;
   if (dueAt === null) return 0;
-  const dueInS = (dueAt - wall) / 1000;
+  const dueInS = (dueAt - wallTime) / 1000;
   const slackS = dueInS - Math.max(spec.estimateS - ranS(victim, now), 0);
   return slackS < 0 ? 0 : WORTH_IN_TIME_S * Math.min(1, STOP_DELAYS_S / Math.max(slackS, 1));
 };
@@ -66,31 +66,31 @@
 /** Takes candidates in the order of what they lose until the task fits; null where all of them are too few. */
 const leastLoss = (job: Job, room: Resources, candidates: Candidate[], take: (c: Candidate) => boolean) => {
   candidates.sort((a, b) => a.loss - b.loss);
-  const list: Victim[] = [];
+  const victims: Victim[] = [];
   let cost = 0;
   for (const candidate of candidates) {
     if (!take(candidate)) continue;
-    list.push(candidate);
+    victims.push(candidate);
     cost += candidate.loss + 1;
     addResources(room, candidate.job.spec);
-    if (fits(job.spec, room)) return { list, cost };
+    if (fits(job.spec, room)) return { victims, cost };
   }
   return null;
 };
 
 /** The least lower-priority work whose stopping makes room here; null where none does. */
-export const victimsOn = (
+export const lowerPriorityVictims = (
   job: Job,
-  slot: MachineSlot,
+  slot: CandidateMachine,
   whom: (victim: Victim) => boolean,
   time: CycleTime,
-): Victims | null => {
+): VictimSet | null => {
   const room = { ...slot.free };
   addResources(room, slot.releasing);
-  if (fits(job.spec, room)) return { list: [], cost: 0 };
+  if (fits(job.spec, room)) return { victims: [], cost: 0 };
   const rank = priorityRank[job.priority];
   // Most machines hold too little that may be stopped: told by sums, without looking at their tasks.
-  const most = slot.below[rank];
+  const most = slot.preemptibleBelow[rank];
   if (!most) return null;
   addResources(room, most);
   if (!fits(job.spec, room)) return null;
@@ -108,32 +108,35 @@
  * The least borrowed work of other teams, of any priority, whose stopping makes room here for a job within its team's
  * guarantee. A gang counts with all of its members, and no team falls below what it is guaranteed itself.
  */
-export const borrowedVictimsOn = (
+export const reclaimVictims = (
   job: Job,
-  slot: MachineSlot,
+  slot: CandidateMachine,
   whom: (victim: Victim) => boolean,
-  accounts: GuaranteeAccounts,
+  accounts: GuaranteeAccounting,
   time: CycleTime,
-): Victims | null => {
+): VictimSet | null => {
   const room = { ...slot.free };
   addResources(room, slot.releasing);
-  if (fits(job.spec, room)) return { list: [], cost: 0 };
+  if (fits(job.spec, room)) return { victims: [], cost: 0 };
   const candidates: Candidate[] = [];
   for (const { job: other, placement } of slot.machine.placements.values()) {
-    const victim = { job: other, placement, guaranteeOf: job.spec.team };
+    const victim = { job: other, placement, reclaimedForTeam: job.spec.team };
     if (other.spec.team === job.spec.team || placement.unpreemptible || placement.stop || !whom(victim))
       continue;
-    candidates.push({ ...victim, loss: lossOf(victim, time) * Math.max(1, accounts.tasksLost(other)) });
+    candidates.push({
+      ...victim,
+      loss: lossOf(victim, time) * Math.max(1, accounts.tasksStoppedWith(other)),
+    });
   }
   const counted: Victim[] = [];
   const take = (candidate: Candidate): boolean => {
-    if (!accounts.isBorrowed(candidate)) return false;
-    accounts.stop([candidate]);
+    if (!accounts.isReclaimable(candidate)) return false;
+    accounts.recordVictims([candidate]);
     counted.push(candidate);
     return true;
   };
   const found = leastLoss(job, room, candidates, take);
   // Only nominated where the placement is complete.
-  accounts.spare(counted);
+  accounts.withdrawVictims(counted);
   return found;
 };
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -7,7 +7,7 @@
   Revision,
   Team,
   Term,
-  TypeName,
+  MachineTypeName,
   WallTime,
   Zone,
 } from './units.js';
@@ -31,7 +31,7 @@
   tasks: number;
   image: string;
   imageGb: number;
-  types: TypeName[] | null;
+  types: MachineTypeName[] | null;
   zone: Zone | null;
   oneZone: boolean;
   spread: boolean;
@@ -59,7 +59,7 @@
 }
 
 export interface MachineType extends Resources {
-  name: TypeName;
+  name: MachineTypeName;
   cacheGb: number;
   fetchGbPerS: number;
   price: number;
@@ -71,7 +71,7 @@
 export interface MachineInfo {
   id: MachineId;
   endpoint: Endpoint;
-  type: TypeName;
+  type: MachineTypeName;
   zone: Zone;
   spot: boolean;
 }
--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -7,7 +7,7 @@
 import type { PlatformSettings } from '../../config/platform.js';
 import {
   CancellationLog,
-  keptMs,
+  cancellationRetentionMs,
   renewalWindowMs,
   type Incarnation,
   type CancellationLogPosition,
@@ -16,7 +16,7 @@
 import { JobIndex, type IndexedJob } from '../../core/job-index.js';
 import type { Uint64, JobId, NodeName, MonotonicTime } from '../../core/units.js';
 import { parseCancelledJobs } from '../../wire/cancellation-pages.js';
-import { dependenciesIn, keys, saysCancelled } from '../../wire/key-value-store.js';
+import { dependenciesIn, keys, isCancelledRecord } from '../../wire/key-value-store.js';
 
 const steady = (): MonotonicTime => performance.now() as MonotonicTime;
 const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
@@ -46,7 +46,7 @@
     this.log = new CancellationLog(
       randomBytes(9).toString('base64url') as Incarnation,
       platform.peers.map((p) => p.name),
-      keptMs(cancelS),
+      cancellationRetentionMs(cancelS),
     );
     this.freshMs = cancelS * 1000 * FRESH_CANCELS;
     this.windowMs = renewalWindowMs(cancelS, leaseS);
@@ -99,13 +99,13 @@
     if (!this.log.add(job, steady())) return;
     this.onNews([job]);
     // The heartbeats carry it for certain; this is only sooner, so that nothing of the job is started meanwhile.
-    for (const link of this.links) void link.ask({ kind: 'cancelled', jobs: [job] }, PUSH_TIMEOUT_MS);
+    for (const link of this.links) void link.ask({ kind: 'cancellations', jobs: [job] }, PUSH_TIMEOUT_MS);
   }
 
   onPushed(raw: unknown): void {
     const jobs = parseCancelledJobs(raw);
-    if (jobs) this.take(jobs);
-    else this.malformed(null, 'not a list of job ids');
+    if (jobs) this.addAll(jobs);
+    else this.onMalformedPage(null, 'not a list of job ids');
   }
 
   positionOf(peer: NodeName): CancellationLogPosition | null {
@@ -121,11 +121,11 @@
     if (news.length > 0) this.onNews(news);
   }
 
-  malformed(peer: NodeName | null, cause: string): void {
-    this.logger.limited('peer-frame', 'info', { peer, cause }, 'malformed word of cancellations dropped');
+  onMalformedPage(peer: NodeName | null, cause: string): void {
+    this.logger.rateLimited('peer-frame', 'info', { peer, cause }, 'malformed word of cancellations dropped');
   }
 
-  private take(jobs: JobId[]): void {
+  private addAll(jobs: JobId[]): void {
     const news = jobs.filter((j) => this.log.add(j, steady()));
     if (news.length > 0) this.onNews(news);
   }
@@ -140,7 +140,7 @@
         if (r === 'too old') since = null;
       } else {
         since = r.ledger;
-        this.take(r.cancelled);
+        this.addAll(r.cancelled);
         this.log.onStoreRead(askedAt);
         this.indexReadAt = askedAt;
       }
@@ -157,7 +157,7 @@
   }
 
   private async readSince(since: Uint64): Promise<Read> {
-    const r = await this.store.changes(keys.activePrefix, since);
+    const r = await this.store.changesSince(keys.activePrefix, since);
     if (r.kind !== 'ok') return r.kind === 'gone' ? 'too old' : 'none';
     const cancelled: JobId[] = [];
     for (const change of r.value.log) {
@@ -169,7 +169,7 @@
 
   /** Whether the record says that its job is cancelled. */
   private record(key: string, data: unknown): boolean {
-    const cancelled = saysCancelled(data);
+    const cancelled = isCancelledRecord(data);
     this.index.put(jobOf(key), dependenciesIn(data), cancelled);
     return cancelled;
   }
--- a/src/runtime/cloud/cloud-provider-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -7,7 +7,7 @@
 import * as wire from '../../wire/cloud.js';
 
 export type ScaleOutOutcome =
-  | { kind: 'rented'; machines: MachineId[] }
+  | { kind: 'provisioned'; machines: MachineId[] }
   | { kind: 'no-capacity' }
   | { kind: 'refused' } // 429, outage, over our budget: not carried out
   | { kind: 'unknown' };
@@ -33,8 +33,8 @@
   }
 
   /** Null while the cloud doesn't answer. */
-  async types(): Promise<MachineType[] | null> {
-    return this.read('/machine_types', wire.parseTypes);
+  async listMachineTypes(): Promise<MachineType[] | null> {
+    return this.read('/machine_types', wire.parseMachineTypes);
   }
 
   async listMachines(): Promise<ListedMachine[] | null> {
@@ -45,7 +45,7 @@
       let page: ReturnType<typeof wire.parseMachines> = null;
       for (let tries = 0; page === null && tries < PAGE_TRIES; tries++) {
         if (tries > 0) await sleep(PAGE_RETRY_MS);
-        page = await this.read(wire.listTarget(since, 500), wire.parseMachines);
+        page = await this.read(wire.listMachinesTarget(since, 500), wire.parseMachines);
         if (page === null && machines.length === 0) return null;
       }
       if (!page) return null;
@@ -56,14 +56,19 @@
     }
   }
 
-  async createMachines(rental: wire.Rental): Promise<ScaleOutOutcome> {
+  async createMachines(rental: wire.ScaleOutRequest): Promise<ScaleOutOutcome> {
     if (!this.budget.take(1, performance.now())) return { kind: 'refused' };
-    const r = await this.http.request('POST', '/machines', encode(wire.rentBody(rental)), TIMEOUT_MS);
+    const r = await this.http.request(
+      'POST',
+      '/machines',
+      encode(wire.createMachinesBody(rental)),
+      TIMEOUT_MS,
+    );
     if (!r.ok) return r.sent ? { kind: 'unknown' } : { kind: 'refused' };
     const body = tryDecode(r.body);
     if (r.status === 200) {
-      const machines = wire.parseRented(body);
-      return machines ? { kind: 'rented', machines } : { kind: 'unknown' };
+      const machines = wire.parseCreatedMachines(body);
+      return machines ? { kind: 'provisioned', machines } : { kind: 'unknown' };
     }
     const error = typeof body === 'object' && body !== null && 'error' in body ? body.error : null;
     return { kind: r.status === 503 && error === 'no capacity' ? 'no-capacity' : 'refused' };
@@ -75,7 +80,7 @@
     const r = await this.http.request(
       'POST',
       '/machines/return',
-      encode(wire.returnBody(machines)),
+      encode(wire.deleteMachinesBody(machines)),
       TIMEOUT_MS,
     );
     return r.ok && r.status === 200;
--- a/src/runtime/cloud/machine-type-catalog.ts
+++ b/src/runtime/cloud/machine-type-catalog.ts
@@ -1,7 +1,7 @@
 // The machine types: from the cloud, or while it doesn't answer, from what a leader has kept in the state service.
 import type { CloudProviderClient } from './cloud-provider-client.js';
 import type { LeaderElection } from '../leadership/leader-election.js';
-import { reserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { KeyValueStoreLimits } from '../../config/platform.js';
 import type { MachineType } from '../../core/types.js';
 import {
@@ -18,7 +18,7 @@
 const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
 /** In pieces that each fit one value; a single type is never divided. */
-export const pagesOf = (types: MachineType[], valueKb: number): MachineType[][] => {
+export const splitIntoPages = (types: MachineType[], valueKb: number): MachineType[][] => {
   const pages: MachineType[][] = [];
   for (const type of types) {
     const last = pages.at(-1);
@@ -52,7 +52,7 @@
         if (this.current.length === 0 && kept.length > 0) this.set(kept);
       }
       if (this.current.length === 0 || this.membership.holdsLease) {
-        const fresh = await this.cloud.types();
+        const fresh = await this.cloud.listMachineTypes();
         if (fresh && fresh.length > 0) {
           this.set(fresh);
           await this.store(fresh);
@@ -68,17 +68,17 @@
   }
 
   private async load(): Promise<MachineType[]> {
-    const first = await this.state.get(keys.typesPage(0), reserves.urgent);
+    const first = await this.state.get(keys.typesPage(0), budgetReserves.urgent);
     const page = first.kind === 'ok' ? parseTypesPage(first.value.data) : null;
     if (page) return this.loadPages(page.pages, page.types);
-    const whole = await this.state.get(keys.types, reserves.urgent);
+    const whole = await this.state.get(keys.types, budgetReserves.urgent);
     return whole.kind === 'ok' ? (parseStoredTypes(whole.value.data) ?? []) : [];
   }
 
   private async loadPages(count: number, first: MachineType[]): Promise<MachineType[]> {
     const all = [...first];
     for (let i = 1; i < count; i++) {
-      const item = await this.state.get(keys.typesPage(i), reserves.urgent);
+      const item = await this.state.get(keys.typesPage(i), budgetReserves.urgent);
       const page = item.kind === 'ok' ? parseTypesPage(item.value.data) : null;
       if (!page) return [];
       all.push(...page.types);
@@ -91,7 +91,7 @@
       await this.write([{ put: keys.types, data: types }, { delete: keys.typesPage(0) }]);
       return;
     }
-    const pages = pagesOf(types, this.limits.valueKb);
+    const pages = splitIntoPages(types, this.limits.valueKb);
     // The first page names the number of pages and is written last: until then the list before holds.
     for (const [i, page] of [...pages.entries()].reverse()) {
       if (!(await this.write([{ put: keys.typesPage(i), data: { pages: pages.length, types: page } }])))
@@ -100,9 +100,12 @@
   }
 
   private async write(then: Change[]): Promise<boolean> {
-    const held = this.membership.electionState.held;
+    const held = this.membership.electionState.heldLease;
     if (!held) return false;
-    const r = await this.state.transact({ if: [{ key: keys.leader, revision: held.keyRevision }], then });
+    const r = await this.state.transact({
+      conditions: [{ key: keys.leader, revision: held.keyRevision }],
+      changes: then,
+    });
     return r.kind === 'ok';
   }
 }
--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -3,11 +3,11 @@
 import { createHistogram } from 'node:perf_hooks';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
-import { Admission } from './users/admission.js';
+import { AdmissionControl } from './users/admission-control.js';
 import { CancellationFeed } from './cancellations/cancellation-feed.js';
 import { HeartbeatHandler } from './workers/heartbeat-handler.js';
 import { CloudProviderClient } from './cloud/cloud-provider-client.js';
-import { httpConnections, type HttpReply } from './http/http-server.js';
+import { httpConnectionHandler, type HttpReply } from './http/http-server.js';
 import type { HttpMessage } from './http/http-parser.js';
 import { ImageLocationStore } from './peers/image-locations.js';
 import { LeaderLoop } from './leadership/leader-loop.js';
@@ -16,16 +16,21 @@
 import { LeaderElection } from './leadership/leader-election.js';
 import { LeaderlessFencing } from './workers/leaderless-fencing.js';
 import { PeerHandler } from './peers/peer-handler.js';
-import { PeerLink, answerPeer } from './peers/peer-link.js';
+import { PeerLink, servePeer } from './peers/peer-link.js';
 import { STATUS_CONNECTIONS, socketBudget } from './http/socket-budget.js';
 import { KeyValueStoreClient } from './key-value-store/key-value-store-client.js';
 import { UserApi } from './users/user-api.js';
 import type { OperatorSettings } from '../config/operator.js';
 import { platformWarnings, type Address, type PlatformSettings } from '../config/platform.js';
-import { highestTerm } from '../core/election.js';
+import { highestKnownTerm } from '../core/election.js';
 import type { JobId, NodeName, MonotonicTime } from '../core/units.js';
 import { encode } from '../wire/cbor.js';
-import type { PeerResponses, PeerStatus, TaskCounts } from '../wire/peer-messages.js';
+import {
+  encodePeerStatus,
+  type PeerResponses,
+  type PeerStatus,
+  type TaskCounts,
+} from '../wire/peer-messages.js';
 
 const STATE_FRESH_MS = 2500;
 const MAX_USER_REQUESTS = 32;
@@ -37,7 +42,7 @@
 /** The leader's part of the state service's budget. */
 const leaderShare = 0.6;
 
-const forwarded = (answer: PeerResponses['user'] | null): HttpReply | null => {
+const forwarded = (answer: PeerResponses['user-request'] | null): HttpReply | null => {
   if (answer === null) return null;
   const { status, body, retryAfterS } = answer;
   return {
@@ -51,11 +56,11 @@
   private readonly log: Logger;
   private readonly store: KeyValueStoreClient;
   private readonly cloud: CloudProviderClient;
-  private readonly membership: LeaderElection;
+  private readonly election: LeaderElection;
   private readonly links: PeerLink[] = [];
   private readonly cancellations: CancellationFeed;
   private readonly users: UserApi;
-  private readonly reportHandler: HeartbeatHandler;
+  private readonly heartbeatHandler: HeartbeatHandler;
   private readonly leaderlessFencing: LeaderlessFencing;
   private readonly random: () => number;
   private readonly sockets;
@@ -64,7 +69,7 @@
   private usersLoggedAt = -Infinity;
   private readonly machineTypes: MachineTypeCatalog;
   private readonly imageLocations = new ImageLocationStore();
-  private readonly admission = new Admission(MAX_USER_REQUESTS, RESERVED_USER_REQUESTS);
+  private readonly admission = new AdmissionControl(MAX_USER_REQUESTS, RESERVED_USER_REQUESTS);
   private readonly times = { user: createHistogram(), report: createHistogram() };
 
   constructor(
@@ -77,18 +82,18 @@
     this.cloud = new CloudProviderClient(platform);
     const rng = xoroshiro128plus((Date.now() ^ (process.pid << 16)) | 0);
     this.random = () => uniformFloat64(rng);
-    this.membership = new LeaderElection(platform, operator.leaseMs, this.store, this.log, {
+    this.election = new LeaderElection(platform, operator.leaseMs, this.store, this.log, {
       onLead: () => this.lead(),
       onLost: (why) => this.follow(why),
       // The key's lease is alive, so there was a leader at most a lease ago. This is what a controller has that was
       // just restarted: without it, its workers would lose their leases for want of an answer.
-      onLeaderKey: () => this.reportHandler.noteLeaderSeen(operator.leaseMs),
+      onLeaderKey: () => this.heartbeatHandler.recordLeaderSeen(operator.leaseMs),
     });
     this.machineTypes = new MachineTypeCatalog(
       platform.keyValueStoreLimits,
       this.cloud,
       this.store,
-      this.membership,
+      this.election,
       (types) => this.leaderLoop?.setMachineTypes(types),
     );
     this.cancellations = new CancellationFeed(platform, this.store, this.links, this.log, (jobs) =>
@@ -107,9 +112,9 @@
       (id) => this.cancellations.recordConfirmed(id),
       this.cancellations,
     );
-    this.reportHandler = new HeartbeatHandler(
+    this.heartbeatHandler = new HeartbeatHandler(
       platform,
-      this.membership,
+      this.election,
       this.links,
       () => this.leaderLoop,
       this.log,
@@ -118,7 +123,7 @@
     );
     this.leaderlessFencing = new LeaderlessFencing(
       platform,
-      this.reportHandler,
+      this.heartbeatHandler,
       this.cancellations,
       this.links,
       this.cloud,
@@ -132,12 +137,12 @@
       connections: this.sockets.public,
       idleMs: 60_000,
       bodyBytes: 64 * 1024,
-      party: (q: HttpMessage) => (q.target === '/checkin' ? 'workers' : 'users'),
+      clientGroup: (q: HttpMessage) => (q.target === '/checkin' ? 'workers' : 'users'),
     };
-    const onPublic = httpConnections(limits, this.log, (q, reply) => void this.route(q, reply));
-    this.listen(this.platform.publicAddr, onPublic, this.sockets.backlog);
+    const onPublic = httpConnectionHandler(limits, this.log, (q, reply) => void this.route(q, reply));
+    this.listen(this.platform.publicAddress, onPublic, this.sockets.backlog);
     const inside = { connections: STATUS_CONNECTIONS, idleMs: 10_000, bodyBytes: 1024 };
-    const onStatus = httpConnections(inside, this.log, (q, reply) => reply(this.inspect(q)));
+    const onStatus = httpConnectionHandler(inside, this.log, (q, reply) => reply(this.inspect(q)));
     const handler = this.peerHandler();
     // A frame's first byte is always 0, so a plain HTTP request for the status page is told apart by its first.
     const onInternal = (socket: Socket): void => {
@@ -145,7 +150,7 @@
       socket.once('data', (chunk) => {
         socket.pause();
         if (chunk[0] === 0)
-          answerPeer(
+          servePeer(
             socket,
             (q) => handler.answer(q),
             (cause) => this.malformed(null, cause),
@@ -155,10 +160,10 @@
         socket.resume();
       });
     };
-    this.listen(this.platform.internalAddr, onInternal, STATUS_CONNECTIONS);
-    this.store.setShare(this.followerShare());
+    this.listen(this.platform.internalAddress, onInternal, STATUS_CONNECTIONS);
+    this.store.setBudgetShare(this.followerShare());
     for (const link of this.links) link.start();
-    this.membership.start();
+    this.election.start();
     this.cancellations.start();
     setInterval(() => void this.leaderlessFencing.check(), FENCE_CHECK_MS);
     this.machineTypes.start();
@@ -190,7 +195,7 @@
       this.times[which].record(Math.max(1, Math.round((performance.now() - began) * 1000)));
     try {
       if (q.target === '/checkin') {
-        reply(q.method === 'POST' ? await this.reportHandler.handle(q.body) : { status: 405 });
+        reply(q.method === 'POST' ? await this.heartbeatHandler.handle(q.body) : { status: 405 });
         record('report');
         return;
       }
@@ -200,8 +205,8 @@
       }
       // The stage is full: the user is told at once when to come back.
       const who = q.method === 'GET' ? q.target : null;
-      if (!this.admission.enter(who)) {
-        this.countUser({ status: 503, cause: 'stage full' });
+      if (!this.admission.tryAdmit(who)) {
+        this.countUser({ status: 503, refusalCause: 'stage full' });
         reply({ status: 503, retryAfterS: 1 });
         return;
       }
@@ -210,17 +215,17 @@
         const answer = await this.serveUser(q);
         served = answer.status !== 503;
         const { method, target } = q;
-        const { status, told, cause } = answer;
-        this.log.debug({ method, target, status, told, cause }, 'user answered');
+        const { status, jobStatus, refusalCause } = answer;
+        this.log.debug({ method, target, status, told: jobStatus, cause: refusalCause }, 'user answered');
         this.countUser(answer);
         reply(answer);
         record('user');
       } finally {
-        this.admission.leave(who, served);
+        this.admission.release(who, served);
       }
     } catch (e) {
       // A fault in one request must not end the controller.
-      this.log.limited(
+      this.log.rateLimited(
         'fault',
         'error',
         { cause: e instanceof Error ? e.stack : String(e) },
@@ -232,7 +237,7 @@
 
   /** Now and then: what users were answered, and why they were sent away. */
   private countUser(r: HttpReply): void {
-    const outcome = r.cause ?? String(r.status);
+    const outcome = r.refusalCause ?? String(r.status);
     this.userOutcomes.set(outcome, (this.userOutcomes.get(outcome) ?? 0) + 1);
     const now = performance.now();
     if (now - this.usersLoggedAt < USERS_LOG_MS) return;
@@ -246,10 +251,10 @@
     const own = await this.users.handle(q);
     if (own.status !== 503) return own;
     const now = performance.now();
-    const peer = this.links.find((l) => l.alive(now) && l.status?.stateOk);
+    const peer = this.links.find((l) => l.isAlive(now) && l.status?.storeAvailable);
     if (!peer) return own;
     const { method, target, body } = q;
-    const a = await peer.ask({ kind: 'user', method, target, body }, USER_FORWARD_TIMEOUT_MS);
+    const a = await peer.ask({ kind: 'user-request', method, target, body }, USER_FORWARD_TIMEOUT_MS);
     return forwarded(a) ?? own;
   }
 
@@ -262,74 +267,74 @@
     if (this.machineTypes.current.length === 0) return false;
     if (this.storeAvailable()) return true;
     const now = performance.now();
-    const reached = this.links.filter((l) => l.alive(now));
+    const reached = this.links.filter((l) => l.isAlive(now));
     // Cut off from the state service and from every peer: it is we who are cut off, and others can serve.
     if (this.links.length > 0 && reached.length === 0) return false;
-    return this.store.lastAnswerAt > -Infinity && !reached.some((l) => l.status?.stateOk);
+    return this.store.lastAnswerAt > -Infinity && !reached.some((l) => l.status?.storeAvailable);
   }
 
   // ---- peers -----------------------------------------------------------------------------------------------
 
   private status(): PeerStatus {
-    const { hasAuthority } = this.membership;
+    const { hasAuthority } = this.election;
     return {
       node: this.platform.name,
       leading: hasAuthority && this.leaderLoop !== null,
-      holding: this.membership.holdsLease && (this.leaderLoop?.leaderCore ?? null) !== null,
-      term: highestTerm(this.membership.electionState),
-      reaches: this.reportHandler.reachedLeader,
-      stateOk: this.storeAvailable(),
-      hearing: this.reportHandler.hearing,
-      leaderSeenAgoMs: this.reportHandler.leaderSeenAgoMs,
+      holdsLease: this.election.holdsLease && (this.leaderLoop?.leaderCore ?? null) !== null,
+      term: highestKnownTerm(this.election.electionState),
+      reachableLeader: this.heartbeatHandler.reachableLeader,
+      storeAvailable: this.storeAvailable(),
+      receivesHeartbeats: this.heartbeatHandler.receivesHeartbeats,
+      leaderSeenAgoMs: this.heartbeatHandler.leaderSeenAgoMs,
     };
   }
 
   private onPeerStatus(s: PeerStatus): void {
-    if (typeof s.leaderSeenAgoMs === 'number') this.reportHandler.noteLeaderSeen(s.leaderSeenAgoMs);
-    if (s.leading || s.holding) this.membership.learn(s.node, s.term);
-    if (s.leading) this.reportHandler.noteLeaderSeen();
-    if (s.reaches) this.membership.learn(s.reaches.node, s.reaches.term);
+    if (typeof s.leaderSeenAgoMs === 'number') this.heartbeatHandler.recordLeaderSeen(s.leaderSeenAgoMs);
+    if (s.leading || s.holdsLease) this.election.noteLeader(s.node, s.term);
+    if (s.leading) this.heartbeatHandler.recordLeaderSeen();
+    if (s.reachableLeader) this.election.noteLeader(s.reachableLeader.node, s.reachableLeader.term);
   }
 
   private peerHandler(): PeerHandler {
     return new PeerHandler({
       links: this.links,
-      membership: this.membership,
-      reportHandler: this.reportHandler,
-      cancelled: this.cancellations,
+      election: this.election,
+      heartbeatHandler: this.heartbeatHandler,
+      cancellations: this.cancellations,
       users: this.users,
       imageLocations: this.imageLocations,
-      leading: () => this.leaderLoop,
+      leaderLoop: () => this.leaderLoop,
       status: () => this.status(),
-      heard: (status) => this.onPeerStatus(status),
-      counts: (id) => this.ownCounts(id),
+      onPeerStatus: (status) => this.onPeerStatus(status),
+      taskCounts: (id) => this.ownCounts(id),
     });
   }
 
   private malformed(peer: NodeName | null, cause: string): void {
-    this.log.limited('peer-message', 'info', { peer, cause }, 'malformed message of a peer dropped');
+    this.log.rateLimited('peer-message', 'info', { peer, cause }, 'malformed message of a peer dropped');
   }
 
   /** A new leader finds out by reports what runs where, but not which images are cached: its peers tell it. */
   private shareImageLocations(): void {
     const all = this.leaderLoop?.leaderCore?.imageLocations();
     if (!all) return;
-    const images = this.imageLocations.page(all);
+    const images = this.imageLocations.nextPage(all);
     this.imageLocations.merge(images, performance.now());
-    for (const link of this.links) void link.ask({ kind: 'hints', images }, 1000);
+    for (const link of this.links) void link.ask({ kind: 'image-locations', locations: images }, 1000);
   }
 
   private ownCounts(id: JobId): TaskCounts | null {
     const job = this.leaderLoop?.leaderCore?.jobs.get(id);
-    return job ? { done: job.doneCount, running: job.runningCount } : null;
+    return job ? { done: job.completedCount, running: job.runningCount } : null;
   }
 
   /** Counts are for display only: without the leader they are left at zero. */
   private async counts(id: JobId): Promise<TaskCounts | null> {
     if (this.leaderLoop) return this.ownCounts(id);
     const now = performance.now();
-    const link = this.links.find((l) => l.alive(now) && l.status?.leading);
-    const answer = await link?.ask({ kind: 'counts', job: id }, 500);
+    const link = this.links.find((l) => l.isAlive(now) && l.status?.leading);
+    const answer = await link?.ask({ kind: 'task-counts', job: id }, 500);
     return answer?.counts ?? null;
   }
 
@@ -341,9 +346,13 @@
       p99Ms: h.percentile(99) / 1000,
     });
     const body = {
-      ...this.status(),
-      authorityLeftMs: this.membership.authorityLeftMs,
-      requests: { open: this.admission.busy, refused: this.admission.refused, ...stage(this.times.user) },
+      ...encodePeerStatus(this.status()),
+      authorityLeftMs: this.election.authorityLeftMs,
+      requests: {
+        open: this.admission.openRequests,
+        refused: this.admission.refusedCount,
+        ...stage(this.times.user),
+      },
       reports: stage(this.times.report),
       cancellationsBehindMs: this.cancellations.coverageAgeMs(performance.now() as MonotonicTime),
       queue: this.leaderLoop?.leaderCore?.status() ?? null,
@@ -356,30 +365,30 @@
   /** A leader that hears no worker, directly or through its peers, gives way to one that may. */
   private resignIfUnreachable(): void {
     const loop = this.leaderLoop;
-    if (!loop || this.links.length === 0 || !this.membership.hasAuthority) return;
+    if (!loop || this.links.length === 0 || !this.election.hasAuthority) return;
     if (
       loop.withoutHeartbeatsForMs(performance.now()) <
       this.platform.workers.heartbeatIntervalS * 2500 + 2500
     )
       return;
-    this.membership.resign('no worker is heard');
+    this.election.resign('no worker is heard');
   }
 
   private lead(): void {
     this.leaderLoop?.stop();
-    this.store.setShare(leaderShare);
-    const { platform, operator, membership, store, cloud, log, random } = this;
+    this.store.setBudgetShare(leaderShare);
+    const { platform, operator, election, store, cloud, log, random } = this;
     this.leaderLoop = new LeaderLoop(
       platform,
       operator,
-      membership,
+      election,
       store,
       cloud,
       log,
       random,
       () => this.machineTypes.current,
       this.imageLocations.all(),
-      this.sockets.orders,
+      this.sockets.directCommands,
       this.cancellations,
     );
     void this.leaderLoop.start();
@@ -389,6 +398,6 @@
     this.log.info({ why }, 'leadership lost');
     this.leaderLoop?.stop();
     this.leaderLoop = null;
-    this.store.setShare(this.followerShare());
+    this.store.setBudgetShare(this.followerShare());
   }
 }
--- a/src/runtime/http/http-parser.ts
+++ b/src/runtime/http/http-parser.ts
@@ -20,7 +20,7 @@
   body: Buffer;
 }
 
-export interface ParserLimits {
+export interface HttpParserLimits {
   headerBytes: number;
   headerCount: number;
   bodyBytes: number;
@@ -50,7 +50,7 @@
 
   constructor(
     private readonly kind: 'request' | 'response',
-    private readonly limits: ParserLimits,
+    private readonly limits: HttpParserLimits,
   ) {}
 
   /** Returns the messages that this piece completes. Throws HttpError on malformed or oversized input. */
--- a/src/runtime/http/http-server.ts
+++ b/src/runtime/http/http-server.ts
@@ -7,19 +7,19 @@
   body?: Buffer;
   retryAfterS?: number;
   /** Why it was refused: for the log, not sent. */
-  cause?: string;
+  refusalCause?: string;
   /** The state of a job that a user is told: for the log, not sent beside the body. */
-  told?: string;
+  jobStatus?: string;
 }
 
-export type Handler = (request: HttpMessage, reply: (r: HttpReply) => void) => void;
+export type HttpHandler = (request: HttpMessage, reply: (r: HttpReply) => void) => void;
 
-export interface ServerLimits {
+export interface HttpServerLimits {
   connections: number;
   idleMs: number;
   bodyBytes: number;
   /** Who a connection belongs to, by its last request; the larger party is shed first. */
-  party?: (request: HttpMessage) => string;
+  clientGroup?: (request: HttpMessage) => string;
 }
 
 interface Connection {
@@ -123,16 +123,16 @@
 }
 
 /** One request at a time for each connection; later ones wait in the parser's buffer, which is bounded. */
-export const httpConnections = (
-  limits: ServerLimits,
+export const httpConnectionHandler = (
+  limits: HttpServerLimits,
   log: Logger,
-  handler: Handler,
+  handler: HttpHandler,
 ): ((s: Socket) => void) => {
   const connections = new Connections(limits.connections);
   return (socket) => {
     const connection: Connection = { socket, party: UNKNOWN };
     if (!connections.enter(connection)) {
-      log.limited('sockets', 'info', { open: connections.size }, 'connection refused, all are busy');
+      log.rateLimited('sockets', 'info', { open: connections.size }, 'connection refused, all are busy');
       socket.on('error', () => socket.destroy());
       socket.destroy();
       return;
@@ -154,7 +154,7 @@
         return;
       }
       busy = true;
-      connections.begin(connection, limits.party?.(request) ?? UNKNOWN);
+      connections.begin(connection, limits.clientGroup?.(request) ?? UNKNOWN);
       let answered = false;
       handler(request, (r) => {
         if (answered) return;
@@ -179,7 +179,7 @@
       } catch (e) {
         ended = true;
         const status = e instanceof HttpError ? e.status : 400;
-        log.limited('bad-request', 'debug', { status, cause: String(e) }, 'malformed request refused');
+        log.rateLimited('bad-request', 'debug', { status, cause: String(e) }, 'malformed request refused');
         if (!busy) socket.end(render({ status }, false));
         else socket.destroy();
         return;
--- a/src/runtime/http/socket-budget.ts
+++ b/src/runtime/http/socket-budget.ts
@@ -18,12 +18,12 @@
   /** Those not accepted yet. */
   backlog: number;
   /** Connections for orders sent straight to workers. */
-  orders: number;
+  directCommands: number;
 }
 
 export const socketBudget = (limit: number, peers: number): SocketBudget => {
   const left = Math.max(16, limit - OWN - STATUS_CONNECTIONS - EACH_PEER * peers);
   const orders = Math.max(4, Math.min(MOST_ORDERS, Math.floor(left * ORDERS_SHARE)));
   const backlog = Math.max(4, Math.min(MOST_BACKLOG, Math.floor(left * BACKLOG_SHARE)));
-  return { public: left - orders - backlog, backlog, orders };
+  return { public: left - orders - backlog, backlog, directCommands: orders };
 };
--- a/src/runtime/key-value-store/key-value-store-client.ts
+++ b/src/runtime/key-value-store/key-value-store-client.ts
@@ -5,7 +5,7 @@
 import { encode, tryDecode } from '../../wire/cbor.js';
 import * as wire from '../../wire/key-value-store.js';
 
-export type Outcome<T> =
+export type StoreOutcome<T> =
   | { kind: 'ok'; value: T }
   | { kind: 'refused' } // certainly not carried out: 429, 503, over our budget, never sent
   | { kind: 'unknown' } // no answer: may have been carried out, or may yet be
@@ -24,7 +24,7 @@
 const MAX_WAIT_MS = 250;
 const MAX_WAITING = 24;
 /** What remains in the buckets for callers that must not be starved. */
-export const reserves = { urgent: 0, normal: 2 };
+export const budgetReserves = { urgent: 0, normal: 2 };
 
 export class KeyValueStoreClient {
   private readonly calls: HttpClient;
@@ -50,7 +50,7 @@
   }
 
   /** The limits hold for all controllers together, so each one keeps to a share of them. */
-  setShare(share: number): void {
+  setBudgetShare(share: number): void {
     this.share = share;
     this.applyShare();
   }
@@ -95,19 +95,19 @@
     }
   }
 
-  async get(key: string, reserve = reserves.normal): Promise<Outcome<wire.Item>> {
+  async get(key: string, reserve = budgetReserves.normal): Promise<StoreOutcome<wire.Item>> {
     return this.read(`/store/${key}`, wire.parseItem, reserve);
   }
 
-  async list(prefix: string): Promise<Outcome<{ items: wire.Item[]; ledger: Uint64 }>> {
+  async list(prefix: string): Promise<StoreOutcome<{ items: wire.Item[]; ledger: Uint64 }>> {
     const items: wire.Item[] = [];
     let since: string | null = null;
     let ledger: Uint64 | null = null;
     for (;;) {
-      const page: Outcome<NonNullable<ReturnType<typeof wire.parseItems>>> = await this.read(
+      const page: StoreOutcome<NonNullable<ReturnType<typeof wire.parseItems>>> = await this.read(
         wire.listTarget(prefix, since, 1000),
         wire.parseItems,
-        reserves.urgent,
+        budgetReserves.urgent,
       );
       if (page.kind !== 'ok') return page;
       items.push(...page.value.items);
@@ -118,8 +118,8 @@
     }
   }
 
-  async transact(t: wire.Transaction, reserve = reserves.normal): Promise<TransactionOutcome> {
-    if (!(await this.turn(1, t.then.length, reserve))) return { kind: 'refused' };
+  async transact(t: wire.Transaction, reserve = budgetReserves.normal): Promise<TransactionOutcome> {
+    if (!(await this.turn(1, t.changes.length, reserve))) return { kind: 'refused' };
     const r = await this.calls.request('POST', '/multi', encode(wire.transactionBody(t)), TIMEOUT_MS);
     if (!r.ok) return r.sent ? { kind: 'unknown' } : { kind: 'refused' };
     this.noteStatus(r.status);
@@ -133,40 +133,40 @@
       this.lastAnswerAt = performance.now();
       return { kind: 'conflict', failed: wire.parseConflict(body)?.failed ?? [] };
     }
-    if (r.status === 400) return { kind: wire.saysLeaseGone(body) ? 'lease-gone' : 'invalid' };
+    if (r.status === 400) return { kind: wire.isLeaseGoneError(body) ? 'lease-gone' : 'invalid' };
     return { kind: 'refused' };
   }
 
-  async lease(ttlMs: number): Promise<Outcome<Uint64>> {
+  async grantLease(ttlMs: number): Promise<StoreOutcome<Uint64>> {
     const r = await this.leases.request('POST', '/leases', encode(wire.leaseBody(ttlMs)), TIMEOUT_MS);
     return this.outcome(r, wire.parseLease);
   }
 
   /** Renewals pass the budget by: nothing may starve them. */
-  async extend(lease: Uint64): Promise<Outcome<true>> {
+  async renewLease(lease: Uint64): Promise<StoreOutcome<true>> {
     const r = await this.leases.request('POST', `/leases/${lease}/extend`, null, TIMEOUT_MS);
     return this.outcome(r, () => true as const);
   }
 
-  async endLease(lease: Uint64): Promise<void> {
+  async revokeLease(lease: Uint64): Promise<void> {
     await this.leases.request('DELETE', `/leases/${lease}`, null, TIMEOUT_MS);
   }
 
   /** What has changed since, at once. */
-  async changes(prefix: string, since: Uint64) {
-    return this.read(wire.watchTarget(prefix, since, 0), wire.parseEvents, reserves.urgent);
+  async changesSince(prefix: string, since: Uint64) {
+    return this.read(wire.watchTarget(prefix, since, 0), wire.parseChanges, budgetReserves.urgent);
   }
 
   async watch(prefix: string, since: Uint64, waitMs: number) {
     const r = await this.watches.request('GET', wire.watchTarget(prefix, since, waitMs), null, waitMs + 3000);
-    return this.outcome(r, wire.parseEvents);
+    return this.outcome(r, wire.parseChanges);
   }
 
   private async read<T>(
     target: string,
     parse: (raw: unknown) => T | null,
     reserve: number,
-  ): Promise<Outcome<T>> {
+  ): Promise<StoreOutcome<T>> {
     if (!(await this.turn(1, 0, reserve))) return { kind: 'refused' };
     const r = await this.calls.request('GET', target, null, TIMEOUT_MS);
     if (r.ok) this.noteStatus(r.status);
@@ -176,7 +176,7 @@
   private outcome<T>(
     r: Awaited<ReturnType<HttpClient['request']>>,
     parse: (raw: unknown) => T | null,
-  ): Outcome<T> {
+  ): StoreOutcome<T> {
     if (!r.ok) return r.sent ? { kind: 'unknown' } : { kind: 'refused' };
     if (r.status === 404 || r.status === 410) {
       this.lastAnswerAt = performance.now();
--- a/src/runtime/leadership/leader-election.ts
+++ b/src/runtime/leadership/leader-election.ts
@@ -4,7 +4,7 @@
   leaseExpiresAt,
   initialElectionState,
   hasAuthority,
-  learnLeader,
+  recordLeader,
   type ElectionState,
 } from '../../core/election.js';
 import type { Uint64, NodeName, Revision, MonotonicTime, Term } from '../../core/units.js';
@@ -38,64 +38,64 @@
 
   /** For how long it may still act as the leader by its own clock; null: it holds no lease. */
   get authorityLeftMs(): number | null {
-    const { held } = this.electionState;
-    return held === null ? null : Math.round(leaseExpiresAt(held, this.ttlMs) - steady());
+    const { heldLease } = this.electionState;
+    return heldLease === null ? null : Math.round(leaseExpiresAt(heldLease, this.ttlMs) - steady());
   }
 
   get holdsLease(): boolean {
-    return this.electionState.held !== null;
+    return this.electionState.heldLease !== null;
   }
 
   start(): void {
-    void this.follow();
+    void this.watchLeaderKey();
     void this.renew();
     void this.probe();
   }
 
-  learn(node: NodeName, term: Term): void {
-    const held = this.electionState.held;
-    learnLeader(this.electionState, node, term);
-    if (held && !this.electionState.held) this.events.onLost('higher term seen');
+  noteLeader(node: NodeName, term: Term): void {
+    const held = this.electionState.heldLease;
+    recordLeader(this.electionState, node, term);
+    if (held && !this.electionState.heldLease) this.events.onLost('higher term seen');
   }
 
   /** Gives leadership up of our own will, and leaves it to the others for a while. */
   resign(why: string): void {
-    const held = this.electionState.held;
+    const held = this.electionState.heldLease;
     if (!held) return;
-    this.electionState.held = null;
+    this.electionState.heldLease = null;
     this.standAsideUntil = steady() + STAND_ASIDE_MS;
     this.events.onLost(why);
-    void this.store.endLease(held.lease);
+    void this.store.revokeLease(held.leaseId);
   }
 
   /** A write of ours failed because the leader key is not ours any more. */
   onLeaderKeyChanged(): void {
-    if (!this.electionState.held) return;
-    this.electionState.held = null;
+    if (!this.electionState.heldLease) return;
+    this.electionState.heldLease = null;
     this.events.onLost('leader key changed');
   }
 
-  private async look(): Promise<void> {
+  private async readLeaderKey(): Promise<void> {
     const r = await this.store.get(keys.leader, 0);
     if (r.kind === 'gone') {
       await this.acquire();
     } else if (r.kind === 'ok') {
       const leader = parseLeaderRecord(r.value.data);
       if (!leader) return;
-      this.learn(leader.node, leader.term);
+      this.noteLeader(leader.node, leader.term);
       this.events.onLeaderKey();
       // Our own key from before a restart: that process is dead, so its lease need not run out.
-      const { permit } = r.value;
-      if (this.firstLook && leader.node === this.platform.name && !this.electionState.held && permit) {
-        this.log.info({ term: leader.term, lease: permit }, 'lease of the process before this one ended');
-        await this.store.endLease(permit);
+      const { lease } = r.value;
+      if (this.firstLook && leader.node === this.platform.name && !this.electionState.heldLease && lease) {
+        this.log.info({ term: leader.term, lease: lease }, 'lease of the process before this one ended');
+        await this.store.revokeLease(lease);
       }
     } else return;
     this.firstLook = false;
   }
 
   /** Watches the leader key: its removal starts an election at once. */
-  private async follow(): Promise<void> {
+  private async watchLeaderKey(): Promise<void> {
     let since: Uint64 | null = null;
     for (;;) {
       if (since === null) {
@@ -105,7 +105,7 @@
           continue;
         }
         since = first.value.ledger;
-        await this.look();
+        await this.readLeaderKey();
       }
       const r = await this.store.watch(keys.leaderPrefix, since, WATCH_MS);
       if (r.kind === 'gone') {
@@ -120,9 +120,9 @@
       for (const e of r.value.log) {
         if ('put' in e && e.put === keys.leader) {
           const leader = parseLeaderRecord(e.data);
-          if (leader) this.learn(leader.node, leader.term);
+          if (leader) this.noteLeader(leader.node, leader.term);
         } else if ('delete' in e && e.delete === keys.leader) {
-          void this.look();
+          void this.readLeaderKey();
         }
       }
     }
@@ -136,7 +136,7 @@
         steady() - this.store.lastAnswerAt >= PROBE_MS * 0.9 ||
         (!this.holdsLease && !this.knownLeaderLives())
       ) {
-        await this.look();
+        await this.readLeaderKey();
       }
     }
   }
@@ -150,20 +150,20 @@
     this.acquiring = true;
     try {
       const sentAt = steady();
-      const lease = await this.store.lease(this.ttlMs);
+      const lease = await this.store.grantLease(this.ttlMs);
       if (lease.kind !== 'ok') return;
       const old = await this.store.get(keys.term, 0);
       if (old.kind !== 'ok' && old.kind !== 'gone') return;
-      const stamp: Revision = old.kind === 'ok' ? old.value.stamp : 0;
+      const stamp: Revision = old.kind === 'ok' ? old.value.revision : 0;
       const term = ((old.kind === 'ok' ? (parseTermRecord(old.value.data) ?? 0) : 0) + 1) as Term;
       const node = this.platform.name;
       const r = await this.store.transact(
         {
-          if: [
+          conditions: [
             { key: keys.leader, revision: 0 },
             { key: keys.term, revision: stamp },
           ],
-          then: [
+          changes: [
             { put: keys.leader, data: { node, term }, lease: lease.value },
             { put: keys.term, data: { term } },
           ],
@@ -175,14 +175,15 @@
         // The answer was lost: the key says whether it was carried out.
         const now = await this.store.get(keys.leader, 0);
         const leader = now.kind === 'ok' ? parseLeaderRecord(now.value.data) : null;
-        if (now.kind === 'ok' && leader?.node === node && leader.term === term) keyRevision = now.value.stamp;
+        if (now.kind === 'ok' && leader?.node === node && leader.term === term)
+          keyRevision = now.value.revision;
       }
       if (keyRevision === null) {
-        void this.store.endLease(lease.value);
+        void this.store.revokeLease(lease.value);
         return;
       }
-      this.electionState.held = { lease: lease.value, term, keyRevision, renewedAt: sentAt };
-      this.learn(node, term);
+      this.electionState.heldLease = { leaseId: lease.value, term, keyRevision, renewedAt: sentAt };
+      this.noteLeader(node, term);
       this.log.info(
         { term, lease: lease.value, revision: keyRevision, authorityMs: this.authorityLeftMs },
         'leadership taken',
@@ -196,23 +197,28 @@
   private async renew(): Promise<void> {
     for (;;) {
       await sleep(this.ttlMs / 5);
-      const held = this.electionState.held;
+      const held = this.electionState.heldLease;
       if (!held) continue;
       const sentAt = steady();
-      const r = await this.store.extend(held.lease);
-      if (this.electionState.held !== held) continue;
+      const r = await this.store.renewLease(held.leaseId);
+      if (this.electionState.heldLease !== held) continue;
       if (r.kind === 'ok') {
         held.renewedAt = sentAt;
         this.log.debug(
-          { term: held.term, lease: held.lease, authorityMs: this.authorityLeftMs },
+          { term: held.term, lease: held.leaseId, authorityMs: this.authorityLeftMs },
           'lease renewed',
         );
       } else if (r.kind === 'gone') {
-        this.electionState.held = null;
+        this.electionState.heldLease = null;
         this.events.onLost('lease gone');
       } else {
         const left = this.authorityLeftMs;
-        this.log.limited('renew', 'info', { outcome: r.kind, authorityLeftMs: left }, 'lease not renewed');
+        this.log.rateLimited(
+          'renew',
+          'info',
+          { outcome: r.kind, authorityLeftMs: left },
+          'lease not renewed',
+        );
       }
     }
   }
--- a/src/runtime/leadership/leader-loop.ts
+++ b/src/runtime/leadership/leader-loop.ts
@@ -33,9 +33,9 @@
 
 export class LeaderLoop {
   private leader: Leader | null = null;
-  private ended = false;
-  private queued = false;
-  private heardAt = -Infinity;
+  private stopped = false;
+  private tickRequested = false;
+  private lastHeartbeatAt = -Infinity;
   private ledSince = 0;
   private tickEnded = 0;
   private tickMs = 0;
@@ -50,18 +50,18 @@
   constructor(
     private readonly platform: PlatformSettings,
     private readonly operator: OperatorSettings,
-    private readonly membership: LeaderElection,
+    private readonly election: LeaderElection,
     private readonly store: KeyValueStoreClient,
     private readonly cloud: CloudProviderClient,
     private readonly log: Logger,
     private readonly random: () => number,
-    private readonly types: () => MachineType[],
+    private readonly machineTypes: () => MachineType[],
     private readonly imageLocations: ImageLocations,
     orderSockets: number,
-    private readonly cancelled: Pick<CancellationFeed, 'has' | 'jobs'>,
+    private readonly cancellations: Pick<CancellationFeed, 'has' | 'jobs'>,
   ) {
     this.workers = new WorkerClient(orderSockets);
-    this.records = new LeaderRecords(platform.keyValueStoreLimits, membership, store, log);
+    this.records = new LeaderRecords(platform.keyValueStoreLimits, election, store, log);
   }
 
   get leaderCore(): Leader | null {
@@ -69,7 +69,7 @@
   }
 
   async start(): Promise<void> {
-    const held = this.membership.electionState.held;
+    const held = this.election.electionState.heldLease;
     if (!held) return;
     const startedAt = steady();
     const leader = new Leader(
@@ -95,10 +95,10 @@
     const roster = await this.load(wire.keys.registryPrefix);
     const jobs = await this.load(wire.keys.activePrefix);
     const progress = await this.load(wire.keys.progressPrefix);
-    if (!roster || !jobs || !progress || this.ended) return;
+    if (!roster || !jobs || !progress || this.stopped) return;
     // Read only now: types that arrive while the state service is being read would otherwise be missed, and nothing
     // could be placed before the next refresh.
-    leader.setMachineTypes(this.types());
+    leader.setMachineTypes(this.machineTypes());
     for (const item of roster.items) {
       const page = item.key.slice(wire.keys.registryPrefix.length);
       const machines = wire.parseRegistryPage(item.data);
@@ -106,10 +106,10 @@
       for (const m of machines ?? []) leader.loadMachine(m, page, startedAt);
     }
     leader.loadImageLocations(this.imageLocations);
-    for (const item of jobs.items) this.learn(leader, item.key, item.data, item.stamp, true);
+    for (const item of jobs.items) this.applyJobRecord(leader, item.key, item.data, item.revision, true);
     for (const item of progress.items) {
       const [, id, segment] = item.key.split('/');
-      this.records.progressLoaded(item.key, item.stamp);
+      this.records.progressLoaded(item.key, item.revision);
       const bits = wire.parseProgressRecord(item.data);
       if (bits !== null)
         leader.loadProgress(id as JobId, segment as SegmentName, Buffer.from(bits, 'base64'));
@@ -129,9 +129,9 @@
   }
 
   stop(): void {
-    this.ended = true;
+    this.stopped = true;
     this.leader = null;
-    this.records.end();
+    this.records.stop();
     for (const t of this.timers) clearInterval(t);
     this.workers.close();
   }
@@ -146,7 +146,7 @@
     const leader = this.leader;
     if (!leader) return [];
     const now = steady();
-    this.heardAt = now;
+    this.lastHeartbeatAt = now;
     const commands = leader.onHeartbeat(report, now);
     if (leader.hasChanges) this.requestTick();
     return commands;
@@ -157,14 +157,14 @@
     const leader = this.leader;
     if (!leader) return null;
     const now = steady();
-    this.heardAt = now;
+    this.lastHeartbeatAt = now;
     return unchanged.filter((v) => !leader.onUnchangedHeartbeat(v, now)).map((v) => v.machine);
   }
 
   /** How long no worker at all has been heard, though machines are known to be up. */
   withoutHeartbeatsForMs(now: number): number {
     if (!this.leader || !this.leader.expectsHeartbeats) return 0;
-    return now - Math.max(this.heardAt, this.ledSince);
+    return now - Math.max(this.lastHeartbeatAt, this.ledSince);
   }
 
   setMachineTypes(types: MachineType[]): void {
@@ -172,7 +172,7 @@
   }
 
   private async load(prefix: string) {
-    while (!this.ended) {
+    while (!this.stopped) {
       const r = await this.store.list(prefix);
       if (r.kind === 'ok') return r.value;
       await sleep(200);
@@ -180,30 +180,31 @@
     return null;
   }
 
-  private learn(leader: Leader, key: string, data: unknown, stamp: Uint64, earlier: boolean): void {
+  private applyJobRecord(leader: Leader, key: string, data: unknown, stamp: Uint64, earlier: boolean): void {
     const record = wire.parseJobRecord(data);
     const id = key.slice(wire.keys.activePrefix.length) as JobId;
     if (record) {
       leader.applyJobRecord(id, record, stamp, earlier, steady(), wall());
-      if (this.cancelled.has(id)) leader.applyCancellation(id, steady());
+      if (this.cancellations.has(id)) leader.applyCancellation(id, steady());
     } else this.log.error({ key }, 'damaged job record, not placed');
   }
 
   private async watchJobs(from: Uint64): Promise<void> {
     let since = from;
-    while (!this.ended) {
+    while (!this.stopped) {
       const r = await this.store.watch(wire.keys.activePrefix, since, WATCH_MS);
-      if (this.ended || !this.leader) return;
+      if (this.stopped || !this.leader) return;
       if (r.kind === 'ok') {
         since = r.value.ledger;
         for (const e of r.value.log) {
-          if ('put' in e) this.learn(this.leader, e.put, e.data, e.stamp, false);
+          if ('put' in e) this.applyJobRecord(this.leader, e.put, e.data, e.stamp, false);
         }
         if (r.value.log.length > 0) this.requestTick();
       } else if (r.kind === 'gone') {
         const all = await this.load(wire.keys.activePrefix);
         if (!all || !this.leader) return;
-        for (const item of all.items) this.learn(this.leader, item.key, item.data, item.stamp, false);
+        for (const item of all.items)
+          this.applyJobRecord(this.leader, item.key, item.data, item.revision, false);
         since = all.ledger;
       } else {
         await sleep(250);
@@ -213,8 +214,8 @@
 
   private async pollCloud(): Promise<void> {
     const interval = Math.max(2000, 4000 / this.platform.cloudProviderLimits.rps);
-    while (!this.ended) {
-      if (this.membership.hasAuthority) {
+    while (!this.stopped) {
+      if (this.election.hasAuthority) {
         const listed = await this.cloud.listMachines();
         if (listed) this.leader?.onMachineList(listed, steady());
       }
@@ -224,14 +225,14 @@
 
   /** Runs the loop soon: events that come together share one cycle. */
   private requestTick(): void {
-    if (this.queued) return;
-    this.queued = true;
+    if (this.tickRequested) return;
+    this.tickRequested = true;
     // A tick's cost rises with the cluster: its pace falls with it, so that answers to workers, users and the
     // lease's renewal are never crowded out.
     const earliest = this.tickEnded + this.tickMs * TICK_PAUSES;
     setTimeout(
       () => {
-        this.queued = false;
+        this.tickRequested = false;
         this.tick();
       },
       Math.max(EVENT_DELAY_MS, Math.min(MAX_PAUSE_MS, earliest - steady())),
@@ -240,13 +241,13 @@
 
   private tick(): void {
     const leader = this.leader;
-    if (!leader || this.ended) return;
+    if (!leader || this.stopped) return;
     const began = steady();
     // Without authority nothing is decided: another controller may lead already.
-    if (this.membership.hasAuthority) leader.tick(began, wall());
+    if (this.election.hasAuthority) leader.tick(began, wall());
     else {
-      const { authorityLeftMs } = this.membership;
-      this.log.limited('authority', 'info', { authorityLeftMs }, 'no authority: nothing is decided');
+      const { authorityLeftMs } = this.election;
+      this.log.rateLimited('authority', 'info', { authorityLeftMs }, 'no authority: nothing is decided');
       leader.tickWithoutAuthority(began, wall());
     }
     this.tickEnded = steady();
@@ -274,19 +275,19 @@
         this.log[e.level](e.fields, e.text);
         return;
       case 'write-final-record':
-        void this.finish(leader, e);
+        void this.writeFinalRecord(leader, e);
         return;
       case 'read-final-record':
-        void this.lookUp(leader, e.job);
+        void this.readFinalRecord(leader, e.job);
         return;
       case 'write-progress':
-        void this.progress(leader, e);
+        void this.writeProgress(leader, e);
         return;
       case 'write-registry-page':
-        void this.writeRoster(leader, e);
+        void this.writeRegistryPage(leader, e);
         return;
       case 'create-machines':
-        void this.rent(leader, e);
+        void this.createMachines(leader, e);
         return;
       case 'delete-machines':
         void this.cloud.deleteMachines(e.machines).then((ok) => {
@@ -296,57 +297,66 @@
         });
         return;
       case 'send-direct-commands':
-        void this.order(leader, e);
+        void this.sendDirectCommands(leader, e);
         return;
     }
   }
 
-  private async finish(leader: Leader, e: Extract<Effect, { kind: 'write-final-record' }>): Promise<void> {
-    const outcome = await this.records.finish(e);
-    if (this.ended) return;
+  private async writeFinalRecord(
+    leader: Leader,
+    e: Extract<Effect, { kind: 'write-final-record' }>,
+  ): Promise<void> {
+    const outcome = await this.records.writeFinalRecord(e);
+    if (this.stopped) return;
     leader.onFinalRecordWritten(e.job, outcome, steady());
     if (outcome.kind === 'ok') this.requestTick();
   }
 
-  private async lookUp(leader: Leader, job: JobId): Promise<void> {
-    const final = await this.records.readFinal(job);
-    if (this.ended) return;
+  private async readFinalRecord(leader: Leader, job: JobId): Promise<void> {
+    const final = await this.records.readFinalRecord(job);
+    if (this.stopped) return;
     leader.onFinalRecordRead(job, final, steady());
     this.requestTick();
   }
 
-  private async progress(leader: Leader, e: Extract<Effect, { kind: 'write-progress' }>): Promise<void> {
-    const r = await this.records.putProgress(e.job, e.segment, e.bytes);
+  private async writeProgress(leader: Leader, e: Extract<Effect, { kind: 'write-progress' }>): Promise<void> {
+    const r = await this.records.writeProgress(e.job, e.segment, e.bytes);
     if (r.kind === 'changed') leader.loadProgress(e.job, e.segment, r.bytes);
     leader.onProgressWritten(e.job, e.segment, e.bytes, r.kind === 'ok');
   }
 
-  private async writeRoster(
+  private async writeRegistryPage(
     leader: Leader,
     e: Extract<Effect, { kind: 'write-registry-page' }>,
   ): Promise<void> {
-    const ok = await this.records.writeRoster(e.page, e.machines);
-    if (this.ended) return;
+    const ok = await this.records.writeRegistryPage(e.page, e.machines);
+    if (this.stopped) return;
     leader.onRegistryPageWritten(e.page, ok);
     this.requestTick();
   }
 
-  private async rent(leader: Leader, e: Extract<Effect, { kind: 'create-machines' }>): Promise<void> {
+  private async createMachines(
+    leader: Leader,
+    e: Extract<Effect, { kind: 'create-machines' }>,
+  ): Promise<void> {
     const r = await this.cloud.createMachines({ request: e.request, ...e.order });
-    if (this.ended) return;
-    if (r.kind === 'rented') leader.onScaleOutResult(e.request, { machines: r.machines }, steady());
+    if (this.stopped) return;
+    if (r.kind === 'provisioned') leader.onScaleOutResult(e.request, { machines: r.machines }, steady());
     else if (r.kind === 'no-capacity') leader.onScaleOutResult(e.request, 'no-capacity', steady());
     else {
       await sleep(RENT_RETRY_MS);
-      if (!this.ended) leader.onScaleOutResult(e.request, 'retry', steady());
+      if (!this.stopped) leader.onScaleOutResult(e.request, 'retry', steady());
     }
     this.requestTick();
   }
 
-  private async order(leader: Leader, e: Extract<Effect, { kind: 'send-direct-commands' }>): Promise<void> {
+  private async sendDirectCommands(
+    leader: Leader,
+    e: Extract<Effect, { kind: 'send-direct-commands' }>,
+  ): Promise<void> {
     const body = encode(directCommandsBody(leader.leadership.term, e.incarnation, e.commands));
     const r = await this.workers.request(e.endpoint, '/orders', body, ORDER_TIMEOUT_MS);
-    if (this.ended) return;
+    if (this.stopped) return;
     const { machine, incarnation } = e;
     const answer = r.ok ? r.status : r.cause;
     this.log.debug(
--- a/src/runtime/leadership/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -3,7 +3,7 @@
 import type { LeaderElection } from './leader-election.js';
 import { ProgressStore, type ProgressOutcome } from './progress-store.js';
 import {
-  reserves,
+  budgetReserves,
   type KeyValueStoreClient,
   type TransactionOutcome,
 } from '../key-value-store/key-value-store-client.js';
@@ -21,36 +21,36 @@
 
 /** The records of one leadership; after `end` nothing more is written. */
 export class LeaderRecords {
-  private ended = false;
+  private stopped = false;
   private readonly progress: ProgressStore;
 
   constructor(
     private readonly limits: KeyValueStoreLimits,
-    private readonly membership: LeaderElection,
+    private readonly election: LeaderElection,
     private readonly store: KeyValueStoreClient,
     private readonly log: Logger,
   ) {
     this.progress = new ProgressStore(
-      (then, conditions) => this.write(then, conditions, reserves.normal),
-      (key) => this.store.get(key, reserves.urgent),
+      (then, conditions) => this.write(then, conditions, budgetReserves.normal),
+      (key) => this.store.get(key, budgetReserves.urgent),
     );
   }
 
-  end(): void {
-    this.ended = true;
+  stop(): void {
+    this.stopped = true;
   }
 
   /** A segment of progress that was there when the leadership began. */
   progressLoaded(key: string, revision: Revision): void {
-    this.progress.loaded(key, revision);
+    this.progress.recordLoaded(key, revision);
   }
 
-  putProgress(job: JobId, segment: SegmentName, bytes: Uint8Array): Promise<ProgressOutcome> {
-    return this.progress.put(job, segment, bytes);
+  writeProgress(job: JobId, segment: SegmentName, bytes: Uint8Array): Promise<ProgressOutcome> {
+    return this.progress.save(job, segment, bytes);
   }
 
   /** Replaces the job's active record by its final one, and deletes its progress. */
-  async finish(e: Extract<Effect, { kind: 'write-final-record' }>): Promise<FinishOutcome> {
+  async writeFinalRecord(e: Extract<Effect, { kind: 'write-final-record' }>): Promise<FinishOutcome> {
     const { keys } = wire;
     const atOnce = Math.max(0, this.limits.txnOps - FINISH_CHANGES);
     const progress = e.segments.map((segment) => keys.progress(e.job, segment));
@@ -68,43 +68,43 @@
       { job: e.job, state: e.state, revision: r.revision, recordRevision: e.revision },
       'final state recorded',
     );
-    this.progress.drop(e.job, e.segments);
+    this.progress.forget(e.job, e.segments);
     void this.deleteKeys(progress.slice(atOnce));
     return { kind: 'ok', state: e.state };
   }
 
   /** The record changed under us: a cancellation came first, or our own lost write was carried out. */
   private async reread(job: JobId): Promise<FinishOutcome> {
-    const active = await this.store.get(wire.keys.active(job), reserves.urgent);
+    const active = await this.store.get(wire.keys.active(job), budgetReserves.urgent);
     const record = active.kind === 'ok' ? wire.parseJobRecord(active.value.data) : null;
-    if (active.kind === 'ok' && record) return { kind: 'changed', record, revision: active.value.stamp };
-    const final = active.kind === 'gone' ? await this.readFinal(job) : null;
+    if (active.kind === 'ok' && record) return { kind: 'changed', record, revision: active.value.revision };
+    const final = active.kind === 'gone' ? await this.readFinalRecord(job) : null;
     return final === null ? { kind: 'retry' } : { kind: 'ok', state: final };
   }
 
   /** Null where there is no final record, or no answer. */
-  async readFinal(job: JobId): Promise<FinalState | null> {
-    const final = await this.store.get(wire.keys.final(job), reserves.urgent);
+  async readFinalRecord(job: JobId): Promise<FinalState | null> {
+    const final = await this.store.get(wire.keys.final(job), budgetReserves.urgent);
     return final.kind === 'ok' ? (wire.parseFinalRecord(final.value.data)?.state ?? null) : null;
   }
 
   /** False: it has to be tried again. */
-  async writeRoster(page: string, machines: MachineInfo[]): Promise<boolean> {
+  async writeRegistryPage(page: string, machines: MachineInfo[]): Promise<boolean> {
     const key = wire.keys.registryPage(page);
     const change =
       machines.length === 0 ? { delete: key } : { put: key, data: wire.registryPageData(machines) };
     const r = await this.write([change]);
-    if (r.kind !== 'ok' && !this.ended)
-      this.log.limited('roster', 'info', { outcome: r.kind }, 'roster not written, tried again');
+    if (r.kind !== 'ok' && !this.stopped)
+      this.log.rateLimited('roster', 'info', { outcome: r.kind }, 'roster not written, tried again');
     return r.kind === 'ok';
   }
 
   /** Records that nothing refers to any more, without haste; what is left when this process ends, the next one finds. */
   async deleteKeys(left: string[]): Promise<void> {
-    while (left.length > 0 && !this.ended) {
+    while (left.length > 0 && !this.stopped) {
       const some = left.slice(0, this.limits.txnOps);
       const changes = some.map((key) => ({ delete: key }));
-      const r = await this.write(changes, [], reserves.normal);
+      const r = await this.write(changes, [], budgetReserves.normal);
       if (r.kind === 'ok') left = left.slice(some.length);
       else await sleep(DELETE_RETRY_MS);
     }
@@ -114,15 +114,15 @@
   private async write(
     then: wire.Change[],
     conditions: wire.Condition[] = [],
-    reserve = reserves.urgent,
+    reserve = budgetReserves.urgent,
   ): Promise<TransactionOutcome> {
-    const held = this.membership.electionState.held;
-    if (!held || this.ended) return { kind: 'refused' };
+    const held = this.election.electionState.heldLease;
+    if (!held || this.stopped) return { kind: 'refused' };
     const guard = { key: wire.keys.leader, revision: held.keyRevision };
-    const r = await this.store.transact({ if: [guard, ...conditions], then }, reserve);
+    const r = await this.store.transact({ conditions: [guard, ...conditions], changes: then }, reserve);
     if (r.kind === 'conflict' && r.failed.includes(wire.keys.leader)) {
       this.log.info({ term: held.term }, 'write refused: the leader key is not ours any more');
-      this.membership.onLeaderKeyChanged();
+      this.election.onLeaderKeyChanged();
       return { kind: 'refused' };
     }
     return r;
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -30,7 +30,7 @@
   }
 
   /** At most one line a second for each key: a failing neighbour must not cost us our processor share. */
-  limited(key: string, level: Level, fields: Fields, text: string): void {
+  rateLimited(key: string, level: Level, fields: Fields, text: string): void {
     const now = performance.now();
     const last = this.seen.get(key);
     if (last && now - last.at < 1000) {
--- a/src/runtime/peers/image-locations.ts
+++ b/src/runtime/peers/image-locations.ts
@@ -12,7 +12,7 @@
    * The next page of all. One message with all machines would outgrow a frame, and a peer that gets one too large ends
    * the connection.
    */
-  page(all: ImageLocations): ImageLocations {
+  nextPage(all: ImageLocations): ImageLocations {
     const ids = Object.keys(all);
     if (this.next >= ids.length) this.next = 0;
     const page = Object.fromEntries(ids.slice(this.next, this.next + PAGE).map((id) => [id, all[id]]));
--- a/src/runtime/peers/leader-route.ts
+++ b/src/runtime/peers/leader-route.ts
@@ -14,30 +14,30 @@
 export interface LeaderRoute {
   leader: LeaderStatus;
   /** The peer in between; null when the leader is asked itself. */
-  over: NodeName | null;
+  via: NodeName | null;
   ask: <R extends LeaderRequest>(request: R, timeoutMs: number) => Promise<PeerResponses[R['kind']] | null>;
 }
 
 export const sameRoute = (a: LeaderRoute, b: LeaderRoute): boolean =>
-  a.leader.node === b.leader.node && a.leader.term === b.leader.term && a.over === b.over;
+  a.leader.node === b.leader.node && a.leader.term === b.leader.term && a.via === b.via;
 
 const direct = (link: PeerLink): LeaderRoute | null => {
   const { status } = link;
-  if (status === null || !(status.leading || status.holding)) return null;
-  const { node, term, leading, holding } = status;
+  if (status === null || !(status.leading || status.holdsLease)) return null;
+  const { node, term, leading, holdsLease } = status;
   return {
-    leader: { node, term, leading, holding },
-    over: null,
+    leader: { node, term, leading, holdsLease: holdsLease },
+    via: null,
     ask: (request, timeoutMs) => link.ask(request, timeoutMs),
   };
 };
 
 const forwarded = (link: PeerLink): LeaderRoute | null => {
-  const leader = link.status?.reaches ?? null;
+  const leader = link.status?.reachableLeader ?? null;
   if (leader === null) return null;
   return {
     leader,
-    over: link.name,
+    via: link.name,
     ask: async <R extends LeaderRequest>(request: R, timeoutMs: number) => {
       const raw = await link.ask({ kind: 'forward', to: leader.node, request }, timeoutMs);
       const kind: R['kind'] = request.kind;
@@ -57,18 +57,18 @@
   ) {}
 
   find(atLeast: Term, now: MonotonicTime): LeaderRoute | null {
-    const alive = this.links.filter((link) => link.alive(now));
+    const alive = this.links.filter((link) => link.isAlive(now));
     const routes = [...alive.map(direct), ...alive.map(forwarded)]
       .filter(isRoute)
       .filter(({ leader }) => leader.term >= atLeast && leader.node !== this.self);
     return (
-      routes.find((route) => route.leader.leading) ?? routes.find((route) => route.leader.holding) ?? null
+      routes.find((route) => route.leader.leading) ?? routes.find((route) => route.leader.holdsLease) ?? null
     );
   }
 
   /** The leader that this controller reaches itself: what it tells its peers, so that no request goes in a circle. */
-  reaches(atLeast: Term, now: MonotonicTime): LeaderStatus | null {
+  directlyReachableLeader(atLeast: Term, now: MonotonicTime): LeaderStatus | null {
     const route = this.find(atLeast, now);
-    return route?.over === null ? route.leader : null;
+    return route?.via === null ? route.leader : null;
   }
 }
--- a/src/runtime/peers/peer-link.ts
+++ b/src/runtime/peers/peer-link.ts
@@ -79,7 +79,7 @@
 }
 
 /** Answers what a peer asks on its connection. */
-export const answerPeer = (
+export const servePeer = (
   socket: Socket,
   handle: (request: PeerRequest) => Promise<unknown>,
   onMalformed: (cause: string) => void,
@@ -114,7 +114,7 @@
 export interface CancellationExchange {
   positionOf: (peer: NodeName) => CancellationLogPosition | null;
   onPeerPage: (peer: NodeName, s: CancellationLogPage, askedAt: MonotonicTime) => void;
-  malformed: (peer: NodeName, cause: string) => void;
+  onMalformedPage: (peer: NodeName, cause: string) => void;
 }
 
 export class PeerLink {
@@ -130,9 +130,9 @@
 
   constructor(
     readonly peer: PlatformSettings['peers'][number],
-    private readonly own: () => PeerStatus,
+    private readonly ownStatus: () => PeerStatus,
     private readonly onStatus: (s: PeerStatus) => void,
-    private readonly cancelled: CancellationExchange,
+    private readonly cancellations: CancellationExchange,
     private readonly onMalformed: (peer: NodeName, cause: string) => void,
   ) {}
 
@@ -144,7 +144,7 @@
     return this.peer.zone;
   }
 
-  alive(now: number): boolean {
+  isAlive(now: number): boolean {
     return now - this.heardAt < ALIVE_MS;
   }
 
@@ -152,7 +152,7 @@
    * Its address answers with a refusal: the network in between works, unlike behind a cut, and a worker may well
    * reach it. It may also be dead.
    */
-  refuses(now: number): boolean {
+  refusesConnections(now: number): boolean {
     return !this.connected && now - this.refusedAt < ALIVE_MS;
   }
 
@@ -197,20 +197,20 @@
     if (this.heartbeatOpen) return;
     this.heartbeatOpen = true;
     const askedAt = performance.now() as MonotonicTime;
-    const have = this.cancelled.positionOf(this.name);
-    const answer = await this.ask({ kind: 'heartbeat', from: this.own(), have }, ALIVE_MS);
+    const logPosition = this.cancellations.positionOf(this.name);
+    const answer = await this.ask({ kind: 'heartbeat', status: this.ownStatus(), logPosition }, ALIVE_MS);
     this.heartbeatOpen = false;
     if (answer === null) {
       // A connection that stopped answering may sit behind a cut: a new one works as soon as the cut ends.
-      if (this.connected && !this.alive(performance.now())) this.socket?.destroy();
+      if (this.connected && !this.isAlive(performance.now())) this.socket?.destroy();
       return;
     }
     this.heardAt = performance.now();
     this.status = answer.status;
     this.onStatus(answer.status);
-    const page = parseLogPage(answer.cancelled);
-    if (page.ok) this.cancelled.onPeerPage(this.name, page.value, askedAt);
-    else this.cancelled.malformed(this.name, page.cause);
+    const page = parseLogPage(answer.cancellationPage);
+    if (page.ok) this.cancellations.onPeerPage(this.name, page.value, askedAt);
+    else this.cancellations.onMalformedPage(this.name, page.cause);
   }
 
   private dial(): void {
--- a/src/runtime/users/admission.ts
+++ b/src/runtime/users/admission-control.ts
@@ -2,25 +2,25 @@
 // turned away again and again: who was turned away has a part of the stage that others don't get.
 const TURNED_AWAY_KEPT = 5000;
 
-export class Admission {
+export class AdmissionControl {
   private open = 0;
   private readonly turnedAway = new Set<string>();
-  refused = 0;
+  refusedCount = 0;
 
   constructor(
     private readonly most: number,
     private readonly reserved: number,
   ) {}
 
-  get busy(): number {
+  get openRequests(): number {
     return this.open;
   }
 
   /** `who` names what the request asks about; null where only the body says. */
-  enter(who: string | null): boolean {
+  tryAdmit(who: string | null): boolean {
     const before = who !== null && this.turnedAway.has(who);
     if (this.open >= this.most + (before ? this.reserved : 0)) {
-      this.refused++;
+      this.refusedCount++;
       if (who !== null) {
         // Bounded: the names come from outside.
         if (this.turnedAway.size >= TURNED_AWAY_KEPT) this.turnedAway.clear();
@@ -33,7 +33,7 @@
   }
 
   /** Answered with something other than "come back". */
-  leave(who: string | null, served: boolean): void {
+  release(who: string | null, served: boolean): void {
     this.open--;
     if (who === null) return;
     if (served) this.turnedAway.delete(who);
--- a/src/runtime/users/job-lookup.ts
+++ b/src/runtime/users/job-lookup.ts
@@ -1,5 +1,5 @@
 // Reads jobs' records for users' requests. A final state never changes, so it alone is answered from memory.
-import type { Outcome, KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+import type { StoreOutcome, KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
 import type { FinalRecord, JobRecord } from '../../core/types.js';
 import type { JobId, Revision } from '../../core/units.js';
@@ -8,8 +8,8 @@
 const FINALS_KEPT = 20_000;
 
 /** What the state service says of a job. */
-export type Lookup =
-  | { kind: 'active'; record: JobRecord; stamp: Revision }
+export type JobLookupResult =
+  | { kind: 'active'; record: JobRecord; revision: Revision }
   | { kind: 'final'; record: FinalRecord }
   /** A record that can't be read: its job was accepted, and nothing else is known of it. */
   | { kind: 'damaged' }
@@ -29,18 +29,18 @@
   ) {}
 
   /** The final state where it is remembered; it costs no request. */
-  remembered(id: JobId): FinalRecord | undefined {
+  cachedFinalRecord(id: JobId): FinalRecord | undefined {
     return this.finals.get(id);
   }
 
   /** Active first, then final: a job that finishes between the two reads is found by the second. */
-  async find(id: JobId): Promise<Lookup> {
+  async find(id: JobId): Promise<JobLookupResult> {
     const kept = this.finals.get(id);
     if (kept) return { kind: 'final', record: kept };
     const active = await this.read(keys.active(id));
     if (active.kind === 'ok') {
       const record = parseJobRecord(active.value.data);
-      return record ? { kind: 'active', record, stamp: active.value.stamp } : { kind: 'damaged' };
+      return record ? { kind: 'active', record, revision: active.value.revision } : { kind: 'damaged' };
     }
     if (active.kind !== 'gone') return { kind: 'undecided' };
     const final = await this.read(keys.final(id));
@@ -53,7 +53,7 @@
   }
 
   /** Whether each of these jobs was accepted, at whichever controller; the first that was not is named. */
-  async allAccepted(ids: readonly JobId[]): Promise<'yes' | 'undecided' | { missing: JobId }> {
+  async checkAccepted(ids: readonly JobId[]): Promise<'yes' | 'undecided' | { missing: JobId }> {
     const unknown = ids.filter(
       (id) => !this.finals.has(id) && !this.known.indexed(id) && !this.known.has(id),
     );
@@ -99,7 +99,7 @@
     return found.record.cancelledAt === null ? found.record.spec : 'cancelled';
   }
 
-  private read(key: string): Promise<Outcome<Item>> {
+  private read(key: string): Promise<StoreOutcome<Item>> {
     return this.state.get(key);
   }
 }
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -2,10 +2,10 @@
 // is told to a user that it doesn't hold.
 import type { HttpMessage } from '../http/http-parser.js';
 import type { HttpReply } from '../http/http-server.js';
-import { JobLookup, type KnownJobs, type Lookup } from './job-lookup.js';
-import { reserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+import { JobLookup, type KnownJobs, type JobLookupResult } from './job-lookup.js';
+import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { PlatformSettings } from '../../config/platform.js';
-import { withinLimit } from '../../core/scheduler/rules.js';
+import { withinTeamLimit } from '../../core/scheduler/placement-constraints.js';
 import { canBeSpread, fitsSomeType } from '../../core/scaling/scale-out-plan.js';
 import type { JobRecord, JobSpec, MachineType, TeamQuota } from '../../core/types.js';
 import type { JobId, Team, WallTime } from '../../core/units.js';
@@ -20,7 +20,7 @@
 const busy = (cause: string): HttpReply => ({
   status: 503,
   retryAfterS: RETRY_S,
-  cause,
+  refusalCause: cause,
   body: encode({ error: cause }),
 });
 const bad = (status: number, cause: string): HttpReply => ({ status, body: encode({ error: cause }) });
@@ -28,7 +28,7 @@
 const told = (id: JobId, state: UserStatus, counts?: Counts, status = 200): HttpReply => ({
   status,
   body: encode(statusBody(id, state, counts)),
-  told: state,
+  jobStatus: state,
 });
 
 export class UserApi {
@@ -71,7 +71,7 @@
     const never = this.canNeverRun(spec);
     if (never === 'undecided') return busy('machine types not known yet');
     if (never !== null) return this.unlessKnown(raw, bad(422, never));
-    const final = this.jobs.remembered(spec.id);
+    const final = this.jobs.cachedFinalRecord(spec.id);
     if (final) return told(spec.id, final.state);
     const refusal = await this.refuseDependencies(spec);
     if (refusal) return refusal.status === 422 ? this.unlessKnown(raw, refusal) : refusal;
@@ -80,11 +80,11 @@
     if (!fitsValue(largest, this.platform.keyValueStoreLimits.valueKb))
       return this.unlessKnown(raw, bad(400, 'job description too large'));
     const r = await this.state.transact({
-      if: [
+      conditions: [
         { key: keys.active(spec.id), revision: 0 },
         { key: keys.final(spec.id), revision: 0 },
       ],
-      then: [{ put: keys.active(spec.id), data: jobRecordData(record) }],
+      changes: [{ put: keys.active(spec.id), data: jobRecordData(record) }],
     });
     if (r.kind === 'ok') return told(spec.id, 'pending', undefined, 201);
     if (r.kind === 'refused' || r.kind === 'lease-gone' || r.kind === 'invalid')
@@ -99,7 +99,7 @@
   private async refuseDependencies({ id, dependsOn }: JobSpec): Promise<HttpReply | null> {
     if (dependsOn.length === 0) return null;
     if (dependsOn.includes(id)) return bad(422, 'awaits itself');
-    const accepted = await this.jobs.allAccepted(dependsOn);
+    const accepted = await this.jobs.checkAccepted(dependsOn);
     if (accepted === 'yes') return null;
     if (accepted === 'undecided') return busy('state service does not answer');
     return bad(422, `awaits ${accepted.missing}, which was never accepted`);
@@ -120,7 +120,7 @@
     if (!team) return 'unknown team';
     const tasks = spec.kind === 'array' ? 1 : spec.tasks;
     const need = { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks, memoryGb: 0 };
-    if (!withinLimit(need, undefined, team)) return "more than the team's limit";
+    if (!withinTeamLimit(need, undefined, team)) return "more than the team's limit";
     const types = this.types();
     if (types.length === 0) return 'undecided';
     if (!fitsSomeType(spec, types)) return 'a task fits no allowed machine type';
@@ -134,7 +134,7 @@
     return this.describe(id, found);
   }
 
-  private async describe(id: JobId, found: Lookup): Promise<HttpReply> {
+  private async describe(id: JobId, found: JobLookupResult): Promise<HttpReply> {
     if (found.kind === 'final') {
       const done = found.record.tasks;
       return told(id, found.record.state, { done, running: 0 });
@@ -158,7 +158,7 @@
   }
 
   /** Done against cancelled is decided here: whoever writes either compares the job's record. */
-  private async recordCancelled(id: JobId, first: Lookup): Promise<HttpReply> {
+  private async recordCancelled(id: JobId, first: JobLookupResult): Promise<HttpReply> {
     let found = first;
     for (let tries = 0; tries < MAX_TRIES; tries++) {
       if (found.kind === 'final') return told(id, found.record.state);
@@ -167,10 +167,10 @@
       const record = this.cancelledRecord(found.record);
       const r = await this.state.transact(
         {
-          if: [{ key: keys.active(id), revision: found.stamp }],
-          then: [{ put: keys.active(id), data: jobRecordData(record) }],
+          conditions: [{ key: keys.active(id), revision: found.revision }],
+          changes: [{ put: keys.active(id), data: jobRecordData(record) }],
         },
-        reserves.urgent,
+        budgetReserves.urgent,
       );
       if (r.kind === 'ok') return this.describeCancelled(id);
       if (r.kind === 'refused' || r.kind === 'invalid') return busy('state service refuses');
--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -8,7 +8,7 @@
 import type { LeaderStatus } from '../../wire/peer-messages.js';
 import type { LeaderLoop } from '../leadership/leader-loop.js';
 import type { PlatformSettings } from '../../config/platform.js';
-import { highestTerm } from '../../core/election.js';
+import { highestKnownTerm } from '../../core/election.js';
 import type { Command, Heartbeat } from '../../core/types.js';
 import { equalUint64, type MachineId, type MonotonicTime } from '../../core/units.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
@@ -92,7 +92,7 @@
    * A leader was heard of, by us now or by a peer some time ago: keeping workers alive is bounded from here. A
    * peer's word is what a controller has that was just restarted.
    */
-  noteLeaderSeen(agoMs = 0): void {
+  recordLeaderSeen(agoMs = 0): void {
     this.leaderSeenAt = Math.max(this.leaderSeenAt, this.clock() - agoMs);
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** Whether workers reach this controller themselves; a cut may spare the peers and the state service. */
-  get hearing(): boolean {
+  get receivesHeartbeats(): boolean {
     return this.clock() - this.directAt < this.platform.workers.heartbeatIntervalS * 2000 + 500;
   }
 
@@ -115,7 +115,7 @@
   }
 
   /** A report that a peer passes on; `quiet`: its machine may be vouched for until something changes. */
-  async relayed(body: Buffer): Promise<HttpReply & { quiet: boolean }> {
+  async handleForwarded(body: Buffer): Promise<HttpReply & { quiet: boolean }> {
     const now = this.clock();
     const [outcome, reply, machine] = await this.decide(body, true, now);
     this.count(outcome, now);
@@ -130,7 +130,7 @@
   ): Promise<[Outcome, HttpReply, MachineId?]> {
     const parsed = parseHeartbeat(tryDecode(body));
     if (!parsed.ok) {
-      this.log.limited('report', 'info', { cause: parsed.cause }, 'malformed report refused');
+      this.log.rateLimited('report', 'info', { cause: parsed.cause }, 'malformed report refused');
       return ['refused', answer(400, { error: parsed.cause })];
     }
     const report = parsed.value;
@@ -153,7 +153,7 @@
   private refusingLeader(now: MonotonicTime): PeerLink | null {
     const { leader } = this.membership.electionState;
     if (!leader || !this.storeAvailable()) return null;
-    return this.links.find((l) => l.name === leader.node && l.refuses(now)) ?? null;
+    return this.links.find((l) => l.name === leader.node && l.refusesConnections(now)) ?? null;
   }
 
   private mayDismiss(report: Heartbeat, now: MonotonicTime): boolean {
@@ -166,7 +166,7 @@
 
   private asLeader(report: Heartbeat, relayed: boolean, now: MonotonicTime): [Outcome, HttpReply] {
     const loop = this.leading();
-    const term = this.membership.electionState.held!.term;
+    const term = this.membership.electionState.heldLease!.term;
     // An answer under a lower token would be dropped and would hold the worker here.
     if (report.fencingToken > term) return ['sent elsewhere', redirectTo(null)];
     if (this.membership.hasAuthority) {
@@ -198,7 +198,9 @@
   private redirectToZone(report: Heartbeat, now: MonotonicTime): PeerLink | null {
     const last = this.redirectedAt.get(report.id);
     if (last !== undefined && now - last < REDIRECT_EVERY_MS) return null;
-    const near = this.links.filter((l) => l.zone === report.zone && l.alive(now) && l.status?.hearing);
+    const near = this.links.filter(
+      (l) => l.zone === report.zone && l.isAlive(now) && l.status?.receivesHeartbeats,
+    );
     if (near.length === 0) return null;
     if (this.redirectedAt.size > 5000) this.redirectedAt.clear();
     this.redirectedAt.set(report.id, now);
@@ -219,13 +221,13 @@
     const closer = this.closerTo(report, now);
     if (closer) return ['sent elsewhere', redirectTo(closer.name)];
     const { term, leading } = route.leader;
-    if (this.mayAnswerUnchanged(report, now) && this.unchangedReports.covers(report, route))
+    if (this.mayAnswerUnchanged(report, now) && this.unchangedReports.tryConfirmUnchanged(report, route))
       return ['vouched for', answer(200, heartbeatReply(term, []))];
-    const relayed = await route.ask({ kind: 'relay', report: body }, RELAY_TIMEOUT_MS);
+    const relayed = await route.ask({ kind: 'forwarded-heartbeat', heartbeat: body }, RELAY_TIMEOUT_MS);
     // One without authority may not be able to answer for the worker; then we may.
     if (relayed && (relayed.status === 200 || leading)) {
-      const { status, body: reply, quiet } = relayed;
-      this.unchangedReports.learn(report, term, status === 200 && quiet);
+      const { status, body: reply, inSync } = relayed;
+      this.unchangedReports.recordFullHeartbeat(report, term, status === 200 && inSync);
       return ['relayed', { status, body: Buffer.from(reply) }];
     }
     return this.renewWithoutLeader(report, this.clock());
@@ -280,7 +282,7 @@
     // Cut off from everybody but the workers: another controller may lead, and they can reach it. If none answers
     // them they come back, and are kept.
     if (this.isolated(now) && this.mayDismiss(report, now)) return ['sent elsewhere', redirectTo(null)];
-    const term = highestTerm(this.membership.electionState);
+    const term = highestKnownTerm(this.membership.electionState);
     // A token above ours: another controller has a newer leader. A worker that comes back has found none, and is
     // answered under the token that it has, since a lower one would hold it here in vain.
     const newer = report.fencingToken > term;
@@ -305,37 +307,37 @@
   }
 
   private isolated(now: MonotonicTime): boolean {
-    return !this.storeAvailable() && this.links.length > 0 && !this.links.some((l) => l.alive(now));
+    return !this.storeAvailable() && this.links.length > 0 && !this.links.some((l) => l.isAlive(now));
   }
 
   /** To the leader; else to whoever holds its lease: it goes on learning where tasks are, and whom to fence. */
   private leaderRoute(now: MonotonicTime): LeaderRoute | null {
-    return this.routes.find(highestTerm(this.membership.electionState), now);
+    return this.routes.find(highestKnownTerm(this.membership.electionState), now);
   }
 
   /** The leader that this controller reaches without another one in between. */
-  get reachedLeader(): LeaderStatus | null {
-    return this.routes.reaches(highestTerm(this.membership.electionState), this.clock());
+  get reachableLeader(): LeaderStatus | null {
+    return this.routes.directlyReachableLeader(highestKnownTerm(this.membership.electionState), this.clock());
   }
 
   /** Somebody knows the whole cluster: this controller, or one that it can reach. */
-  leaderInReach(now: MonotonicTime): boolean {
+  isLeaderReachable(now: MonotonicTime): boolean {
     return (this.leading()?.leaderCore ?? null) !== null || this.leaderRoute(now) !== null;
   }
 
   /** Machines that reported to us themselves, and now are silent, with what they last held. */
-  silentFor(ms: number, now: MonotonicTime): [MachineId, Heartbeat['tasks']][] {
+  machinesWithoutHeartbeatFor(ms: number, now: MonotonicTime): [MachineId, Heartbeat['tasks']][] {
     const silent = [...this.lastReports].filter(([, r]) => now - r.at >= ms);
     return silent.map(([id, r]) => [id, r.tasks]);
   }
 
   /** Of these, the ones that reported to us lately. */
-  heardOf(machines: string[]): MachineId[] {
+  recentlyReporting(machines: string[]): MachineId[] {
     const since = this.clock() - this.platform.workers.leaseS * 1000;
     return (machines as MachineId[]).filter((id) => (this.lastReports.get(id)?.at ?? -Infinity) > since);
   }
 
-  forgetReport(id: MachineId): void {
+  forgetHeartbeat(id: MachineId): void {
     this.lastReports.delete(id);
   }
 
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -36,7 +36,7 @@
   /** To be called regularly. */
   async check(): Promise<void> {
     const now = this.clock();
-    if (this.open || this.reportHandler.leaderInReach(now)) return;
+    if (this.open || this.reportHandler.isLeaderReachable(now)) return;
     const { cancelS } = this.platform.workers;
     const before = (now - cancelS * 1000 * OVERDUE_CANCELS) as MonotonicTime;
     if (!this.cancelled.anyLearnedBetween((now - cancelS * 2000) as MonotonicTime, before)) return;
@@ -50,7 +50,7 @@
 
   private knownToHold(before: MonotonicTime, now: MonotonicTime): MachineId[] {
     return this.reportHandler
-      .silentFor(this.platform.workers.leaseS * 1000, now)
+      .machinesWithoutHeartbeatFor(this.platform.workers.leaseS * 1000, now)
       .filter(([, tasks]) =>
         tasks.some((t) => t.state !== 'exited' && (this.cancelled.learnedAtOf(t.job) ?? Infinity) < before),
       )
@@ -66,7 +66,7 @@
     if (this.storeAvailable() || now - this.startedAt < settlingMs) return [];
     const listed = await this.cloud.listMachines();
     const up = (listed ?? []).filter((m) => m.status === 'running').map((m) => m.id);
-    const heard = new Set(this.reportHandler.heardOf(up));
+    const heard = new Set(this.reportHandler.recentlyReporting(up));
     return up.filter((id) => !heard.has(id));
   }
 
@@ -75,16 +75,16 @@
     if (machines.length === 0) return;
     // They may report to another controller by now, which tells them to stop.
     const answers = await Promise.all(
-      this.links.map((l) => l.ask({ kind: 'heard', machines }, ASK_TIMEOUT_MS)),
+      this.links.map((l) => l.ask({ kind: 'recent-heartbeats', machines }, ASK_TIMEOUT_MS)),
     );
-    const heard = new Set(answers.flatMap((answer) => answer?.heard ?? []));
-    for (const id of machines) if (heard.has(id)) this.reportHandler.forgetReport(id);
+    const heard = new Set(answers.flatMap((answer) => answer?.machines ?? []));
+    for (const id of machines) if (heard.has(id)) this.reportHandler.forgetHeartbeat(id);
     // Whom a controller out of reach may hear is spared, unless we know that it holds such a task.
     const all = answers.every((answer) => answer !== null);
     const silent = machines.filter((id) => !heard.has(id) && (all || known.includes(id)));
     if (silent.length === 0) return;
     const ok = await this.cloud.deleteMachines(silent);
     this.log.info({ machines: silent, ok }, 'silent with a cancelled task, and no leader: fenced');
-    if (ok) for (const id of silent) this.reportHandler.forgetReport(id);
+    if (ok) for (const id of silent) this.reportHandler.forgetHeartbeat(id);
   }
 }
--- a/src/runtime/workers/unchanged-heartbeats.ts
+++ b/src/runtime/workers/unchanged-heartbeats.ts
@@ -24,7 +24,7 @@
   private batchRoute: LeaderRoute | null = null;
 
   /** The leader has read this report, and says whether its machine needs nothing and awaits nothing. */
-  learn(report: Heartbeat, term: Term, quiet: boolean): void {
+  recordFullHeartbeat(report: Heartbeat, term: Term, quiet: boolean): void {
     if (!quiet || report.interruptionNoticeS !== null || !equalUint64(report.fencingToken, term)) {
       this.known.delete(report.id);
       return;
@@ -34,7 +34,7 @@
   }
 
   /** Whether this report can be answered here; if so the leader is told of it soon. */
-  covers(report: Heartbeat, route: LeaderRoute): boolean {
+  tryConfirmUnchanged(report: Heartbeat, route: LeaderRoute): boolean {
     const { term } = route.leader;
     const k = this.known.get(report.id);
     if (
@@ -72,10 +72,10 @@
     this.batch = new Map();
     if (!route || batch.size === 0) return;
     const answer = await route.ask(
-      { kind: 'vouch', term: route.leader.term, machines: [...batch.values()] },
+      { kind: 'unchanged-heartbeats', term: route.leader.term, heartbeats: [...batch.values()] },
       TIMEOUT_MS,
     );
     // No word from the leader, or another one: every machine is reported in full again.
-    for (const id of answer?.full ?? batch.keys()) this.known.delete(id);
+    for (const id of answer?.fullHeartbeatNeeded ?? batch.keys()) this.known.delete(id);
   }
 }
--- a/src/runtime/workers/worker-client.ts
+++ b/src/runtime/workers/worker-client.ts
@@ -31,7 +31,7 @@
     return r;
   }
 
-  get size(): number {
+  get connectionCount(): number {
     return this.lines.size;
   }
 
--- a/src/test/cancellations.test.ts
+++ b/src/test/cancellations.test.ts
@@ -25,7 +25,7 @@
   return { logs, ask, make };
 };
 
-test('a read of the state service proves what was confirmed before it was asked for', () => {
+test('a key-value store read proves coverage of what was confirmed before the request', () => {
   const { logs } = cluster();
   assert.equal(logs.a.provenUntil(at(50)), -Infinity, 'a process that has just begun knows nothing');
   logs.a.onStoreRead(at(100));
@@ -33,7 +33,7 @@
   assert.equal(logs.a.provenUntil(at(200)), 100, 'a late answer does not move it back');
 });
 
-test('in an outage the peers together prove it, and their logs tell what they confirmed', () => {
+test('in an outage all peers together prove coverage, and their logs list what they confirmed', () => {
   const { logs, ask } = cluster();
   ask('a', 'b', 0);
   ask('a', 'c', 0);
@@ -49,7 +49,7 @@
   assert.equal(logs.a.provenUntil(at(410)), 300);
 });
 
-test('a peer restarted within an outage proves nothing about its process before', () => {
+test('a peer restarted during an outage proves nothing about its previous process', () => {
   const { logs, ask, make } = cluster();
   for (const peer of ['b', 'c'] as const) ask('a', peer, 0);
   logs.a.onStoreRead(at(100));
@@ -65,7 +65,7 @@
   assert.equal(logs.a.provenUntil(at(610)), 600, 'a read covers the gap');
 });
 
-test('a controller that has just begun takes over what a peer knows and can prove', () => {
+test('a controller that has just started adopts what a peer knows and can prove', () => {
   const { logs, ask } = cluster();
   logs.b.add(job(1), at(50));
   logs.b.add(job(2), at(60));
@@ -76,7 +76,7 @@
   assert.ok(proven <= 1000 && proven > 990, `${proven}: as old as the peer's own, and less for drift`);
 });
 
-test('part of a long log moves nothing, the rest of it does', () => {
+test('part of a long log does not advance the coverage, the remainder does', () => {
   const { logs, ask } = cluster();
   for (let n = 0; n < 2500; n++) logs.b.add(job(n), at(1));
   logs.b.onStoreRead(at(100));
@@ -87,7 +87,7 @@
   assert.ok(logs.a.has(job(2400)) && logs.a.provenUntil(at(310)) > 0);
 });
 
-test('entries leave when no task of theirs can be left, and positions go on', () => {
+test('entries expire once none of their tasks can remain, and positions continue', () => {
   const { logs, ask } = cluster();
   logs.b.add(job(1), at(0));
   ask('a', 'b', 10);
@@ -99,7 +99,7 @@
   assert.ok(logs.c.has(job(2)) && !logs.c.has(job(1)));
 });
 
-test('malformed words of a peer are refused', () => {
+test('malformed peer messages are refused', () => {
   const good = { incarnation: 'b1', from: 0, jobs: ['wk-1'], end: 1, completeAgoMs: 5 };
   assert.ok(parseLogPage(good).ok);
   assert.ok(parseLogPage({ ...good, completeAgoMs: null }).ok);
@@ -117,7 +117,7 @@
     assert.ok(!parseLogPage(bad).ok, JSON.stringify(bad));
 });
 
-test('the window leaves a lease, the clocks and a margin before cancel_s', () => {
+test('the coverage window leaves a lease, the clock error and a margin before cancel_s', () => {
   const windowMs = renewalWindowMs(40, 10);
   assert.ok(windowMs > 28_000 && windowMs + 10_000 * 1.0005 < 40_000 * 0.9995 - 1000, String(windowMs));
 });
--- a/src/test/cloud.test.ts
+++ b/src/test/cloud-request-budget.test.ts
@@ -3,16 +3,16 @@
 import { test } from 'node:test';
 import type { PlatformSettings } from '../config/platform.js';
 import { CloudProviderClient } from '../runtime/cloud/cloud-provider-client.js';
-import { httpConnections } from '../runtime/http/http-server.js';
+import { httpConnectionHandler } from '../runtime/http/http-server.js';
 import { Logger } from '../runtime/logger.js';
-import type { MachineId, TypeName, Zone } from '../core/units.js';
+import type { MachineId, MachineTypeName, Zone } from '../core/units.js';
 import { encode } from '../wire/cbor.js';
 
-test("renting and returning go before lists in the cloud's budget", async (t) => {
+test("scale-out and scale-in take precedence over lists in the cloud provider's request budget", async (t) => {
   const asked: string[] = [];
   const limits = { connections: 20, idleMs: 5000, bodyBytes: 10_000 };
   const server = createServer(
-    httpConnections(limits, new Logger('test', 'error'), (q, reply) => {
+    httpConnectionHandler(limits, new Logger('test', 'error'), (q, reply) => {
       asked.push(`${q.method} ${q.target.split('?')[0]}`);
       reply({ status: 200, body: encode({ stalls: [], more: false }) });
     }),
@@ -30,8 +30,8 @@
   const client = new CloudProviderClient(platform);
   assert.deepEqual(await client.listMachines(), []);
   assert.equal(await client.listMachines(), null, 'what is left is not for lists');
-  const order = { type: 'g8' as TypeName, zone: 'a' as Zone, spot: false, count: 2 };
-  assert.equal((await client.createMachines({ request: 't1-1', ...order })).kind, 'rented');
+  const order = { type: 'g8' as MachineTypeName, zone: 'a' as Zone, spot: false, count: 2 };
+  assert.equal((await client.createMachines({ request: 't1-1', ...order })).kind, 'provisioned');
   assert.equal(await client.deleteMachines(['host-1' as MachineId]), false, 'the budget is used up');
   assert.deepEqual(asked, ['GET /machines', 'POST /machines']);
 });
--- a/src/test/decision-log.test.ts
+++ b/src/test/decision-log.test.ts
@@ -10,14 +10,14 @@
   const worker = day.workers[0];
   const job = day.submit('wk-1', { tasks: 2, gpus: 5 });
   const direct = day.tickWithCommands(worker);
-  day.answered(direct, day.carryOut(worker, direct));
-  day.pass(FETCH_MS + RUN_MS);
+  day.onCommandsExecuted(direct, day.executeCommands(worker, direct));
+  day.advance(FETCH_MS + RUN_MS);
   for (let i = 0; i < 8; i++) {
-    day.reportAndAnswer(worker);
+    day.exchangeHeartbeat(worker);
     day.saveProgress(day.tick());
   }
   const { attempt } = direct.commands[0];
-  const lines = day.logged
+  const lines = day.logEntries
     .filter(({ fields }) => fields['job'] === job && fields['task'] === 0 && fields['attempt'] === attempt)
     .map(({ text, fields }) => {
       assert.equal(fields['machine'], worker.info.id);
@@ -38,7 +38,7 @@
   const started = effects
     .flatMap((e) => (e.kind === 'send-direct-commands' ? e.commands : []))
     .map((c) => c.attempt);
-  const placed = day.logged.filter(({ text, fields }) => text === 'placed' && fields['job'] === job);
+  const placed = day.logEntries.filter(({ text, fields }) => text === 'placed' && fields['job'] === job);
   assert.equal(new Set(started).size, 1);
   assert.deepEqual(
     placed.map(({ fields }) => fields['attempt']),
--- a/src/test/dense-meetings.test.ts
+++ b/src/test/dense-faults.test.ts
@@ -1,14 +1,14 @@
 // Troubles of all kinds, three at a time and without quiet between, meet pipelines, cancellations and short jobs. The seed
-// is in each test's name; DENSE_DAYS=FIRST-LAST plays other days than those kept here.
+// is in each test's name; DENSE_FAULT_SEEDS=FIRST-LAST plays other days than those kept here.
 import { test } from 'node:test';
-import { mixedWork, playMeeting, type Meeting } from './sim/meeting.js';
-import { submitPipelines } from './sim/pipelines.js';
-import { allTroubles, somebody } from './sim/troubles.js';
+import { submitMixedWork, assertScenarioPasses, type Scenario } from './sim/scenario.js';
+import { submitPipelines } from './sim/pipeline-scenarios.js';
+import { allFaults, pickRandom } from './sim/faults.js';
 import type { JobId, Team } from '../core/units.js';
 
 /** The last three broke ran_cancelled before fences kept cancel_s over changes of leader. */
 const KEPT_SEEDS = [1, 2, 112, 220, 227];
-const [first, last] = (process.env['DENSE_DAYS'] ?? '').split('-').filter(Boolean).map(Number);
+const [first, last] = (process.env['DENSE_FAULT_SEEDS'] ?? '').split('-').filter(Boolean).map(Number);
 const seeds =
   first === undefined || last === undefined
     ? KEPT_SEEDS
@@ -20,39 +20,40 @@
 const SHORT_JOBS = 60;
 
 /** Short jobs all the while; a quarter of them is cancelled, many at about the time of their end. */
-const shortJobs = (m: Meeting, jobs: JobId[]): void => {
+const shortJobs = (m: Scenario, jobs: JobId[]): void => {
   for (let i = 0; i < SHORT_JOBS; i++)
-    m.sim.at(10_000 + m.random() * (BEGIN_MS + TROUBLES_MS), () => {
+    m.cluster.at(10_000 + m.random() * (BEGIN_MS + TROUBLES_MS), () => {
       const kind = m.random() < 0.7 ? 'array' : 'gang';
       const team = (m.random() < 0.5 ? 'blue' : 'green') as Team;
       const runMs = 1000 + m.random() * 12_000;
       const checkpointS = m.random() < 0.5 ? 0 : 10;
       const id = m.submit({ kind, team, tasks: 1 + Math.floor(m.random() * 3), checkpointS }, runMs);
       jobs.push(id);
-      if (m.random() < 0.25) m.sim.at(m.sim.now + runMs * (0.5 + m.random()), () => m.sim.cancel(id));
+      if (m.random() < 0.25)
+        m.cluster.at(m.cluster.now + runMs * (0.5 + m.random()), () => m.cluster.cancel(id));
     });
 };
 
-const denseTroubles = (m: Meeting, jobs: JobId[]): void => {
-  const names = Object.keys(allTroubles);
+const denseTroubles = (m: Scenario, jobs: JobId[]): void => {
+  const names = Object.keys(allFaults);
   for (let atMs = BEGIN_MS; atMs < BEGIN_MS + TROUBLES_MS; atMs += 3000 + m.random() * 12_000)
     for (let i = 0; i < AT_ONCE; i++) {
-      const name = somebody(m, names)!;
+      const name = pickRandom(m, names)!;
       const forMs = 2000 + m.random() * (LONGEST_MS - 2000);
-      m.sim.at(Math.min(atMs + m.random() * 2000, BEGIN_MS + TROUBLES_MS), () => {
-        m.sim.note(`${name} for ${Math.round(forMs / 1000)} s`);
-        allTroubles[name](m, forMs, jobs);
+      m.cluster.at(Math.min(atMs + m.random() * 2000, BEGIN_MS + TROUBLES_MS), () => {
+        m.cluster.addNote(`${name} for ${Math.round(forMs / 1000)} s`);
+        allFaults[name](m, forMs, jobs);
       });
     }
 };
 
 for (const seed of seeds) {
-  test(`dense troubles meet pipelines and cancellations, seed ${seed}`, () =>
-    playMeeting(
-      { seeds: [seed], quietMs: BEGIN_MS + TROUBLES_MS + LONGEST_MS + 10_000, endMs: 500_000 },
+  test(`dense faults with pipelines and cancellations, seed ${seed}`, () =>
+    assertScenarioPasses(
+      { seeds: [seed], faultsEndMs: BEGIN_MS + TROUBLES_MS + LONGEST_MS + 10_000, endMs: 500_000 },
       (m) => {
         const jobs: JobId[] = [];
-        m.sim.at(10_000, () => jobs.push(...mixedWork(m)));
+        m.cluster.at(10_000, () => jobs.push(...submitMixedWork(m)));
         shortJobs(m, jobs);
         submitPipelines(m, 10);
         denseTroubles(m, jobs);
