--- a/src/test/dependencies.test.ts
+++ b/src/test/dependencies.test.ts
@@ -7,9 +7,9 @@
 import { Job } from '../core/job.js';
 import { JobDependencies } from '../core/leader/job-dependencies.js';
 import type { LeaderSettings } from '../core/leader/effects.js';
-import { DeadlinePrediction } from '../core/leader/deadline-prediction.js';
+import { DeadlinePredictor } from '../core/leader/deadline-predictor.js';
 import { LeaderState } from '../core/leader/leader-state.js';
-import { markGuaranteed } from '../core/scheduler/guarantees.js';
+import { markWithinGuarantee } from '../core/scheduler/guarantees.js';
 import { priorityRank, type FinalState, type JobSpec, type Priority } from '../core/types.js';
 import type { JobId, MonotonicTime, Team, Term, WallTime } from '../core/units.js';
 
@@ -24,17 +24,17 @@
     const record = { spec: jobSpec(id, over), submittedAt: 0 as WallTime, cancelledAt: null };
     const job = new Job(id, record, 1, false, now);
     state.jobs.set(id, job);
-    dependencies.learn(job, now);
+    dependencies.addJob(job, now);
     return job;
   };
   const finish = (id: JobId, final: FinalState): void => {
     state.jobs.delete(id);
-    dependencies.finished(id, final, now);
+    dependencies.onJobFinal(id, final, now);
   };
   return { state, ready, dependencies, learn, finish };
 };
 
-test('a job is ready when the last of those that it depends on is done', () => {
+test('a job is ready when its last dependency is done', () => {
   const { ready, learn, finish } = setup();
   learn(idOf(1));
   learn(idOf(2));
@@ -47,7 +47,7 @@
   assert.deepEqual(ready, [idOf(1), idOf(2), idOf(3)]);
 });
 
-test('of jobs that ended before, the final records are read: done, cancelled, or asked for again', () => {
+test('the final records of dependencies that ended before are read: done, cancelled, or requested again', () => {
   const { state, ready, dependencies, learn } = setup();
   const after = learn(idOf(3), { dependsOn: [idOf(1)] });
   const other = learn(idOf(4), { dependsOn: [idOf(2)] });
@@ -72,7 +72,7 @@
   assert.equal(dependencies.takeDueLookups(now).length, 1);
 });
 
-test('priority and due time are inherited from the jobs after; own ones are never lowered', () => {
+test('priority and deadline are inherited from dependents; own ones are never lowered', () => {
   const { dependencies, learn } = setup();
   const first = learn(idOf(1), { priority: 'low', estimateS: 10 });
   const second = learn(idOf(2), { dependsOn: [idOf(1)], priority: 'low', estimateS: 20 });
@@ -92,7 +92,7 @@
   assert.equal(production.dueAt, 30_000);
 });
 
-test('a cancelled job after it passes nothing on', () => {
+test('a cancelled dependent passes nothing on', () => {
   const { state, dependencies, learn } = setup();
   const first = learn(idOf(1), { priority: 'low' });
   const alert = learn(idOf(2), { dependsOn: [idOf(1)], priority: 'high' });
@@ -116,19 +116,19 @@
   assert.ok(state.jobs.get(idOf(20_000))!.cancelled);
 });
 
-test('while it waits for others a job takes no part of its team guarantee', () => {
+test('while it waits for dependencies a job takes no part of its team guarantee', () => {
   const { state, learn } = setup();
   const gold = { name: 'gold' as Team, cpus: 0, cpusMax: 0, gpus: 2, gpusMax: 0 };
   learn(idOf(1), { team: gold.name, tasks: 1 });
   const waiting = learn(idOf(2), { team: gold.name, tasks: 1, dependsOn: [idOf(1)] });
   const later = learn(idOf(3), { team: gold.name, tasks: 1 });
-  markGuaranteed(state.jobs.values(), new Map([[gold.name, gold]]));
+  markWithinGuarantee(state.jobs.values(), new Map([[gold.name, gold]]));
   assert.deepEqual([waiting.withinGuarantee, later.withinGuarantee], [false, true]);
 });
 
-test('a pipeline that can not be in time is seen when it turns, and when it is in time again', () => {
+test('a pipeline that cannot meet its deadline is logged when that changes, and when it can again', () => {
   const { state, learn, finish } = setup();
-  const lateness = new DeadlinePrediction(state);
+  const lateness = new DeadlinePredictor(state);
   const messages = (): string[] => state.takeEffects().flatMap((e) => (e.kind === 'log' ? [e.text] : []));
   const look = (atS: number): string[] => {
     lateness.update((atS * 1000) as MonotonicTime, (atS * 1000) as WallTime);
@@ -168,7 +168,7 @@
   return Math.max(priorityRank[jobs[n].priority], ...after.map((i) => effectiveRank(jobs, i)));
 };
 
-test('random graphs: states, releases, cancellations and priorities are those of a plain model', () => {
+test('random graphs: states, releases, cancellations and priorities match a reference model', () => {
   for (let seed = 1; seed <= 60; seed++) {
     const rng = xoroshiro128plus(seed);
     const dice = (n: number): number => uniformInt(rng, 0, n - 1);
--- a/src/test/late-command-meetings.test.ts
+++ b/src/test/fault-combinations-delayed-commands.test.ts
@@ -1,20 +1,20 @@
 // Meetings of late commands and of users who look closely. Whole controllers on virtual time.
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
-import { playDay, playMeeting } from './sim/meeting.js';
-import { commandsAreHeldUp, usersLookClosely } from './sim/scripts.js';
+import { runScenario, assertScenarioPasses } from './sim/scenario.js';
+import { delayDirectCommands, usersQueryAllControllers } from './sim/fault-scenarios.js';
 import { HeartbeatReconciler } from '../core/leader/heartbeat-reconciler.js';
 import { JobLookup } from '../runtime/users/job-lookup.js';
 
-const times = { quietMs: 140_000, endMs: 330_000 };
+const times = { faultsEndMs: 140_000, endMs: 330_000 };
 
-test('direct commands are held up for seconds and carried out late, also after their leader', () =>
-  playMeeting({ ...times, seeds: [1, 2, 3, 4] }, commandsAreHeldUp));
+test('direct commands are delayed for seconds and executed late, also after a failover', () =>
+  assertScenarioPasses({ ...times, seeds: [1, 2, 3, 4] }, delayDirectCommands));
 
-test('users ask everywhere within milliseconds after a job was accepted, ended or cancelled', () =>
-  playMeeting(times, usersLookClosely));
+test('users query all controllers within milliseconds after a job was accepted, ended or cancelled', () =>
+  assertScenarioPasses(times, usersQueryAllControllers));
 
-test('with a leader that gives up on a start whose command got no answer', async (t: TestContext) => {
+test('mutation: the leader gives up on a start whose command got no response', async (t: TestContext) => {
   const onDirectCommandResult = Reflect.get<HeartbeatReconciler, 'onDirectCommandResult'>(
     HeartbeatReconciler.prototype,
     'onDirectCommandResult',
@@ -36,11 +36,11 @@
     },
   );
   const broken: string[] = [];
-  for (const seed of [1, 2]) broken.push(...(await playDay(seed, times, commandsAreHeldUp)).broken);
+  for (const seed of [1, 2]) broken.push(...(await runScenario(seed, times, delayDirectCommands)).broken);
   assert.match(broken.join('; '), /ran_twice/);
 });
 
-test('with controllers that answer for unfinished jobs from memory', async (t: TestContext) => {
+test('mutation: controllers answer for unfinished jobs from memory', async (t: TestContext) => {
   const find = Reflect.get<JobLookup, 'find'>(JobLookup.prototype, 'find');
   const kept = new Map<JobLookup, Map<string, ReturnType<JobLookup['find']>>>();
   t.mock.method(
@@ -55,6 +55,6 @@
       return answer;
     },
   );
-  const { broken } = await playDay(1, times, usersLookClosely);
+  const { broken } = await runScenario(1, times, usersQueryAllControllers);
   assert.match(broken.join('; '), /went_back|forgotten/);
 });
--- /dev/null
+++ b/src/test/fault-combinations-pipeline-cancellation.test.ts
@@ -0,0 +1,89 @@
+// Jobs that others depend on are cancelled while troubles meet: whole controllers on virtual time.
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import {
+  LONG_OUTAGE_MS,
+  FAULTS_AT_MS,
+  runScenario,
+  assertScenarioPasses,
+  type Scenario,
+} from './sim/scenario.js';
+import { WORK_STARTS_AT_MS, cancelBeforeOutage, submitDiamond } from './sim/pipeline-scenarios.js';
+import type { JobId } from '../core/units.js';
+
+const times = { faultsEndMs: 140_000, endMs: 330_000 };
+
+test('a cancellation is confirmed, followed by a key-value store outage longer than cancel_s', () =>
+  assertScenarioPasses(times, cancelBeforeOutage(FAULTS_AT_MS, LONG_OUTAGE_MS)));
+
+test('the key-value store refuses the leader as a job is cancelled, the leader crashes, and users query all controllers', () =>
+  assertScenarioPasses(times, (m) => {
+    let jobs: JobId[] = [];
+    m.cluster.at(WORK_STARTS_AT_MS, () => (jobs = submitDiamond(m, 60_000)));
+    m.cluster.at(FAULTS_AT_MS, () => {
+      m.cluster.refuseLeader(14_000);
+      m.cluster.cancel(jobs[0]);
+    });
+    m.cluster.at(FAULTS_AT_MS + 3000, () => m.cluster.restart(m.cluster.leader!, 300));
+    for (let i = 0; i < 60; i++)
+      m.cluster.at(FAULTS_AT_MS + 200 * i, () => {
+        for (const id of jobs) m.cluster.users.get(id)!.queryAllControllers();
+      });
+  }));
+
+test('a controller without key-value store and peers, while dependencies are cancelled elsewhere', () =>
+  assertScenarioPasses(times, (m) => {
+    let jobs: JobId[] = [];
+    m.cluster.at(
+      WORK_STARTS_AT_MS,
+      () => (jobs = [submitDiamond(m, 90_000), submitDiamond(m, 90_000)].flat()),
+    );
+    m.cluster.at(FAULTS_AT_MS, () => {
+      const cut = m.cluster.controllers.find((p) => p !== m.cluster.leader)!;
+      m.cluster.isolateFromPeers(cut, 'hold', 50_000);
+      m.cluster.isolateFromKeyValueStore(cut, 50_000);
+    });
+    m.cluster.at(FAULTS_AT_MS + 1000, () => m.cluster.cancel(jobs[0]));
+    m.cluster.at(FAULTS_AT_MS + 52_000, () => m.cluster.cancel(jobs[4]));
+  }));
+
+test('a dependent job is submitted as its dependency is cancelled', () =>
+  assertScenarioPasses({ ...times, seeds: [1, 2, 3, 4, 5] }, (m) => {
+    for (let i = 0; i < 12; i++)
+      m.cluster.at(WORK_STARTS_AT_MS + i * 4000, () => {
+        const first = m.submit({ tasks: 2 }, 30_000);
+        m.cluster.at(m.cluster.now + 3000, () => m.cluster.cancel(first));
+        m.cluster.at(m.cluster.now + 2990 + i * 4, () => {
+          const second = m.submitAfter([first], { tasks: 1 }, 5000);
+          m.submitAfter([second], { tasks: 1 }, 5000);
+        });
+      });
+  }));
+
+const cancelledAtTheEnd = (m: Scenario): void => {
+  m.cluster.checker.onJobCompleted = (id) =>
+    m.cluster.at(m.cluster.now + m.random() * 300, () => m.cluster.cancel(id));
+  for (let i = 0; i < 8; i++)
+    m.cluster.at(WORK_STARTS_AT_MS + i * 3000, () => {
+      const first = m.submit({ tasks: 1 + (i % 2) }, 5000 + 500 * i);
+      m.submitAfter([first], { tasks: 2 }, 5000);
+    });
+};
+
+test('jobs are cancelled as their last task ends: their dependents continue, or are cancelled with them', () =>
+  assertScenarioPasses({ ...times, seeds: [1, 2, 3, 4] }, cancelledAtTheEnd));
+
+test('a dependent of a job that was done when it was cancelled runs', async () => {
+  let ran = 0;
+  for (const seed of [1, 2, 3]) {
+    const { sim } = await runScenario(seed, times, cancelledAtTheEnd);
+    for (const [id, user] of sim.users)
+      if (
+        user.spec.dependsOn.length > 0 &&
+        user.status === 'done' &&
+        sim.checker.completedTaskCount(id) === 2
+      )
+        ran++;
+  }
+  assert.ok(ran > 0);
+});
--- /dev/null
+++ b/src/test/fault-combinations-refusal-then-late-outage.test.ts
@@ -0,0 +1,10 @@
+// The same as the short gaps between the refusal of the leader and the outage, with longer ones.
+import { test } from 'node:test';
+import { assertScenarioPasses, leaderRefusedThenOutage } from './sim/scenario.js';
+
+const times = { faultsEndMs: 140_000, endMs: 330_000 };
+
+for (const gapMs of [4000, 8000, 14_000]) {
+  test(`the key-value store refuses the leader, ${gapMs / 1000} s later an outage longer than cancel_s`, () =>
+    assertScenarioPasses(times, leaderRefusedThenOutage(gapMs)));
+}
--- /dev/null
+++ b/src/test/fault-combinations-refusal-then-outage.test.ts
@@ -0,0 +1,10 @@
+// The first meeting of the operators' letter: the leader refused alone, cancellations confirmed elsewhere, an outage.
+import { test } from 'node:test';
+import { assertScenarioPasses, leaderRefusedThenOutage } from './sim/scenario.js';
+
+const times = { faultsEndMs: 140_000, endMs: 330_000 };
+
+for (const gapMs of [0, 500, 1000, 2500]) {
+  test(`the key-value store refuses the leader, ${gapMs / 1000} s later an outage longer than cancel_s`, () =>
+    assertScenarioPasses(times, leaderRefusedThenOutage(gapMs)));
+}
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -3,11 +3,17 @@
 import { test, type TestContext } from 'node:test';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { cycle, job, machine, put, show } from './sim/cycle.js';
+import {
+  runTestCycle,
+  makeJob,
+  makeMachine,
+  placeRunningTask,
+  describeDecisions,
+} from './sim/scheduling-cycle-fixtures.js';
 import { types } from './sim/fixtures.js';
-import { playDay, type Meeting } from './sim/meeting.js';
-import type { Setup } from './sim/service.js';
-import { markGuaranteed } from '../core/scheduler/guarantees.js';
+import { runScenario, type Scenario } from './sim/scenario.js';
+import type { ClusterSetup } from './sim/cluster-simulation.js';
+import { markWithinGuarantee } from '../core/scheduler/guarantees.js';
 import { Preemption } from '../core/scheduler/preemption.js';
 import type { Job } from '../core/job.js';
 import type { Machine } from '../core/machine.js';
@@ -28,22 +34,22 @@
 const teams = [team('red', { gpus: 2 }), team('gold', { gpus: 2 }), team('none')];
 
 const within = (jobs: Job[], limits: TeamQuota[]): string[] => {
-  markGuaranteed(jobs, new Map(limits.map((t) => [t.name, t])));
+  markWithinGuarantee(jobs, new Map(limits.map((t) => [t.name, t])));
   return jobs.filter((j) => j.withinGuarantee).map((j) => j.id);
 };
 
 const submitted = (id: string, atMs: number, over: Partial<JobSpec>): Job => {
-  const j = job(id, over);
+  const j = makeJob(id, over);
   j.record = { ...j.record, submittedAt: atMs as WallTime };
   return j;
 };
 
 /** A machine full of long-running work of one team. */
 const filled = (id: string, over: Partial<JobSpec>) => {
-  const full = machine(id, 'small', 'east');
-  const holder = job('wk-9', { tasks: 2, checkpointS: 10, estimateS: 500, ...over });
-  put(full, holder, 0);
-  put(full, holder, 1);
+  const full = makeMachine(id, 'small', 'east');
+  const holder = makeJob('wk-9', { tasks: 2, checkpointS: 10, estimateS: 500, ...over });
+  placeRunningTask(full, holder, 0);
+  placeRunningTask(full, holder, 1);
   return { full, holder };
 };
 
@@ -61,7 +67,7 @@
     ['wk-2', 'wk-1'],
     'gold: the first is too large, and counts for the next',
   );
-  jobs[1].markDone(0);
+  jobs[1].markCompleted(0);
   assert.deepEqual(within(jobs, teams), ['wk-2', 'wk-1', 'wk-3'], 'what is done needs nothing more');
 });
 
@@ -78,80 +84,99 @@
   assert.deepEqual(within(two, [team('red', { gpus: 9, gpusMax: 1 })]), []);
 });
 
-test("borrowed work of any priority makes way for a job within its team's guarantee", () => {
+test("borrowed capacity of any priority is preempted for a job within its team's guarantee", () => {
   const { full } = filled('a', { team: none, priority: 'production', kind: 'array' });
-  const owed = (over: Partial<JobSpec> = {}): Job => job('wk-1', { team: red, priority: 'low', ...over });
-  const result = cycle([full], [owed()], teams);
-  assert.deepEqual(show(result), ['stop wk-9/0']);
-  assert.equal(result.victims[0].guaranteeOf, 'red');
+  const owed = (over: Partial<JobSpec> = {}): Job => makeJob('wk-1', { team: red, priority: 'low', ...over });
+  const result = runTestCycle([full], [owed()], teams);
+  assert.deepEqual(describeDecisions(result), ['stop wk-9/0']);
+  assert.equal(result.victims[0].reclaimedForTeam, 'red');
   assert.deepEqual(
-    show(cycle([full], [owed({ tasks: 3 })], teams)),
+    describeDecisions(runTestCycle([full], [owed({ tasks: 3 })], teams)),
     ['wk-1 waits for 3'],
     'beyond its guarantee',
   );
-  assert.deepEqual(show(cycle([full], [owed({ team: none })], teams)), ['wk-1 waits for 1'], 'no guarantee');
+  assert.deepEqual(
+    describeDecisions(runTestCycle([full], [owed({ team: none })], teams)),
+    ['wk-1 waits for 1'],
+    'no guarantee',
+  );
 });
 
-test('a team is left what it is guaranteed, and its own guaranteed work alone', () => {
+test('preemption spares what a team is guaranteed, and its own guaranteed work', () => {
   const { full, holder } = filled('a', { team: gold, priority: 'normal' });
-  const owed = job('wk-1', { team: red });
+  const owed = makeJob('wk-1', { team: red });
   assert.deepEqual(
-    show(cycle([full], [owed], teams)),
+    describeDecisions(runTestCycle([full], [owed], teams)),
     ['wk-1 waits for 1'],
     'gold uses no more than its own',
   );
-  const more = machine('b', 'small', 'east');
-  put(more, holder, 2);
-  const larger = job('wk-9', { team: gold, tasks: 3, estimateS: 500 });
+  const more = makeMachine('b', 'small', 'east');
+  placeRunningTask(more, holder, 2);
+  const larger = makeJob('wk-9', { team: gold, tasks: 3, estimateS: 500 });
   for (const [m, indices] of [
     [full, [0, 1]],
     [more, [2]],
   ] as const) {
     m.unassign(holder.id, indices[0]);
     if (indices[1] !== undefined) m.unassign(holder.id, indices[1]);
-    for (const index of indices) put(m, larger, index);
+    for (const index of indices) placeRunningTask(m, larger, index);
   }
-  const filler = job('wk-8', { team: none, priority: 'production', estimateS: 500, kind: 'gang' });
-  put(more, filler, 0);
-  const both = job('wk-2', { team: red, kind: 'gang', tasks: 2 });
-  const stopped = show(cycle([full, more], [both], teams)).sort();
+  const filler = makeJob('wk-8', { team: none, priority: 'production', estimateS: 500, kind: 'gang' });
+  placeRunningTask(more, filler, 0);
+  const both = makeJob('wk-2', { team: red, kind: 'gang', tasks: 2 });
+  const stopped = describeDecisions(runTestCycle([full, more], [both], teams)).sort();
   assert.equal(stopped.length, 2, "one of gold's three, and the work of the team without a guarantee");
   assert.ok(stopped.includes('stop wk-8/0'), stopped.join());
 });
 
-test('a gang counts with all of its members, and nobody is stopped for an incomplete placement', () => {
-  const a = machine('a', 'small', 'east');
-  const b = machine('b', 'small', 'east');
-  const gang = job('wk-9', { team: gold, kind: 'gang', tasks: 4, estimateS: 500 });
-  [a, a, b, b].forEach((m, index) => put(m, gang, index));
+test('a gang counts with all of its members, and nothing is preempted for an incomplete placement', () => {
+  const a = makeMachine('a', 'small', 'east');
+  const b = makeMachine('b', 'small', 'east');
+  const gang = makeJob('wk-9', { team: gold, kind: 'gang', tasks: 4, estimateS: 500 });
+  [a, a, b, b].forEach((m, index) => placeRunningTask(m, gang, index));
   assert.deepEqual(
-    show(cycle([a, b], [job('wk-1', { team: red })], teams)),
+    describeDecisions(runTestCycle([a, b], [makeJob('wk-1', { team: red })], teams)),
     ['wk-1 waits for 1'],
     'two of the four are guaranteed, and the gang ends whole',
   );
-  const free = job('wk-9', { team: none, kind: 'gang', tasks: 4, estimateS: 500 });
-  const [c, d] = [machine('c', 'small', 'east'), machine('d', 'small', 'east')];
-  [c, c, d, d].forEach((m, index) => put(m, free, index));
-  assert.deepEqual(show(cycle([c, d], [job('wk-1', { team: red })], teams)).length, 1);
-  const tooLarge = job('wk-2', { team: red, kind: 'gang', tasks: 2, gpus: 1, cpus: 16 });
-  assert.deepEqual(show(cycle([c], [tooLarge], teams)), ['wk-2 waits for 2']);
+  const free = makeJob('wk-9', { team: none, kind: 'gang', tasks: 4, estimateS: 500 });
+  const [c, d] = [makeMachine('c', 'small', 'east'), makeMachine('d', 'small', 'east')];
+  [c, c, d, d].forEach((m, index) => placeRunningTask(m, free, index));
+  assert.deepEqual(
+    describeDecisions(runTestCycle([c, d], [makeJob('wk-1', { team: red })], teams)).length,
+    1,
+  );
+  const tooLarge = makeJob('wk-2', { team: red, kind: 'gang', tasks: 2, gpus: 1, cpus: 16 });
+  assert.deepEqual(describeDecisions(runTestCycle([c], [tooLarge], teams)), ['wk-2 waits for 2']);
 });
 
-test('nothing is stopped for a guarantee where a machine is free as soon', () => {
+test('nothing is preempted for a guarantee where a machine is free as soon', () => {
   const { full } = filled('a', { team: none, saveS: 4, estimateS: 500 });
-  const soon = machine('b', 'small', 'east');
-  const ending = job('wk-8', { team: none, tasks: 2, estimateS: 2, priority: 'production', kind: 'gang' });
-  put(soon, ending, 0);
-  put(soon, ending, 1);
-  assert.deepEqual(show(cycle([full, soon], [job('wk-1', { team: red })], teams)), ['wk-1 waits for 1']);
+  const soon = makeMachine('b', 'small', 'east');
+  const ending = makeJob('wk-8', {
+    team: none,
+    tasks: 2,
+    estimateS: 2,
+    priority: 'production',
+    kind: 'gang',
+  });
+  placeRunningTask(soon, ending, 0);
+  placeRunningTask(soon, ending, 1);
+  assert.deepEqual(describeDecisions(runTestCycle([full, soon], [makeJob('wk-1', { team: red })], teams)), [
+    'wk-1 waits for 1',
+  ]);
 });
 
-test('what borrows does not take back by priority the room that a guarantee was given', () => {
+test('borrowing work does not reclaim by priority the capacity given to a guarantee', () => {
   const { full } = filled('a', { team: red, priority: 'low' });
-  const borrows = job('wk-1', { team: none, priority: 'high' });
-  assert.deepEqual(show(cycle([full], [borrows], teams)), ['wk-1 waits for 1']);
-  const owed = job('wk-2', { team: gold, priority: 'high' });
-  assert.deepEqual(show(cycle([full], [owed], teams)), ['stop wk-9/0'], 'within a guarantee priorities hold');
+  const borrows = makeJob('wk-1', { team: none, priority: 'high' });
+  assert.deepEqual(describeDecisions(runTestCycle([full], [borrows], teams)), ['wk-1 waits for 1']);
+  const owed = makeJob('wk-2', { team: gold, priority: 'high' });
+  assert.deepEqual(
+    describeDecisions(runTestCycle([full], [owed], teams)),
+    ['stop wk-9/0'],
+    'within a guarantee priorities hold',
+  );
 });
 
 /** Jobs of three teams, of all kinds and priorities, more than there is room for. */
@@ -176,19 +201,19 @@
       Number(b.withinGuarantee) - Number(a.withinGuarantee) ||
       priorityRank[b.spec.priority] - priorityRank[a.spec.priority],
   );
-  const { placed, victims } = cycle(machines, inOrder, limits);
-  for (const { job: j, index, machine: m } of placed) put(m, j, index);
+  const { placed, victims } = runTestCycle(machines, inOrder, limits);
+  for (const { job: j, index, machine: m } of placed) placeRunningTask(m, j, index);
   for (const { job: j, placement } of victims) {
     const gone = j.spec.kind === 'gang' ? [...j.placements.values()] : [placement];
     for (const p of gone) {
       machines.find((m) => m.id === p.machine)!.unassign(j.id, p.index);
-      j.release(p.index);
+      j.removePlacement(p.index);
     }
   }
   return placed.length + victims.length > 0;
 };
 
-test('teams that want more than there is settle: nobody stops one another without end', () => {
+test('teams with more demand than capacity converge: no endless mutual preemption', () => {
   const limits = [
     team('red', { gpus: 4, gpusMax: 6 }),
     team('gold', { gpus: 2, gpusMax: 8 }),
@@ -198,9 +223,9 @@
   for (let seed = 1; seed <= 100; seed++) {
     const rng = xoroshiro128plus(seed);
     const random = (): number => uniformFloat64(rng);
-    const machines = ['a', 'b', 'c', 'd'].map((id) => machine(id, 'small', 'east'));
+    const machines = ['a', 'b', 'c', 'd'].map((id) => makeMachine(id, 'small', 'east'));
     const jobs = randomJobs(random);
-    markGuaranteed(jobs, new Map(limits.map((t) => [t.name, t])));
+    markWithinGuarantee(jobs, new Map(limits.map((t) => [t.name, t])));
     let rounds = 0;
     while (settleOnce(machines, jobs, limits)) {
       assert.ok(++rounds < MOST_ROUNDS, `seed ${seed} does not settle`);
@@ -224,11 +249,11 @@
   team('none', { gpusMax: 40 }),
 ];
 const MACHINES_PER_ZONE = 8;
-const over: Partial<Setup> = {
+const over: Partial<ClusterSetup> = {
   teams: dayTeams,
   capacity: 2 * MACHINES_PER_ZONE,
   types: types.slice(0, 1),
-  up: { type: 'small', perZone: MACHINES_PER_ZONE },
+  initialMachines: { type: 'small', perZone: MACHINES_PER_ZONE },
 };
 const OWED_MS = 50_000;
 /** Save, a report, a cycle and a fetch. */
@@ -237,29 +262,29 @@
 /** Everything is full of borrowed work; then a team asks for what it is guaranteed. */
 const playOwed = async (): Promise<{ broken: string[]; unfinished: string[]; running: number }> => {
   let running = 0;
-  const day = await playDay(1, { over, quietMs: 60_000, endMs: 700_000 }, (m: Meeting) => {
+  const day = await runScenario(1, { setup: over, faultsEndMs: 60_000, endMs: 700_000 }, (m: Scenario) => {
     let owed: JobId[] = [];
-    m.sim.at(10_000, () => {
+    m.cluster.at(10_000, () => {
       m.submit({ team: none, tasks: 16, priority: 'high', estimateS: 100 });
       m.submit({ team: gold, tasks: 2, kind: 'gang', priority: 'high', estimateS: 100 });
       for (let i = 0; i < 7; i++) m.submit({ team: gold, tasks: 2, kind: 'gang', estimateS: 100 });
     });
-    m.sim.at(OWED_MS, () => {
+    m.cluster.at(OWED_MS, () => {
       owed = [
         m.submit({ team: red, tasks: 4, priority: 'low' }, 60_000),
         m.submit({ team: red, tasks: 2, kind: 'gang', priority: 'normal' }, 60_000),
       ];
     });
-    m.sim.at(STARTED_MS, () => (running = owed.flatMap((id) => m.sim.checker.machinesOf(id)).length));
+    m.cluster.at(STARTED_MS, () => (running = owed.flatMap((id) => m.cluster.checker.machinesOf(id)).length));
   });
   return { broken: day.broken, unfinished: day.unfinished, running };
 };
 
-test('three teams, gangs and arrays: a team gets its guarantee at once, and everybody ends', async () => {
+test('three teams, gangs and arrays: a team gets its guarantee at once, and every job ends', async () => {
   assert.deepEqual(await playOwed(), { broken: [], unfinished: [], running: 6 });
 });
 
-test('without stopping borrowed work the team would wait', async (t: TestContext) => {
-  t.mock.method(Preemption.prototype, 'nominateBorrowed' as 'nominateAny', () => null);
+test('mutation: without preemption of borrowed capacity the team waits', async (t: TestContext) => {
+  t.mock.method(Preemption.prototype, 'nominateReclaim' as 'nominateVictims', () => null);
   assert.ok((await playOwed()).running < 6);
 });
--- a/src/test/heartbeat-handler.test.ts
+++ b/src/test/heartbeat-handler.test.ts
@@ -6,7 +6,7 @@
 import type { PeerRequest } from '../wire/peer-messages.js';
 import { Logger } from '../runtime/logger.js';
 import type { PlatformSettings } from '../config/platform.js';
-import { initialElectionState, learnLeader } from '../core/election.js';
+import { initialElectionState, recordLeader } from '../core/election.js';
 import { renewalWindowMs } from '../core/cancellation-log.js';
 import { Leader } from '../core/leader/leader.js';
 import type { MachineId, NodeName, MonotonicTime, Term } from '../core/units.js';
@@ -18,17 +18,23 @@
 /** A follower in zone east whose leader, in zone west, it may or may not reach. */
 const follower = () => {
   const election = initialElectionState();
-  learnLeader(election, 'stable-1' as NodeName, 3 as Term);
+  recordLeader(election, 'stable-1' as NodeName, 3 as Term);
   const world = { now: 1000, linked: true, relayed: 0, stateOk: true, hearing: true, refuses: false };
   const cancelled = { jobs: new Set<string>(), provenUntil: Infinity };
   const link = {
     name: 'stable-1',
     zone: 'west',
     get status() {
-      return { node: 'stable-1', leading: true, term: 3, stateOk: true, hearing: world.hearing };
+      return {
+        node: 'stable-1',
+        leading: true,
+        term: 3,
+        storeAvailable: true,
+        receivesHeartbeats: world.hearing,
+      };
     },
-    alive: () => world.linked,
-    refuses: () => world.refuses,
+    isAlive: () => world.linked,
+    refusesConnections: () => world.refuses,
     ask: () => {
       world.relayed++;
       return Promise.resolve({ status: 200, body: encode({ reins: 3, calls: [] }) });
@@ -73,7 +79,7 @@
   return { world, cancelled, reportHandler, report };
 };
 
-test('reports are relayed to the leader; a worker of another zone is sent home once', async () => {
+test('heartbeats are forwarded to the leader; a worker of another zone is redirected to its own once', async () => {
   const { world, report } = follower();
   assert.equal(await report('east'), '200 {"reins":3,"calls":[]}');
   assert.equal(world.relayed, 1);
@@ -82,16 +88,16 @@
   assert.equal(world.relayed, 2);
 });
 
-test('no worker is sent to a controller that hears none', async () => {
+test('no worker is redirected to a controller that receives no heartbeats', async () => {
   // Found in an incident: the leader was cut off from the workers alone; each one sent to it lost 5 s of its lease.
   const { world, report } = follower();
   world.hearing = false;
   assert.equal(await report('west', 2), '200 {"reins":3,"calls":[]}');
 });
 
-test('without state service and peers, a worker is sent away, and kept alive only if nobody else takes it', async () => {
+test('without key-value store and peers, a worker is redirected, and its lease renewed only if no one else accepts it', async () => {
   const { world, reportHandler, report } = follower();
-  reportHandler.noteLeaderSeen();
+  reportHandler.recordLeaderSeen();
   world.linked = false;
   world.stateOk = false;
   assert.equal(await report('east'), '421 {}');
@@ -99,10 +105,10 @@
   assert.equal(await report('east'), '200 {"reins":3,"calls":[]}');
 });
 
-test('connections between controllers refused: workers go to the leader themselves', async () => {
+test('connections between controllers refused: workers are redirected to the leader', async () => {
   // Found on the bench: followers kept them alive until the window ended, and the leader fenced half the fleet.
   const { world, reportHandler, report } = follower();
-  reportHandler.noteLeaderSeen();
+  reportHandler.recordLeaderSeen();
   world.linked = false;
   assert.equal(await report('east'), '200 {"reins":3,"calls":[]}', 'behind a cut they stay');
   world.refuses = true;
@@ -110,19 +116,19 @@
   assert.equal(await report('east'), '200 {"reins":3,"calls":[]}', 'back: the leader is not to be reached');
 });
 
-test('a controller that was just restarted keeps workers alive by what its peers know of the leader', async () => {
+test('a restarted controller renews leases by what its peers know of the leader', async () => {
   const { world, reportHandler, report } = follower();
   world.linked = false;
   assert.equal(await report('east'), '503 {}', 'nobody knows when there was a leader');
-  reportHandler.noteLeaderSeen(3000);
+  reportHandler.recordLeaderSeen(3000);
   assert.equal(reportHandler.leaderSeenAgoMs, 3000);
   assert.equal(await report('east'), '200 {"reins":3,"calls":[]}');
 });
 
-test('cut off from the leader, workers are kept alive from the last heartbeat on, for a bounded time', async () => {
+test('partitioned from the leader, leases are renewed from its last heartbeat on, for a bounded time', async () => {
   // Found on the bench: the time was counted from the last report seen here, and there had been none.
   const { world, reportHandler, report } = follower();
-  reportHandler.noteLeaderSeen();
+  reportHandler.recordLeaderSeen();
   world.linked = false;
   const windowMs = (workers.cancelS - workers.leaseS - 2 * workers.heartbeatIntervalS - 4) * 1000;
   world.now += windowMs - 1;
@@ -136,7 +142,7 @@
   assert.equal(await report('east'), '503 {}');
 });
 
-test('in an outage, workers are kept for as long as every cancellation is known, and cancelled tasks are stopped', async () => {
+test('in an outage, leases are renewed while every cancellation is known, and cancelled tasks are stopped', async () => {
   const { world, cancelled, report } = follower();
   Object.assign(world, { linked: false, stateOk: false });
   assert.equal(await report('east'), '421 {}', 'without peers too, another controller may do better');
@@ -157,7 +163,7 @@
   assert.equal(await report('east', 3, tasks), '503 {}');
 });
 
-test('a controller restarted within an outage answers under the token that the worker has', async () => {
+test('a controller restarted during an outage responds with the fencing token that the worker has', async () => {
   const { world, report } = follower();
   Object.assign(world, { linked: false, stateOk: false });
   assert.equal(await report('east', 9), '421 {}');
@@ -191,28 +197,28 @@
   const link = {
     name: 'stable-1',
     zone: 'east',
-    status: { node: 'stable-1', leading: true, term, stateOk: true, hearing: true },
-    alive: () => true,
-    refuses: () => false,
+    status: { node: 'stable-1', leading: true, term, storeAvailable: true, receivesHeartbeats: true },
+    isAlive: () => true,
+    refusesConnections: () => false,
     ask: (q: PeerRequest) => {
       asked.push(q.kind);
       if (!world.linked) return Promise.resolve(null);
-      if (q.kind === 'vouch') {
-        const full = q.machines.filter(
+      if (q.kind === 'unchanged-heartbeats') {
+        const full = q.heartbeats.filter(
           (v) => !world.leader.onUnchangedHeartbeat(v, world.now as MonotonicTime),
         );
-        return Promise.resolve({ full: full.map((v) => v.machine) });
+        return Promise.resolve({ fullHeartbeatNeeded: full.map((v) => v.machine) });
       }
-      assert.ok(q.kind === 'relay');
-      const parsed = parseHeartbeat(decode(Buffer.from(q.report)));
+      assert.ok(q.kind === 'forwarded-heartbeat');
+      const parsed = parseHeartbeat(decode(Buffer.from(q.heartbeat)));
       assert.ok(parsed.ok);
       const calls = world.leader.onHeartbeat(parsed.value, world.now as MonotonicTime);
       const body = encode({ reins: term, calls });
-      return Promise.resolve({ status: 200, body, quiet: world.leader.isInSync(parsed.value.id) });
+      return Promise.resolve({ status: 200, body, inSync: world.leader.isInSync(parsed.value.id) });
     },
   } as unknown as PeerLink;
   const election = initialElectionState();
-  learnLeader(election, 'stable-1' as NodeName, term);
+  recordLeader(election, 'stable-1' as NodeName, term);
   const reportHandler = new HeartbeatHandler(
     { zone: 'east', workers, limits: { cpu: 0.25 } } as unknown as PlatformSettings,
     { electionState: election, holdsLease: false, hasAuthority: false } as unknown as LeaderElection,
@@ -248,41 +254,41 @@
   return { world, report, seen };
 };
 
-test('unchanged reports are vouched for; a change, a copy, a new session and another leader are not', async (t) => {
+test('unchanged heartbeats are batched; a change, a duplicate, a new incarnation and another leader are not', async (t) => {
   mock.timers.enable({ apis: ['setTimeout'] });
   t.after(() => mock.timers.reset());
   const { report, seen } = vouchers();
-  assert.equal(await report(1), 'relay');
-  assert.equal(await report(2), 'vouch');
+  assert.equal(await report(1), 'forwarded-heartbeat');
+  assert.equal(await report(2), 'unchanged-heartbeats');
   assert.equal(seen(), 2, 'the leader knows that the machine lives');
-  assert.equal(await report(2), 'relay', 'a copy unchanged for nothing');
+  assert.equal(await report(2), 'forwarded-heartbeat', 'a copy unchanged for nothing');
   const task = { hand: 'wk-9/0', try: 1, status: 'running' };
-  assert.equal(await report(3, { hands: [task] }), 'relay', 'a change is reported in full');
-  assert.equal(await report(4), 'relay');
-  assert.equal(await report(5), 'vouch');
-  assert.equal(await report(6, { recallS: 9 }), 'relay', 'so is a notice');
-  assert.equal(await report(7), 'relay', 'and what comes after it');
-  assert.equal(await report(1, { shift: 2 }), 'relay', 'and a new session');
+  assert.equal(await report(3, { hands: [task] }), 'forwarded-heartbeat', 'a change is reported in full');
+  assert.equal(await report(4), 'forwarded-heartbeat');
+  assert.equal(await report(5), 'unchanged-heartbeats');
+  assert.equal(await report(6, { recallS: 9 }), 'forwarded-heartbeat', 'so is a notice');
+  assert.equal(await report(7), 'forwarded-heartbeat', 'and what comes after it');
+  assert.equal(await report(1, { shift: 2 }), 'forwarded-heartbeat', 'and a new session');
 });
 
-test('a vouch that is lost or does not fit what the leader has read brings the next report in full', async (t) => {
+test('a batch of unchanged heartbeats that is lost or does not match makes the next heartbeat a full one', async (t) => {
   mock.timers.enable({ apis: ['setTimeout'] });
   t.after(() => mock.timers.reset());
   const { world, report, seen } = vouchers();
-  assert.equal(await report(1), 'relay');
+  assert.equal(await report(1), 'forwarded-heartbeat');
   world.linked = false;
-  assert.equal(await report(2), 'vouch');
+  assert.equal(await report(2), 'unchanged-heartbeats');
   world.linked = true;
-  assert.equal(await report(3), 'relay', 'the batch got no answer');
-  assert.equal(await report(4), 'vouch');
+  assert.equal(await report(3), 'forwarded-heartbeat', 'the batch got no answer');
+  assert.equal(await report(4), 'unchanged-heartbeats');
   // Something is awaited from the machine: a vouch must not settle it.
   world.leader.machines.get('host-1' as MachineId)!.invalidate();
-  assert.equal(await report(5), 'vouch');
+  assert.equal(await report(5), 'unchanged-heartbeats');
   assert.equal(seen(), 4, 'not taken in');
-  assert.equal(await report(6), 'relay');
+  assert.equal(await report(6), 'forwarded-heartbeat');
   // The leader has read a newer report, as from an order's answer: the base is not the same any more.
   world.leader.machines.get('host-1' as MachineId)!.processedSequence = 7;
-  assert.equal(await report(8), 'vouch');
+  assert.equal(await report(8), 'unchanged-heartbeats');
   assert.equal(seen(), 6);
-  assert.equal(await report(9), 'relay');
+  assert.equal(await report(9), 'forwarded-heartbeat');
 });
--- a/src/test/http.test.ts
+++ b/src/test/http.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { HttpClient } from '../runtime/http/http-client.js';
 import { HttpError, HttpParser } from '../runtime/http/http-parser.js';
-import { httpConnections } from '../runtime/http/http-server.js';
+import { httpConnectionHandler } from '../runtime/http/http-server.js';
 import { Logger } from '../runtime/logger.js';
 
 const limits = { headerBytes: 1024, headerCount: 10, bodyBytes: 100 };
@@ -17,7 +17,7 @@
   );
 };
 
-test('a request is the same however it is cut into pieces', () => {
+test('a request parses the same however it is split into chunks', () => {
   const text = 'POST /checkin HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhelloGET /up HTTP/1.1\r\n\r\n';
   for (let size = 1; size < 12; size++) {
     const parser = new HttpParser('request', limits);
@@ -58,10 +58,12 @@
   refuses(`GET / HTTP/1.1\r\n${'A: 1\r\n'.repeat(11)}\r\n`, 431);
 });
 
-test('over loopback: answers in order, Connection: close, malformed input, the connection limit', async (t) => {
+test('over loopback: responses in order, Connection: close, malformed input, the connection limit', async (t) => {
   const log = new Logger('test', 'error');
-  const onConnection = httpConnections({ connections: 3, idleMs: 5000, bodyBytes: 100 }, log, (q, reply) =>
-    reply({ status: 200, body: Buffer.from(q.target) }),
+  const onConnection = httpConnectionHandler(
+    { connections: 3, idleMs: 5000, bodyBytes: 100 },
+    log,
+    (q, reply) => reply({ status: 200, body: Buffer.from(q.target) }),
   );
   const server = createServer(onConnection).listen(0, '127.0.0.1');
   await new Promise((r) => server.once('listening', r));
@@ -91,17 +93,17 @@
   assert.match(await raw('nonsense\r\n\r\n'), /^HTTP\/1\.1 400 /);
 });
 
-test('more peers than sockets: idle ones give way, the larger party first, and busy ones are kept', async (t) => {
+test('more peers than sockets: idle connections are closed, those of the larger group first, and busy ones are kept', async (t) => {
   const open: ((r: { status: number }) => void)[] = [];
   const limits = {
     connections: 4,
     idleMs: 5000,
     bodyBytes: 100,
-    party: (q: { target: string }) => (q.target.startsWith('/w') ? 'workers' : 'users'),
+    clientGroup: (q: { target: string }) => (q.target.startsWith('/w') ? 'workers' : 'users'),
   };
   const log = new Logger('test', 'error');
   const server = createServer(
-    httpConnections(limits, log, (q, reply) => {
+    httpConnectionHandler(limits, log, (q, reply) => {
       if (q.target.endsWith('hold')) open.push(reply);
       else reply({ status: 200 });
     }),
@@ -144,7 +146,7 @@
   assert.ok((await Promise.all(held)).every((p) => p.got.includes('204')));
 });
 
-test('a client tells what was never sent from what may have been carried out', async () => {
+test('a client distinguishes requests never sent from those that may have been executed', async () => {
   const silent = createServer((s) => s.resume()).listen(0, '127.0.0.1');
   await new Promise((r) => silent.once('listening', r));
   const { port } = silent.address() as AddressInfo;
--- a/src/test/state-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -10,8 +10,15 @@
 import { segmentName, segmentStart } from '../core/progress-segments.js';
 import { MachineRegistry } from '../core/leader/machine-registry.js';
 import type { MachineInfo, MachineType } from '../core/types.js';
-import type { MachineId, SegmentName, MonotonicTime, Term, TypeName, WallTime } from '../core/units.js';
-import { pagesOf } from '../runtime/cloud/machine-type-catalog.js';
+import type {
+  MachineId,
+  SegmentName,
+  MonotonicTime,
+  Term,
+  MachineTypeName,
+  WallTime,
+} from '../core/units.js';
+import { splitIntoPages } from '../runtime/cloud/machine-type-catalog.js';
 import {
   fitsRegistryPage,
   fitsValue,
@@ -27,7 +34,7 @@
 
 const now = 0 as MonotonicTime;
 
-test('of the limits now and later the smaller one holds; without later ones those of now', () => {
+test('of the current and the announced limits the smaller one holds; without announced ones the current', () => {
   const lowered = parsePlatformSettings(
     platformToml('[settings.state.next]\nvalue_kb = 2.0\nwrite_rps = 90.0\n'),
   );
@@ -54,7 +61,7 @@
 test('progress of 100,000 tasks under 2 KiB: each record fits, and a new leader reads all of it back', () => {
   const bytes = segmentBytes(2);
   const { job, flush } = bookkeeping(100_000, bytes);
-  for (let i = 0; i < 100_000; i += 3) job.markDone(i);
+  for (let i = 0; i < 100_000; i += 3) job.markCompleted(i);
   const writes = flush();
   assert.equal(writes.length, Math.ceil(100_000 / 8 / bytes));
   const next = bookkeeping(100_000, segmentBytes(16));
@@ -63,15 +70,15 @@
     assert.ok(fitsValue(data, 2), `${segment} is too large`);
     next.completion.loadProgress(job.id, segment, Buffer.from(parseProgressRecord(data)!, 'base64'));
   }
-  assert.equal(next.job.doneCount, job.doneCount);
-  assert.ok(next.job.isDurable(99_999) && !next.job.isDone(99_998));
+  assert.equal(next.job.completedCount, job.completedCount);
+  assert.ok(next.job.isDurable(99_999) && !next.job.isCompleted(99_998));
 });
 
 test('only segments with new completions are written; a failed write is repeated with what came meanwhile', () => {
   const { job, completion, flush } = bookkeeping(30_000, segmentBytes(2));
-  job.markDone(0);
+  job.markCompleted(0);
   const [first] = flush();
-  job.markDone(1);
+  job.markCompleted(1);
   assert.deepEqual(flush(), [], 'a write is under way');
   completion.onProgressWritten(job.id, first.segment, first.bytes, false);
   const again = flush();
@@ -81,7 +88,7 @@
   );
   completion.onProgressWritten(job.id, first.segment, again[0].bytes, true);
   assert.deepEqual(flush(), []);
-  job.markDone(29_999);
+  job.markCompleted(29_999);
   assert.deepEqual(
     flush().map((e) => e.segment),
     ['2x1527'],
@@ -90,7 +97,7 @@
 
 test('progress is paced: the segments that waited longest first, and none is left out', () => {
   const { job, flush } = bookkeeping(100_000, segmentBytes(2), 3);
-  for (let i = 0; i < 100_000; i += 1000) job.markDone(i);
+  for (let i = 0; i < 100_000; i += 1000) job.markCompleted(i);
   const written: string[] = [];
   for (let seconds = 0; seconds < 3; seconds++) {
     const now = flush();
@@ -111,9 +118,9 @@
   const { job, completion, flush } = bookkeeping(100_000, segmentBytes(2));
   const earlier = new Uint8Array(2048).fill(255);
   completion.loadProgress(job.id, '1' as SegmentName, earlier);
-  assert.equal(job.doneCount, 16_384);
+  assert.equal(job.completedCount, 16_384);
   assert.ok(job.isDurable(16_384) && !job.isDurable(16_383));
-  job.markDone(16_383);
+  job.markCompleted(16_383);
   for (const e of flush()) completion.onProgressWritten(job.id, e.segment, e.bytes, true);
   assert.deepEqual([...job.persistedSegments], ['1', '1x1527']);
 });
@@ -123,7 +130,7 @@
   id: `host-${String(n).padStart(6, '0')}` as MachineId,
 });
 
-test('a roster page that is too large now is moved piece by piece, and names each machine until another page does', () => {
+test('a registry page that is too large now is moved piece by piece, and names each machine until another page does', () => {
   const fits = (machines: MachineInfo[]): boolean => fitsRegistryPage(machines, 2);
   const roster = new MachineRegistry();
   const all = Array.from({ length: 81 }, (_, n) => machine(n));
@@ -150,9 +157,9 @@
 test('a long list of machine types is divided into values that fit', () => {
   const many: MachineType[] = Array.from({ length: 60 }, (_, n) => ({
     ...types[0],
-    name: `type-${n}` as TypeName,
+    name: `type-${n}` as MachineTypeName,
   }));
-  const pages = pagesOf(many, 2);
+  const pages = splitIntoPages(many, 2);
   assert.deepEqual(pages.flat(), many);
   for (const page of pages) assert.ok(fitsValue({ pages: pages.length, types: page }, 2));
 });
--- a/src/test/large-cluster.test.ts
+++ b/src/test/large-cluster.test.ts
@@ -1,8 +1,8 @@
 // About 4,000 machines: no fixed limit stands below that, and work grows about as the machines do.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { cycle, job, machine, put } from './sim/cycle.js';
-import { Day } from './sim/day.js';
+import { runTestCycle, makeJob, makeMachine, placeRunningTask } from './sim/scheduling-cycle-fixtures.js';
+import { LeaderSimulation } from './sim/leader-simulation.js';
 import { jobSpec, types } from './sim/fixtures.js';
 import type { LeaderSettings } from '../core/leader/effects.js';
 import { MachinePool } from '../core/leader/machine-pool.js';
@@ -16,8 +16,8 @@
 const JOBS = 40;
 
 /** One task for each machine, in jobs of equal size, some urgent; a change of leader, and some work cancelled. */
-const largeDay = (machines: number): Day => {
-  const day = new Day(31);
+const largeDay = (machines: number): LeaderSimulation => {
+  const day = new LeaderSimulation(31);
   day.capacity.set('large', 0);
   for (let i = 0; i < JOBS; i++)
     day.submit(
@@ -32,30 +32,30 @@
   return day;
 };
 
-test('4,000 machines are rented and filled, and a new leader takes them over without starting anything twice', () => {
+test('4,000 machines are created and filled, and a failover starts nothing twice', () => {
   const day = largeDay(MACHINES);
   day.clock.runUntil(140_000);
   assert.ok(day.workers.size >= MACHINES);
-  assert.equal(day.checker.starts, MACHINES);
+  assert.equal(day.checker.startCount, MACHINES);
   day.clock.runUntil(200_000);
-  assert.equal(day.checker.starts, MACHINES, 'nothing was started again');
-  assert.deepEqual(day.checker.broken, []);
+  assert.equal(day.checker.startCount, MACHINES, 'nothing was started again');
+  assert.deepEqual(day.checker.violations, []);
   assert.ok(day.leader!.jobs.size === JOBS);
 });
 
 /** What a cycle costs where every machine is full and 300 jobs of a few kinds wait. */
 const costOfCycle = (count: number): number => {
-  const full = job('wk-0', { tasks: count * 8, priority: 'production', cpus: 8 });
+  const full = makeJob('wk-0', { tasks: count * 8, priority: 'production', cpus: 8 });
   const machines = Array.from({ length: count }, (_, i) =>
-    machine(`m${i}`, 'large', i % 2 ? 'east' : 'west'),
+    makeMachine(`m${i}`, 'large', i % 2 ? 'east' : 'west'),
   );
   machines.forEach((m, i) => {
-    for (let k = 0; k < 8; k++) put(m, full, i * 8 + k);
+    for (let k = 0; k < 8; k++) placeRunningTask(m, full, i * 8 + k);
   });
   const waiting = Array.from({ length: 300 }, (_, i) =>
-    job(`wk-${i + 1}`, { tasks: 40, cpus: 4 + (i % 5), kind: i % 2 ? 'gang' : 'array', oneZone: true }),
+    makeJob(`wk-${i + 1}`, { tasks: 40, cpus: 4 + (i % 5), kind: i % 2 ? 'gang' : 'array', oneZone: true }),
   );
-  return cycle(machines, waiting).work;
+  return runTestCycle(machines, waiting).machineEvaluations;
 };
 
 test('a cycle costs about four times as much at 4,000 machines as at 1,000', () => {
@@ -63,7 +63,7 @@
   assert.ok(large <= small * 4.5, `${small} machines looked at among 1,000, ${large} among 4,000`);
 });
 
-test('a large order goes in several requests; refused together, they are asked for again after one rest', () => {
+test('a large scale-out is split into several requests; refused together, they are retried after one back-off', () => {
   const settings = {
     capacityRetryS: 15,
     headroom: 0,
@@ -76,10 +76,10 @@
     settings as unknown as LeaderSettings,
     0 as MonotonicTime,
   );
-  state.types = types;
+  state.machineTypes = types;
   state.machinesListed = true;
   const renting = new Autoscaler(state, new MachinePool(state));
-  const many = Array.from({ length: 8 }, (_, i) => job(`wk-${i}`, { ...whole, tasks: 200 }));
+  const many = Array.from({ length: 8 }, (_, i) => makeJob(`wk-${i}`, { ...whole, tasks: 200 }));
   const requests = (atS: number) => {
     renting.scale(many, (atS * 1000) as MonotonicTime);
     return state.takeEffects().flatMap((e) => (e.kind === 'create-machines' ? [e] : []));
--- a/src/test/leader-changes.test.ts
+++ b/src/test/leader-changes.test.ts
@@ -1,19 +1,19 @@
 // Leaders change ten times in two minutes, and controllers stand still. Whole controllers on virtual time.
 import { test } from 'node:test';
-import { begin, playMeeting } from './sim/meeting.js';
-import { leadersChangeTenTimes } from './sim/scripts.js';
+import { startMixedWork, assertScenarioPasses } from './sim/scenario.js';
+import { leadersChangeTenTimes } from './sim/fault-scenarios.js';
 
 const MEETING = 50_000;
 
 for (const outageMs of [0, 40_000]) {
-  test(`leaders change ten times in two minutes${outageMs > 0 ? ', also inside an outage' : ''}`, () =>
-    playMeeting({ quietMs: 180_000, endMs: 480_000 }, leadersChangeTenTimes(outageMs)));
+  test(`ten failovers in two minutes${outageMs > 0 ? ', also during an outage' : ''}`, () =>
+    assertScenarioPasses({ faultsEndMs: 180_000, endMs: 480_000 }, leadersChangeTenTimes(outageMs)));
 }
 
-test('a controller stands still for seconds while its clocks run on', () =>
-  playMeeting({ quietMs: 120_000, endMs: 330_000 }, (m) => {
-    const jobs = begin(m);
-    m.sim.at(MEETING, () => m.sim.leader!.host.freeze(12_000));
-    m.sim.at(MEETING + 4500, () => m.sim.cancel(jobs[1]));
-    m.sim.at(MEETING + 30_000, () => m.sim.processes[1].host.freeze(20_000));
+test('a controller process pauses for seconds while its clocks continue', () =>
+  assertScenarioPasses({ faultsEndMs: 120_000, endMs: 330_000 }, (m) => {
+    const jobs = startMixedWork(m);
+    m.cluster.at(MEETING, () => m.cluster.leader!.host.freeze(12_000));
+    m.cluster.at(MEETING + 4500, () => m.cluster.cancel(jobs[1]));
+    m.cluster.at(MEETING + 30_000, () => m.cluster.controllers[1].host.freeze(20_000));
   }));
--- a/src/test/leader-start.test.ts
+++ b/src/test/leader-start.test.ts
@@ -1,7 +1,7 @@
 // What a leader needs at its start may arrive in any order. Whole controllers on virtual time.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { playDay } from './sim/meeting.js';
+import { runScenario } from './sim/scenario.js';
 
 const SUBMITTED_MS = 5000;
 /** A worker's lease, its first reports and a report round: everything that a first leader has to wait for. */
@@ -10,11 +10,11 @@
 for (const cloudDelayMs of [0, 400, 800, 1200, 1600, 2000]) {
   test(`machine types that arrive ${cloudDelayMs} ms late are known to a leader that loads meanwhile`, async () => {
     let startsByThen = 0;
-    const { broken } = await playDay(1, { quietMs: 30_000, endMs: 40_000 }, ({ sim, submit }) => {
-      sim.state.answerDelayMs = 300;
-      sim.cloud.answerDelayMs = cloudDelayMs;
-      sim.at(SUBMITTED_MS, () => submit({ tasks: 4 }, 10_000));
-      sim.at(STARTED_MS, () => (startsByThen = sim.checker.starts));
+    const { broken } = await runScenario(1, { faultsEndMs: 30_000, endMs: 40_000 }, ({ cluster, submit }) => {
+      cluster.keyValueStore.responseDelayMs = 300;
+      cluster.cloudProvider.responseDelayMs = cloudDelayMs;
+      cluster.at(SUBMITTED_MS, () => submit({ tasks: 4 }, 10_000));
+      cluster.at(STARTED_MS, () => (startsByThen = cluster.checker.startCount));
     });
     assert.deepEqual(broken, []);
     assert.equal(startsByThen, 4);
--- a/src/test/broken-variants.test.ts
+++ b/src/test/mutations-safeguards.test.ts
@@ -2,13 +2,13 @@
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 import {
-  MEETING,
-  begin,
-  cancelledAsMachinesHang,
-  cancelledAtTheLimit,
-  playDay,
-  type Meeting,
-} from './sim/meeting.js';
+  FAULTS_AT_MS,
+  startMixedWork,
+  cancelWhileMachinesHang,
+  cancelAtTeamLimit,
+  runScenario,
+  type Scenario,
+} from './sim/scenario.js';
 import type { Job } from '../core/job.js';
 import { Leader } from '../core/leader/leader.js';
 import { MachinePool } from '../core/leader/machine-pool.js';
@@ -20,55 +20,57 @@
 import { UserApi } from '../runtime/users/user-api.js';
 import type { Transaction } from '../wire/key-value-store.js';
 
-const times = { quietMs: 140_000, endMs: 260_000 };
+const times = { faultsEndMs: 140_000, endMs: 260_000 };
 
-const breaks = async (rule: string, script: (m: Meeting) => void, seed = 1): Promise<void> => {
-  const { broken } = await playDay(seed, times, script);
+const breaks = async (rule: string, script: (m: Scenario) => void, seed = 1): Promise<void> => {
+  const { broken } = await runScenario(seed, times, script);
   assert.ok(
     broken.some((b) => b.startsWith(rule)),
     `${rule} expected, found: ${broken.slice(0, 3).join('; ') || 'nothing'}`,
   );
 };
 
-test('without the fence that needs no authority', async (t: TestContext) => {
+test('mutation: no fencing by a leader without authority', async (t: TestContext) => {
   t.mock.method(Leader.prototype, 'tickWithoutAuthority', () => undefined);
-  await breaks('ran_cancelled', cancelledAsMachinesHang());
+  await breaks('ran_cancelled', cancelWhileMachinesHang());
 });
 
-test('without the fence when nobody leads', async (t: TestContext) => {
+test('mutation: no leaderless fencing', async (t: TestContext) => {
   t.mock.method(LeaderlessFencing.prototype, 'check', () => Promise.resolve());
   await breaks(
     'ran_cancelled',
-    cancelledAsMachinesHang((m) => m.sim.at(MEETING + 4000, () => m.sim.restart(m.sim.leader!, 5000))),
+    cancelWhileMachinesHang((m) =>
+      m.cluster.at(FAULTS_AT_MS + 4000, () => m.cluster.restart(m.cluster.leader!, 5000)),
+    ),
   );
 });
 
-test('with workers kept alive whether or not every cancellation is known', async (t: TestContext) => {
+test('mutation: leases renewed without proof of cancellation coverage', async (t: TestContext) => {
   t.mock.method(CancellationFeed.prototype, 'mayRenewLeases', () => true);
   t.mock.method(CancellationFeed.prototype, 'onPeerPage', () => undefined);
   t.mock.method(CancellationFeed.prototype, 'onPushed', () => undefined);
   await breaks('ran_cancelled', (m) => {
-    const jobs = begin(m);
-    m.sim.at(MEETING, () => {
-      m.sim.refuseLeader(14_000);
-      m.sim.at(MEETING + 150, () => jobs.slice(0, 5).forEach((id) => m.sim.cancel(id)));
+    const jobs = startMixedWork(m);
+    m.cluster.at(FAULTS_AT_MS, () => {
+      m.cluster.refuseLeader(14_000);
+      m.cluster.at(FAULTS_AT_MS + 150, () => jobs.slice(0, 5).forEach((id) => m.cluster.cancel(id)));
     });
-    m.sim.at(MEETING + 600, () => m.sim.state.outage(57_000));
+    m.cluster.at(FAULTS_AT_MS + 600, () => m.cluster.keyValueStore.startOutage(57_000));
   });
 });
 
-test('with a new leader that takes silent machines for empty ones', async (t: TestContext) => {
+test('mutation: a new leader treats unreconciled machines as empty', async (t: TestContext) => {
   t.mock.method(LeaderState.prototype, 'mayRunOnUnreconciledMachine', () => false);
   await breaks('ran_twice', (m) => {
-    const jobs = begin(m);
-    m.sim.at(MEETING, () => {
-      for (const id of jobs.slice(0, 4)) for (const w of m.sim.machinesOf(id)) w.hang(9000);
-      m.sim.restart(m.sim.leader!, 5000);
+    const jobs = startMixedWork(m);
+    m.cluster.at(FAULTS_AT_MS, () => {
+      for (const id of jobs.slice(0, 4)) for (const w of m.cluster.machinesOf(id)) w.hang(9000);
+      m.cluster.restart(m.cluster.leader!, 5000);
     });
   });
 });
 
-test('with cancelled jobs that no longer count while silent machines may hold their tasks', async (t: TestContext) => {
+test('mutation: cancelled jobs do not count against the quota while unreconciled machines may run them', async (t: TestContext) => {
   const mayBe = Reflect.get<LeaderState, 'mayRunOnUnreconciledMachine'>(
     LeaderState.prototype,
     'mayRunOnUnreconciledMachine',
@@ -76,17 +78,17 @@
   t.mock.method(LeaderState.prototype, 'mayRunOnUnreconciledMachine', function (this: LeaderState, job: Job) {
     return !job.cancelled && mayBe.call(this, job);
   });
-  await breaks('quota', cancelledAtTheLimit);
+  await breaks('quota', cancelAtTeamLimit);
 });
 
-test('with controllers that know no finished job', async (t: TestContext) => {
+test('mutation: controllers do not know finished jobs', async (t: TestContext) => {
   t.mock.method(UserApi.prototype, 'handle', (q: { method: string }) =>
     Promise.resolve(q.method === 'POST' ? { status: 201, body: Buffer.from([0xa0]) } : { status: 404 }),
   );
-  await breaks('forgotten', begin);
+  await breaks('forgotten', startMixedWork);
 });
 
-test('with a leader that leaves work waiting', async (t: TestContext) => {
+test('mutation: the leader leaves a job pending', async (t: TestContext) => {
   const waiting = Reflect.get<SchedulingQueue, 'buildQueue'>(SchedulingQueue.prototype, 'buildQueue');
   t.mock.method(
     SchedulingQueue.prototype,
@@ -96,10 +98,10 @@
       return { queue: queue.filter((job) => job.id !== 'wk-1'), blocked };
     },
   );
-  await breaks('left_waiting', begin);
+  await breaks('left_waiting', startMixedWork);
 });
 
-test('with machines given up before the cloud has answered that they are gone', async (t: TestContext) => {
+test('mutation: machines are released before the cloud provider confirms their deletion', async (t: TestContext) => {
   const fence = Reflect.get<MachinePool, 'fence'>(MachinePool.prototype, 'fence');
   t.mock.method(
     MachinePool.prototype,
@@ -111,31 +113,32 @@
     },
   );
   await breaks('ran_twice', (m) => {
-    const jobs = begin(m);
+    const jobs = startMixedWork(m);
     // Healthy, but not heard: their tasks go on.
-    m.sim.at(MEETING, () => m.sim.machinesOf(jobs[2]).forEach((w) => w.hang(9500)));
+    m.cluster.at(FAULTS_AT_MS, () => m.cluster.machinesOf(jobs[2]).forEach((w) => w.hang(9500)));
   });
 });
 
-test('with writes that overwrite whatever has come in between', async (t: TestContext) => {
+test('mutation: writes without compare-and-swap', async (t: TestContext) => {
   const transact = Reflect.get<KeyValueStoreClient, 'transact'>(KeyValueStoreClient.prototype, 'transact');
   t.mock.method(
     KeyValueStoreClient.prototype,
     'transact',
     function (this: KeyValueStoreClient, w: Transaction, reserve?: number) {
-      const own = w.if.filter((c) => c.key.startsWith('l/'));
-      return transact.call(this, { ...w, if: own }, reserve);
+      const own = w.conditions.filter((c) => c.key.startsWith('l/'));
+      return transact.call(this, { ...w, conditions: own }, reserve);
     },
   );
   await breaks('went_back', (m) => {
-    m.sim.at(8000, () => m.sim.state.lateWrites(0.3, 100_000));
-    m.sim.checker.onCompleted = (id) => {
-      for (const ms of [5000, 9000, 13_000]) m.sim.at(m.sim.now + ms, () => m.sim.users.get(id)!.repeat());
+    m.cluster.at(8000, () => m.cluster.keyValueStore.delayTransactions(0.3, 100_000));
+    m.cluster.checker.onJobCompleted = (id) => {
+      for (const ms of [5000, 9000, 13_000])
+        m.cluster.at(m.cluster.now + ms, () => m.cluster.users.get(id)!.queryAllControllers());
     };
     for (let i = 0; i < 25; i++)
-      m.sim.at(10_000 + i * 2500, () => {
+      m.cluster.at(10_000 + i * 2500, () => {
         const id = m.submit({ tasks: 1 + (i % 2) }, 6000 + 300 * i);
-        m.sim.at(m.sim.now + 12_000 + 300 * i, () => m.sim.cancel(id));
+        m.cluster.at(m.cluster.now + 12_000 + 300 * i, () => m.cluster.cancel(id));
       });
   });
 });
--- a/src/test/peer-messages.test.ts
+++ b/src/test/peer-messages.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import { test, type TestContext } from 'node:test';
-import { answerPeer } from '../runtime/peers/peer-link.js';
+import { servePeer } from '../runtime/peers/peer-link.js';
 import { decode, encode } from '../wire/cbor.js';
 import { parsePeerRequest, parsePeerResponse } from '../wire/peer-messages.js';
 
@@ -42,13 +42,13 @@
 test('peer responses: a status of an older version claims nothing that it does not say', () => {
   const answer = parsePeerResponse('heartbeat', { status, cancelled: null });
   assert.ok(answer.ok);
-  const { reaches, holding, hearing, leaderSeenAgoMs } = answer.value.status;
+  const { reachableLeader, holdsLease, receivesHeartbeats, leaderSeenAgoMs } = answer.value.status;
   assert.deepEqual(
-    { reaches, holding, hearing, leaderSeenAgoMs },
+    { reachableLeader, holdsLease, receivesHeartbeats, leaderSeenAgoMs },
     {
-      reaches: null,
-      holding: false,
-      hearing: false,
+      reachableLeader: null,
+      holdsLease: false,
+      receivesHeartbeats: false,
       leaderSeenAgoMs: null,
     },
   );
@@ -58,8 +58,11 @@
     more: 1,
   });
   assert.ok(later.ok, 'fields of a newer version are ignored');
-  assert.ok(!parsePeerResponse('relay', {}).ok, 'an older version answers so when it does not lead');
-  assert.ok(!parsePeerResponse('heard', { heard: 'all' }).ok);
+  assert.ok(
+    !parsePeerResponse('forwarded-heartbeat', {}).ok,
+    'an older version answers so when it does not lead',
+  );
+  assert.ok(!parsePeerResponse('recent-heartbeats', { heard: 'all' }).ok);
 });
 
 const framed = (message: unknown): Buffer => {
@@ -75,7 +78,7 @@
 ): Promise<{ socket: Socket; causes: string[]; next: () => Promise<Buffer> }> => {
   const causes: string[] = [];
   const server = createServer((socket) =>
-    answerPeer(
+    servePeer(
       socket,
       (request) => Promise.resolve({ kind: request.kind }),
       (cause) => causes.push(cause),
@@ -100,7 +103,7 @@
   assert.deepEqual(bodyOf(await next()), { i: 1, a: null });
   assert.equal(causes.length, 1);
   socket.write(framed({ i: 2, q: { kind: 'counts', job: 'wk-1' } }));
-  assert.deepEqual(bodyOf(await next()), { i: 2, a: { kind: 'counts' } });
+  assert.deepEqual(bodyOf(await next()), { i: 2, a: { kind: 'task-counts' } });
 });
 
 test('an oversized or undecodable frame ends the connection', async (t) => {
--- a/src/test/production-size.test.ts
+++ b/src/test/production-size.test.ts
@@ -2,10 +2,10 @@
 // are lost, while pipelines run. MACHINES and SEED play other sizes and days than the one kept here.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { mixedWork, playDay, type Meeting } from './sim/meeting.js';
-import { submitPipelines } from './sim/pipelines.js';
-import { machines } from './sim/scripts.js';
-import type { Setup } from './sim/service.js';
+import { submitMixedWork, runScenario, type Scenario } from './sim/scenario.js';
+import { submitPipelines } from './sim/pipeline-scenarios.js';
+import { workerHosts } from './sim/fault-scenarios.js';
+import type { ClusterSetup } from './sim/cluster-simulation.js';
 import type { JobId } from '../core/units.js';
 
 const MACHINES = Number(process.env['MACHINES'] ?? 1000);
@@ -16,50 +16,52 @@
 const END_MS = 240_000;
 const MACHINES_A_JOB = 10;
 
-const size: Partial<Setup> = {
+const size: Partial<ClusterSetup> = {
   capacity: MACHINES * 1.5,
-  up: { type: 'small', perZone: MACHINES / 2 },
-  sockets: 2000,
+  initialMachines: { type: 'small', perZone: MACHINES / 2 },
+  socketLimit: 2000,
   workers: { heartbeatIntervalS: 3, leaseS: 17, cancelS: 42 },
-  stateLimits: { rps: 400, writeRps: 100, valueKb: 16, txnOps: 16 },
+  keyValueStoreLimits: { rps: 400, writeRps: 100, valueKb: 16, txnOps: 16 },
 };
 
-const someMachines = (m: Meeting, share: number) => machines(m).filter(() => m.random() < share);
+const someMachines = (m: Scenario, share: number) => workerHosts(m).filter(() => m.random() < share);
 
-const troubles = (m: Meeting, jobs: JobId[]): void => {
+const troubles = (m: Scenario, jobs: JobId[]): void => {
   const endLeader = (): void => {
-    if (m.sim.leader) m.sim.restart(m.sim.leader, 4000);
+    if (m.cluster.leader) m.cluster.restart(m.cluster.leader, 4000);
   };
-  m.sim.at(MEETING_MS, () => {
+  m.cluster.at(MEETING_MS, () => {
     for (const worker of someMachines(m, 0.15)) worker.hang(50_000);
-    for (const id of jobs.slice(0, MACHINES / 50)) m.sim.cancel(id);
+    for (const id of jobs.slice(0, MACHINES / 50)) m.cluster.cancel(id);
     endLeader();
   });
-  m.sim.at(MEETING_MS + 12_000, () => {
-    for (const worker of someMachines(m, 0.05)) worker.end();
-    m.sim.lateCommands(0.3, 30_000);
-    m.sim.lateReports(0.1, 30_000);
+  m.cluster.at(MEETING_MS + 12_000, () => {
+    for (const worker of someMachines(m, 0.05)) worker.terminate();
+    m.cluster.delayDirectCommands(0.3, 30_000);
+    m.cluster.duplicateHeartbeats(0.1, 30_000);
   });
-  m.sim.at(MEETING_MS + 27_500, endLeader);
-  m.sim.at(MEETING_MS + 31_500, endLeader);
-  m.sim.at(MEETING_MS + 33_000, () => m.sim.processes.forEach((p, i) => m.sim.restart(p, 300 * i)));
+  m.cluster.at(MEETING_MS + 27_500, endLeader);
+  m.cluster.at(MEETING_MS + 31_500, endLeader);
+  m.cluster.at(MEETING_MS + 33_000, () =>
+    m.cluster.controllers.forEach((p, i) => m.cluster.restart(p, 300 * i)),
+  );
 };
 
-test(`${MACHINES} machines: hangs, cancellations, losses and four changes of leader among pipelines`, async () => {
-  const { sim, broken, unfinished } = await playDay(
+test(`${MACHINES} machines: hangs, cancellations, losses and four failovers among pipelines`, async () => {
+  const { sim, broken, unfinished } = await runScenario(
     SEED,
-    { over: size, quietMs: QUIET_MS, endMs: END_MS },
+    { setup: size, faultsEndMs: QUIET_MS, endMs: END_MS },
     (m) => {
       const jobs: JobId[] = [];
-      m.sim.at(SUBMIT_MS, () => {
+      m.cluster.at(SUBMIT_MS, () => {
         for (let i = 0; i < MACHINES / MACHINES_A_JOB; i++)
           jobs.push(m.submit({ tasks: MACHINES_A_JOB }, 20_000 + m.random() * 60_000));
-        mixedWork(m);
+        submitMixedWork(m);
       });
       submitPipelines(m, 8);
       troubles(m, jobs);
     },
   );
   assert.deepEqual({ broken: broken.slice(0, 5), unfinished }, { broken: [], unfinished: [] });
-  assert.ok(sim.checker.starts >= MACHINES);
+  assert.ok(sim.checker.startCount >= MACHINES);
 });
--- a/src/test/progress-store.test.ts
+++ b/src/test/progress-store.test.ts
@@ -12,10 +12,10 @@
 const service = () => {
   let held: (() => void)[] = [];
   let revision = 0;
-  const world = { value: null as { data: unknown; stamp: number } | null, loseNext: false };
+  const world = { value: null as { data: unknown; revision: number } | null, loseNext: false };
   const apply = (then: Change[], conditions: Condition[]): boolean => {
-    if (conditions.some((c) => c.revision !== (world.value?.stamp ?? 0))) return false;
-    for (const c of then) if ('put' in c) world.value = { data: c.data, stamp: ++revision };
+    if (conditions.some((c) => c.revision !== (world.value?.revision ?? 0))) return false;
+    for (const c of then) if ('put' in c) world.value = { data: c.data, revision: ++revision };
     return true;
   };
   const store = new ProgressStore(
@@ -27,7 +27,7 @@
       }
       return Promise.resolve(
         apply(then, conditions)
-          ? { kind: 'ok', revision: world.value!.stamp }
+          ? { kind: 'ok', revision: world.value!.revision }
           : { kind: 'conflict', failed: ['p/wk-1/0'] },
       );
     },
@@ -43,21 +43,21 @@
 
 test('a write of progress that arrives late does not undo a newer one', async () => {
   const { world, store, arrive, recorded } = service();
-  assert.equal((await store.put(job, first, bits(1))).kind, 'ok');
+  assert.equal((await store.save(job, first, bits(1))).kind, 'ok');
   world.loseNext = true;
-  assert.equal((await store.put(job, first, bits(3))).kind, 'retry');
-  assert.equal((await store.put(job, first, bits(7))).kind, 'ok');
+  assert.equal((await store.save(job, first, bits(3))).kind, 'retry');
+  assert.equal((await store.save(job, first, bits(7))).kind, 'ok');
   arrive();
   assert.equal(recorded(), 7);
 });
 
-test('a write that was carried out without an answer is found, and the next one follows it', async () => {
+test('a write that was executed without a response is found, and the next one follows it', async () => {
   const { world, store, arrive, recorded } = service();
   world.loseNext = true;
-  assert.equal((await store.put(job, first, bits(1))).kind, 'retry');
+  assert.equal((await store.save(job, first, bits(1))).kind, 'retry');
   arrive();
-  const r = await store.put(job, first, bits(2));
+  const r = await store.save(job, first, bits(2));
   assert.deepEqual(r.kind === 'changed' ? [...r.bytes] : r, [1]);
-  assert.equal((await store.put(job, first, bits(3))).kind, 'ok');
+  assert.equal((await store.save(job, first, bits(3))).kind, 'ok');
   assert.equal(recorded(), 3);
 });
--- a/src/test/queue.test.ts
+++ b/src/test/scheduling-queue.test.ts
@@ -25,7 +25,7 @@
   return queue.map((j) => j.id);
 };
 
-test('higher priorities first; arrays with least left first, and those that can no longer be in time last', () => {
+test('higher priorities first; arrays with the least remaining work first, and those that cannot meet their deadline last', () => {
   const jobs: [string, number, Partial<JobSpec>][] = [
     ['wk-1', 0, { tasks: 200, deadlineS: 80 }],
     ['wk-2', 1, { tasks: 10, deadlineS: 90 }],
@@ -35,7 +35,7 @@
   assert.deepEqual(order(10, jobs), ['wk-3', 'wk-4', 'wk-2', 'wk-1']);
 });
 
-test('of each class the oldest and the largest that waited long go first, gangs before arrays', () => {
+test('of each class the oldest and the largest long-pending jobs go first, gangs before arrays', () => {
   const jobs: [string, number, Partial<JobSpec>][] = [
     ['wk-1', 0, { class: 'a', tasks: 5, priority: 'low' }],
     ['wk-2', 1, { class: 'a', tasks: 5, priority: 'low' }],
--- a/src/test/sim/service.ts
+++ b/src/test/sim/cluster-simulation.ts
@@ -2,15 +2,15 @@
 // meet here as they do between real hosts.
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
-import { Checker } from './checker.js';
-import { CloudService } from './cloud-service.js';
-import { World, type Host } from './host.js';
-import { Network, type Trouble } from './network.js';
-import { StateService } from './key-value-store.js';
-import type { Version } from './production.js';
-import { User } from './user.js';
+import { InvariantChecker } from './invariant-checker.js';
+import { SimulatedCloudProvider } from './simulated-cloud-provider.js';
+import { SimulationRuntime, type SimulatedHost } from './simulation-runtime.js';
+import { SimulatedNetwork, type LinkFault } from './simulated-network.js';
+import { SimulatedKeyValueStore } from './simulated-key-value-store.js';
+import type { ProgramVersion } from './production-version.js';
+import { SimulatedUser } from './simulated-user.js';
 import { WorkerHost } from './worker-host.js';
-import type { Gang, WorldView } from './worker.js';
+import type { GangAttempt, WorkerEnvironment } from './simulated-worker.js';
 import { parseOperatorSettings } from '../../config/operator.js';
 import { parseAddress, type PlatformSettings, type KeyValueStoreLimits } from '../../config/platform.js';
 import type { JobSpec, MachineInfo, MachineType, TeamQuota } from '../../core/types.js';
@@ -27,7 +27,7 @@
 const LEFT_WAITING_MS = 90_000;
 const WAITING_LOOK_MS = 2000;
 
-export interface Setup {
+export interface ClusterSetup {
   seed: number;
   zones: string[];
   /** The zone of each controller. */
@@ -37,55 +37,55 @@
   /** How many machines the cloud has. */
   capacity: number;
   /** Machines that are up before the first controller starts, in each zone of their type. */
-  up?: { type: string; perZone: number };
+  initialMachines?: { type: string; perZone: number };
   runMs: (job: JobId) => number;
   workers?: Partial<PlatformSettings['workers']>;
   /** Operators' settings, as the build step writes them. */
   operator?: unknown;
   /** What the state service takes at the start, as far as it is otherwise than usual. */
-  stateLimits?: Partial<KeyValueStoreLimits>;
+  keyValueStoreLimits?: Partial<KeyValueStoreLimits>;
   /** Limits that it will have later, as the settings announce them. */
-  nextLimits?: Partial<KeyValueStoreLimits>;
+  announcedKeyValueStoreLimits?: Partial<KeyValueStoreLimits>;
   /** Sockets that a controller may have open; few make direct commands that are never sent. */
-  sockets?: number;
+  socketLimit?: number;
   /** The version that the controllers run at the start; else the present one. */
-  version?: Version;
+  version?: ProgramVersion;
 }
 
 const USUAL_SOCKETS = 1000;
 const USUAL_LIMITS: KeyValueStoreLimits = { rps: 200, writeRps: 60, valueKb: 8, txnOps: 12 };
 
-export interface Process {
+export interface ControllerProcess {
   name: NodeName;
   ip: string;
   platform: PlatformSettings;
-  host: Host;
+  host: SimulatedHost;
   /** Null: the present version. */
-  version: Version | null;
+  version: ProgramVersion | null;
 }
 
-export class ServiceSim {
-  readonly world = new World();
-  readonly network = new Network(this.world);
-  readonly checker: Checker;
-  readonly state: StateService;
-  readonly cloud: CloudService;
+export class ClusterSimulation {
+  readonly runtime = new SimulationRuntime();
+  readonly network = new SimulatedNetwork(this.runtime);
+  readonly checker: InvariantChecker;
+  readonly keyValueStore: SimulatedKeyValueStore;
+  readonly cloudProvider: SimulatedCloudProvider;
   readonly workers = new Map<MachineId, WorkerHost>();
-  readonly users = new Map<JobId, User>();
-  readonly processes: Process[];
+  readonly users = new Map<JobId, SimulatedUser>();
+  readonly controllers: ControllerProcess[];
   readonly random: () => number;
   readonly notes: string[] = [];
   private readonly specs = new Map<JobId, JobSpec>();
-  private readonly restore: () => void;
-  private readonly usersHost: Host;
+  private readonly restoreNodeGlobals: () => void;
+  private readonly usersHost: SimulatedHost;
   private readonly times: PlatformSettings['workers'];
 
-  constructor(private readonly setup: Setup) {
+  constructor(private readonly setup: ClusterSetup) {
     process.env['LOG_LEVEL'] ??= 'error';
     const rng = xoroshiro128plus(setup.seed);
     this.random = () => uniformFloat64(rng);
-    this.restore = this.world.install(this.network);
-    const { clock } = this.world;
+    this.restoreNodeGlobals = this.runtime.replaceNodeGlobals(this.network);
+    const { clock } = this.runtime;
     this.times = {
       heartbeatIntervalS: 1.5,
       leaseS: 10,
@@ -94,52 +94,63 @@
       cancelS: 40,
       ...setup.workers,
     };
-    this.checker = new Checker(this.specs, setup.teams, this.times.cancelS, () => clock.now);
-    this.usersHost = this.world.host('10.3.0.1');
-    this.state = new StateService(this.world.host(STATE), `${STATE}:2379`, this.random);
-    this.state.limits = this.limits;
-    const gangs = new Map<string, Gang>();
-    const view: WorldView = {
+    this.checker = new InvariantChecker(this.specs, setup.teams, this.times.cancelS, () => clock.now);
+    this.usersHost = this.runtime.createHost('10.3.0.1');
+    this.keyValueStore = new SimulatedKeyValueStore(
+      this.runtime.createHost(STATE),
+      `${STATE}:2379`,
+      this.random,
+    );
+    this.keyValueStore.limits = this.limits;
+    const gangs = new Map<string, GangAttempt>();
+    const view: WorkerEnvironment = {
       clock,
       checker: this.checker,
-      times: this.times,
+      timings: this.times,
       specs: this.specs,
       gangs,
       capacity: (type) => setup.types.find((t) => t.name === type)!,
       runMs: setup.runMs,
       fetchMs: () => 1000 + this.random() * 3000,
     };
-    this.processes = setup.controllers.map((zone, i) => this.describe(i, zone));
-    const addresses = this.processes.map((p) => ({ name: p.name, address: `${p.ip}:8080` }));
+    this.controllers = setup.controllers.map((zone, i) => this.describe(i, zone));
+    const addresses = this.controllers.map((p) => ({ name: p.name, address: `${p.ip}:8080` }));
     const up = (info: MachineInfo): void => {
-      const host = this.world.host(parseAddress(info.endpoint).host);
+      const host = this.runtime.createHost(parseAddress(info.endpoint).host);
       this.workers.set(info.id, new WorkerHost(host, info, view, addresses, this.random));
     };
     const gone = (id: MachineId): void => {
-      this.workers.get(id)?.end();
+      this.workers.get(id)?.terminate();
       this.workers.delete(id);
     };
-    const cloudHost = this.world.host(CLOUD);
-    this.cloud = new CloudService(cloudHost, `${CLOUD}:8443`, setup.types, setup.capacity, 4000, {
-      up,
-      gone,
-    });
-    clock.every(500, () => this.checker.sweep());
-    const first = setup.types.find((t) => t.name === setup.up?.type);
+    const cloudHost = this.runtime.createHost(CLOUD);
+    this.cloudProvider = new SimulatedCloudProvider(
+      cloudHost,
+      `${CLOUD}:8443`,
+      setup.types,
+      setup.capacity,
+      4000,
+      {
+        up,
+        gone,
+      },
+    );
+    clock.every(500, () => this.checker.checkPeriodically());
+    const first = setup.types.find((t) => t.name === setup.initialMachines?.type);
     for (const zone of first?.zones ?? [])
-      for (let i = 0; i < (setup.up?.perZone ?? 0); i++)
-        this.cloud.add(first!.name, zone, false, 0, -UP_SINCE_MS);
-    for (const p of this.processes) this.boot(p);
+      for (let i = 0; i < (setup.initialMachines?.perZone ?? 0); i++)
+        this.cloudProvider.addMachine(first!.name, zone, false, 0, -UP_SINCE_MS);
+    for (const p of this.controllers) this.boot(p);
   }
 
-  private describe(i: number, zone: string): Process {
+  private describe(i: number, zone: string): ControllerProcess {
     const ip = `10.0.0.${i + 1}`;
     const name = `stable-${i}` as NodeName;
     const platform: PlatformSettings = {
       name,
       zone: zone as Zone,
-      publicAddr: { host: ip, port: 8080 },
-      internalAddr: { host: ip, port: 8081 },
+      publicAddress: { host: ip, port: 8080 },
+      internalAddress: { host: ip, port: 8081 },
       peers: this.setup.controllers
         .map((z, j) => ({
           name: `stable-${j}` as NodeName,
@@ -156,22 +167,22 @@
       workers: this.times,
       keyValueStoreLimits: this.limits,
       cloudProviderLimits: { rps: 6, listLagS: 4 },
-      limits: { cpu: 0.25, memoryMb: 146, sockets: this.setup.sockets ?? USUAL_SOCKETS },
+      limits: { cpu: 0.25, memoryMb: 146, sockets: this.setup.socketLimit ?? USUAL_SOCKETS },
     };
-    return { name, ip, platform, host: this.world.host(ip), version: this.setup.version ?? null };
+    return { name, ip, platform, host: this.runtime.createHost(ip), version: this.setup.version ?? null };
   }
 
-  private boot(p: Process): void {
+  private boot(p: ControllerProcess): void {
     // Ended twice before it was back: there is still one process.
     p.host.kill();
-    p.host = this.world.host(p.ip, (this.random() - 0.5) * 2 * CLOCK_ERROR_MS);
+    p.host = this.runtime.createHost(p.ip, (this.random() - 0.5) * 2 * CLOCK_ERROR_MS);
     const operator = this.setup.operator ?? {};
     const { version } = p;
     if (version === null) {
-      const { nextLimits = {} } = this.setup;
+      const { announcedKeyValueStoreLimits = {} } = this.setup;
       const platform = {
         ...p.platform,
-        keyValueStoreLimits: { ...p.platform.keyValueStoreLimits, ...nextLimits },
+        keyValueStoreLimits: { ...p.platform.keyValueStoreLimits, ...announcedKeyValueStoreLimits },
       };
       p.host.run(() => new Controller(platform, parseOperatorSettings(operator)).start());
     } else p.host.run(() => version.startController(p.platform, operator));
@@ -180,17 +191,17 @@
   // ---- what happens ----------------------------------------------------------------------------------------
 
   at(ms: number, f: () => void): void {
-    this.world.clock.after(ms - this.now, f);
+    this.runtime.clock.after(ms - this.now, f);
   }
 
   get now(): number {
-    return this.world.clock.now;
+    return this.runtime.clock.now;
   }
 
-  submit(spec: JobSpec): User {
+  submit(spec: JobSpec): SimulatedUser {
     this.specs.set(spec.id, spec);
-    const addresses = this.processes.map((p) => `${p.ip}:8080`);
-    const user = new User(this.usersHost, spec, addresses, this.checker, this.random);
+    const addresses = this.controllers.map((p) => `${p.ip}:8080`);
+    const user = new SimulatedUser(this.usersHost, spec, addresses, this.checker, this.random);
     this.users.set(spec.id, user);
     user.start();
     return user;
@@ -201,64 +212,64 @@
   }
 
   /** Connections between machines and controllers of two zones. */
-  partZones(one: string, other: string, trouble: Trouble, forMs: number): void {
+  partitionZones(one: string, other: string, trouble: LinkFault, forMs: number): void {
     const inside = (zone: string): string[] => [
       ...[...this.workers.values()].filter((w) => w.info.zone === zone).map((w) => w.host.ip),
-      ...this.processes.filter((p) => p.platform.zone === zone).map((p) => p.ip),
+      ...this.controllers.filter((p) => p.platform.zone === zone).map((p) => p.ip),
     ];
     this.network.cut(inside(one), inside(other), trouble, forMs);
   }
 
   /** What happened, for the message of a test that fails. */
-  note(what: string): void {
+  addNote(what: string): void {
     this.notes.push(`${(this.now / 1000).toFixed(1)} ${what}`);
   }
 
   /** Who the state service names as the leader. */
-  get leader(): Process | null {
-    const node = (this.state.items.get('l/leader')?.data as { node?: string } | undefined)?.node;
-    return this.processes.find((p) => p.name === node) ?? null;
+  get leader(): ControllerProcess | null {
+    const node = (this.keyValueStore.items.get('l/leader')?.data as { node?: string } | undefined)?.node;
+    return this.controllers.find((p) => p.name === node) ?? null;
   }
 
-  restart(p: Process, afterMs: number): void {
+  restart(p: ControllerProcess, afterMs: number): void {
     p.host.kill();
-    this.world.clock.after(afterMs, () => this.boot(p));
+    this.runtime.clock.after(afterMs, () => this.boot(p));
   }
 
   /** Killed, and back with the present version. */
-  upgrade(p: Process, afterMs: number): void {
+  upgrade(p: ControllerProcess, afterMs: number): void {
     p.version = null;
     this.restart(p, afterMs);
   }
 
   /** The state service takes no more than was announced, from now on and without notice. */
   lowerLimits(): void {
-    this.state.limits = { ...this.limits, ...this.setup.nextLimits };
+    this.keyValueStore.limits = { ...this.limits, ...this.setup.announcedKeyValueStoreLimits };
   }
 
   private get limits(): KeyValueStoreLimits {
-    return { ...USUAL_LIMITS, ...this.setup.stateLimits };
+    return { ...USUAL_LIMITS, ...this.setup.keyValueStoreLimits };
   }
 
   refuseLeader(forMs: number): void {
-    if (this.leader) this.state.refuse(this.leader.ip, forMs);
+    if (this.leader) this.keyValueStore.refuseHost(this.leader.ip, forMs);
   }
 
   /** Cuts a controller from its peers. */
-  cutPeers(p: Process, trouble: Trouble, forMs: number): void {
-    const others = this.processes.filter((q) => q !== p).map((q) => q.ip);
+  isolateFromPeers(p: ControllerProcess, trouble: LinkFault, forMs: number): void {
+    const others = this.controllers.filter((q) => q !== p).map((q) => q.ip);
     this.network.cut([p.ip], others, trouble, forMs);
   }
 
-  cutState(p: Process, forMs: number): void {
+  isolateFromKeyValueStore(p: ControllerProcess, forMs: number): void {
     this.network.cut([p.ip], [STATE], 'hold', forMs);
   }
 
   /** Machines and controllers of a zone from everything outside of it. */
-  cutZone(zone: string, trouble: Trouble, forMs: number): void {
+  isolateZone(zone: string, trouble: LinkFault, forMs: number): void {
     const inside = [...this.workers.values()].filter((w) => w.info.zone === zone).map((w) => w.host.ip);
-    const controllers = this.processes.filter((p) => p.platform.zone === zone).map((p) => p.ip);
-    const outside = this.processes.filter((p) => p.platform.zone !== zone).map((p) => p.ip);
+    const controllers = this.controllers.filter((p) => p.platform.zone === zone).map((p) => p.ip);
+    const outside = this.controllers.filter((p) => p.platform.zone !== zone).map((p) => p.ip);
     this.network.cut(
       [...inside, ...controllers],
       [...outside, STATE, CLOUD, this.usersHost.ip],
@@ -268,12 +279,12 @@
   }
 
   /** Of that share of the reports a copy arrives again at some controller, up to well over a lease later. */
-  lateReports(share: number, forMs: number): void {
+  duplicateHeartbeats(share: number, forMs: number): void {
     const until = this.now + forMs;
-    const copier = this.world.host('10.3.0.2');
-    const clients = this.processes.map((p) => new HttpClient(p.platform.publicAddr, 8, 1000));
+    const copier = this.runtime.createHost('10.3.0.2');
+    const clients = this.controllers.map((p) => new HttpClient(p.platform.publicAddress, 8, 1000));
     for (const w of this.workers.values()) {
-      w.copy = (body) => {
+      w.onHeartbeatSent = (body) => {
         if (this.now > until || this.random() >= share) return;
         const bytes = Buffer.from(body);
         const to = clients[Math.floor(this.random() * clients.length)];
@@ -284,8 +295,8 @@
   }
 
   /** That share of the commands sent straight to workers is carried out late and gets no answer. */
-  lateCommands(share: number, forMs: number): void {
-    for (const w of this.workers.values()) w.lateCommands = { share, until: this.now + forMs };
+  delayDirectCommands(share: number, forMs: number): void {
+    for (const w of this.workers.values()) w.delayedCommands = { fraction: share, until: this.now + forMs };
   }
 
   /** Machines on which a task of this job is. */
@@ -295,15 +306,15 @@
   }
 
   async run(untilMs: number): Promise<void> {
-    await this.world.runUntil(untilMs);
+    await this.runtime.runUntil(untilMs);
   }
 
   /** Tasks that wait, though a machine has room for them and their team is under its limit. */
-  private waitsInVain({ spec }: User): boolean {
+  private waitsInVain({ spec }: SimulatedUser): boolean {
     const workers = [...this.workers.values()].map((w) => w.worker);
-    const held = (id: JobId): number => workers.reduce((n, w) => n + w.holds(id), 0);
-    if (held(spec.id) + this.checker.completedOf(spec.id) >= spec.tasks) return false;
-    const done = (id: JobId): boolean => this.checker.completedOf(id) === this.specs.get(id)!.tasks;
+    const held = (id: JobId): number => workers.reduce((n, w) => n + w.activeTaskCount(id), 0);
+    if (held(spec.id) + this.checker.completedTaskCount(spec.id) >= spec.tasks) return false;
+    const done = (id: JobId): boolean => this.checker.completedTaskCount(id) === this.specs.get(id)!.tasks;
     if (!spec.dependsOn.every(done)) return false;
     const tasks = spec.kind === 'array' ? 1 : spec.tasks;
     const max = this.setup.teams.find((t) => t.name === spec.team)!.gpusMax;
@@ -312,7 +323,7 @@
       .reduce((n, s) => n + s.gpus * held(s.id), 0);
     if (max > 0 && used + spec.gpus * tasks > max) return false;
     const fitting = workers.filter(
-      (w) => (spec.zone === null || w.info.zone === spec.zone) && w.hasRoom(spec),
+      (w) => (spec.zone === null || w.info.zone === spec.zone) && w.hasCapacity(spec),
     );
     if (!spec.oneZone && !spec.spread) return fitting.length >= tasks;
     return this.setup.zones.some((z) => fitting.filter((w) => w.info.zone === z).length >= tasks);
@@ -320,32 +331,32 @@
 
   private watchWaiting(waitingSince: Map<JobId, number>): void {
     for (const [id, user] of this.users) {
-      const over = user.status === 'done' || user.status === 'cancelled' || user.askedToCancel;
+      const over = user.status === 'done' || user.status === 'cancelled' || user.cancellationRequested;
       if (!user.accepted || over || !this.waitsInVain(user)) {
         waitingSince.delete(id);
         continue;
       }
       const since = waitingSince.get(id) ?? this.now;
       waitingSince.set(id, since);
-      if (this.now - since > LEFT_WAITING_MS) this.checker.leftWaiting(id, this.now - since);
+      if (this.now - since > LEFT_WAITING_MS) this.checker.reportJobLeftWaiting(id, this.now - since);
     }
   }
 
   /** Troubles over: jobs of which no question is answered for 75 s are forgotten, and none is left waiting. */
-  async settle(untilMs: number): Promise<void> {
+  async runUntilSettled(untilMs: number): Promise<void> {
     const from = this.now;
     const waitingSince = new Map<JobId, number>();
-    this.world.clock.every(WAITING_LOOK_MS, () => this.watchWaiting(waitingSince));
+    this.runtime.clock.every(WAITING_LOOK_MS, () => this.watchWaiting(waitingSince));
     await this.run(untilMs);
     for (const [id, u] of this.users) {
       if (!u.accepted || u.status === 'done' || u.status === 'cancelled') continue;
-      if (this.now - Math.max(from, u.answeredAt) > FORGOTTEN_MS)
-        this.checker.forgotten(id, 'no question answered');
+      if (this.now - Math.max(from, u.lastResponseAt) > FORGOTTEN_MS)
+        this.checker.reportForgottenJob(id, 'no question answered');
     }
   }
 
-  end(): void {
-    for (const p of this.processes) p.host.kill();
-    this.restore();
+  dispose(): void {
+    for (const p of this.controllers) p.host.kill();
+    this.restoreNodeGlobals();
   }
 }
--- a/src/test/sim/fixtures.ts
+++ b/src/test/sim/fixtures.ts
@@ -1,6 +1,6 @@
 // Teams, machine types and a plain job, for tests that need some and don't care which.
 import type { JobSpec, MachineType, TeamQuota } from '../../core/types.js';
-import type { JobId, Team, TypeName, Zone } from '../../core/units.js';
+import type { JobId, Team, MachineTypeName, Zone } from '../../core/units.js';
 
 export const teams: TeamQuota[] = [
   { name: 'blue' as Team, cpus: 0, cpusMax: 0, gpus: 4, gpusMax: 20 },
@@ -9,7 +9,7 @@
 
 export const types: MachineType[] = [
   {
-    name: 'small' as TypeName,
+    name: 'small' as MachineTypeName,
     cpus: 16,
     gpus: 2,
     memoryGb: 64,
@@ -21,7 +21,7 @@
     zones: ['east', 'west'] as Zone[],
   },
   {
-    name: 'large' as TypeName,
+    name: 'large' as MachineTypeName,
     cpus: 64,
     gpus: 8,
     memoryGb: 512,
--- a/src/test/sim/serve.ts
+++ b/src/test/sim/http-server.ts
@@ -1,20 +1,20 @@
 // A plain HTTP server for the stand-ins, written from the published protocol.
 import { createServer } from 'node:net';
-import type { Host } from './host.js';
+import type { SimulatedHost } from './simulation-runtime.js';
 import { parseAddress } from '../../config/platform.js';
 import { HttpParser, type HttpMessage } from '../../runtime/http/http-parser.js';
 import { decode, encode } from '../../wire/cbor.js';
 
-export interface Answer {
+export interface HttpResponse {
   status: number;
   body?: unknown;
 }
-export type Handler = (q: HttpMessage, body: unknown, from: string) => Promise<Answer | null>;
+export type RequestHandler = (q: HttpMessage, body: unknown, from: string) => Promise<HttpResponse | null>;
 
 const limits = { headerBytes: 8192, headerCount: 64, bodyBytes: 1 << 24 };
 
 /** Null: the request gets no answer. */
-export const serve = (host: Host, address: string, handle: Handler): void => {
+export const startHttpServer = (host: SimulatedHost, address: string, handle: RequestHandler): void => {
   host.run(() => {
     createServer((socket) => {
       const from = (socket as unknown as { other: string }).other;
--- a/src/test/sim/checker.ts
+++ b/src/test/sim/invariant-checker.ts
@@ -8,13 +8,13 @@
   index: number;
 }
 
-export class Checker {
-  readonly broken: string[] = [];
-  starts = 0;
+export class InvariantChecker {
+  readonly violations: string[] = [];
+  startCount = 0;
   /** Not a rule, but counted: starts after a user was told that the job is cancelled. */
-  startsAfterCancel = 0;
+  startsAfterCancellation = 0;
   /** The last task of a job has completed. */
-  onCompleted: (job: JobId) => void = () => undefined;
+  onJobCompleted: (job: JobId) => void = () => undefined;
   private readonly places = new Set<Place>();
   private readonly cancelledAt = new Map<JobId, number>();
   private readonly askedToCancel = new Set<JobId>();
@@ -34,8 +34,8 @@
   ) {}
 
   /** A task got its image: from here on it is on the machine. */
-  started(machine: MachineInfo, job: JobId, index: number): Place {
-    this.starts++;
+  onTaskStarted(machine: MachineInfo, job: JobId, index: number): Place {
+    this.startCount++;
     const spec = this.specs.get(job)!;
     const others = [...this.places].filter((p) => p.job === job);
     if (others.some((p) => p.index === index)) this.report('ran_twice', `${job}/${index} on ${machine.id}`);
@@ -48,7 +48,7 @@
       this.report('wrong_place', `${job} in two zones`);
     }
     for (const id of spec.dependsOn)
-      if (this.completedOf(id) < this.specs.get(id)!.tasks)
+      if (this.completedTaskCount(id) < this.specs.get(id)!.tasks)
         this.report('too_early', `${job}/${index} before ${id} was done`);
     const here = others.filter((p) => p.machine.zone === machine.zone).length + 1;
     if (spec.spread && here > Math.ceil(spec.tasks / 2)) this.report('wrong_place', `${job} not spread`);
@@ -59,37 +59,37 @@
     this.places.add(place);
     this.checkQuota(spec);
     const cancelled = this.cancelledAt.get(job);
-    if (cancelled !== undefined) this.startsAfterCancel++;
+    if (cancelled !== undefined) this.startsAfterCancellation++;
     if (cancelled !== undefined && this.now() - cancelled > this.cancelS * 1000) {
       this.report('ran_cancelled', `${job}/${index} started`);
     }
     return place;
   }
 
-  ended(place: Place | null): void {
+  onTaskEnded(place: Place | null): void {
     if (place) this.places.delete(place);
   }
 
-  taskCompleted(job: JobId, index: number): void {
+  onTaskCompleted(job: JobId, index: number): void {
     const set = this.completed.get(job) ?? new Set();
     set.add(index);
     this.completed.set(job, set);
-    if (set.size === this.specs.get(job)!.tasks) this.onCompleted(job);
+    if (set.size === this.specs.get(job)!.tasks) this.onJobCompleted(job);
   }
 
   /** A controller had a worker forget the completion of this task. */
-  completionAcknowledged(job: JobId, index: number): void {
+  onCompletionAcknowledged(job: JobId, index: number): void {
     const indexes = this.acknowledged.get(job) ?? new Set();
     indexes.add(index);
     this.acknowledged.set(job, indexes);
   }
 
-  toldCancelled(job: JobId): void {
+  onCancellationReported(job: JobId): void {
     if (!this.cancelledAt.has(job)) this.cancelledAt.set(job, this.now());
-    this.told(job, 'cancelled');
+    this.onStatusReported(job, 'cancelled');
   }
 
-  told(job: JobId, status: string): void {
+  onStatusReported(job: JobId, status: string): void {
     const before = this.toldFinal.get(job);
     if (before !== undefined && before !== status)
       this.report('went_back', `${job}: ${before}, then ${status}`);
@@ -105,34 +105,34 @@
     return [...this.places].filter((p) => p.job === job).map((p) => p.machine.id);
   }
 
-  forgotten(job: JobId, how: string): void {
+  reportForgottenJob(job: JobId, how: string): void {
     this.report('forgotten', `${job}: ${how}`);
   }
 
   /** A task waits for so long though a machine has room for it and its team is under its limit. */
-  leftWaiting(job: JobId, forMs: number): void {
+  reportJobLeftWaiting(job: JobId, forMs: number): void {
     this.report('left_waiting', `${job} for ${Math.round(forMs / 1000)} s`);
   }
 
-  completedOf(job: JobId): number {
+  completedTaskCount(job: JobId): number {
     return this.completed.get(job)?.size ?? 0;
   }
 
   /** Called cancelled, though its user never asked for it: right only for a job that depends on a cancelled one. */
-  cancelledUnasked(job: JobId): void {
+  onUnrequestedCancellation(job: JobId): void {
     if (!this.ancestors(job).some((id) => this.askedToCancel.has(id)))
       this.report('went_back', `${job}: cancelled unasked`);
-    this.told(job, 'cancelled');
+    this.onStatusReported(job, 'cancelled');
   }
 
   /** A user has asked to cancel the job; the answer may be lost. */
-  askedCancel(job: JobId): void {
+  onCancellationRequested(job: JobId): void {
     this.askedToCancel.add(job);
   }
 
   /** Called queued or running, in answer to a question asked then. */
-  toldUnfinished(job: JobId, askedAt: number): void {
-    this.told(job, 'unfinished');
+  onUnfinishedReported(job: JobId, askedAt: number): void {
+    this.onStatusReported(job, 'unfinished');
     const accepted = this.acceptedAt.get(job) ?? this.now();
     for (const id of this.ancestors(job)) {
       const at = this.cancelledAt.get(id);
@@ -153,7 +153,7 @@
     return [...found];
   }
 
-  accepted(job: JobId): void {
+  onJobAccepted(job: JobId): void {
     if (!this.acceptedAt.has(job)) this.acceptedAt.set(job, this.now());
   }
 
@@ -161,7 +161,7 @@
    * At the end of a day, over the jobs that their users let be: every one ran; at least half of the tasks of each
    * class and team were started; and each class's largest jobs began within four minutes.
    */
-  sumUp(): void {
+  checkAtEnd(): void {
     const groups = new Map<string, { tasks: number; started: number }>();
     const largest = new Map<string, number>();
     const cancelled = (id: JobId): boolean =>
@@ -192,7 +192,7 @@
   }
 
   /** To be called regularly: finds tasks of cancelled and of finished jobs that stay. */
-  sweep(): void {
+  checkPeriodically(): void {
     for (const p of this.places) {
       const doneAt = this.doneToldAt.get(p.job);
       if (doneAt !== undefined && this.now() - doneAt > this.cancelS * 1000)
@@ -219,6 +219,6 @@
   }
 
   private report(rule: string, what: string): void {
-    this.broken.push(`${rule} at ${(this.now() / 1000).toFixed(1)}: ${what}`);
+    this.violations.push(`${rule} at ${(this.now() / 1000).toFixed(1)}: ${what}`);
   }
 }
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -1,9 +1,9 @@
 // A leader's core and stand-in workers, driven step by step: the test says which message arrives when, and the checker
 // sees which rules the workers' tasks break.
-import { Checker } from './checker.js';
-import { VirtualClock } from './clock.js';
+import { InvariantChecker } from './invariant-checker.js';
+import { VirtualClock } from './virtual-clock.js';
 import { jobSpec, teams, types } from './fixtures.js';
-import { Worker, type WorldView } from './worker.js';
+import { SimulatedWorker, type WorkerEnvironment } from './simulated-worker.js';
 import { Leader, type Effect } from '../../core/leader/leader.js';
 import type { Command, JobSpec, Heartbeat } from '../../core/types.js';
 import type {
@@ -12,7 +12,7 @@
   MachineId,
   MonotonicTime,
   Term,
-  TypeName,
+  MachineTypeName,
   WallTime,
   Zone,
 } from '../../core/units.js';
@@ -26,8 +26,8 @@
 export type DirectCommands = Extract<Effect, { kind: 'send-direct-commands' }>;
 
 /** The answer to a worker's report, which the test delivers when it likes. */
-export interface ReportAnswer {
-  report: Heartbeat;
+export interface HeartbeatResponse {
+  heartbeat: Heartbeat;
   sentAt: number;
   commands: Command[];
 }
@@ -37,20 +37,20 @@
 
 export class LeaderHarness {
   readonly clock = new VirtualClock();
-  readonly checker: Checker;
-  readonly workers: Worker[];
+  readonly checker: InvariantChecker;
+  readonly workers: SimulatedWorker[];
   /** What the leader has logged, in order. */
-  readonly logged: { text: string; fields: Record<string, unknown> }[] = [];
+  readonly logEntries: { text: string; fields: Record<string, unknown> }[] = [];
   private readonly leader: Leader;
   private readonly specs = new Map<JobId, JobSpec>();
   private revision = 1;
 
   constructor(machines: number, runMs: number) {
-    this.checker = new Checker(this.specs, teams, times.cancelS, () => this.clock.now);
-    const view: WorldView = {
+    this.checker = new InvariantChecker(this.specs, teams, times.cancelS, () => this.clock.now);
+    const view: WorkerEnvironment = {
       clock: this.clock,
       checker: this.checker,
-      times,
+      timings: times,
       specs: this.specs,
       gangs: new Map(),
       capacity: (name) => types.find((type) => type.name === name)!,
@@ -59,8 +59,8 @@
     };
     this.workers = Array.from({ length: machines }, (_, i) => {
       const endpoint = `10.1.0.${i}:9000` as Endpoint;
-      const place = { type: 'large' as TypeName, zone: 'east' as Zone, spot: true };
-      return new Worker({ id: `host-${i}` as MachineId, endpoint, ...place }, view);
+      const place = { type: 'large' as MachineTypeName, zone: 'east' as Zone, spot: true };
+      return new SimulatedWorker({ id: `host-${i}` as MachineId, endpoint, ...place }, view);
     });
     this.leader = new Leader(
       { term: TERM, keyRevision: 1 },
@@ -93,7 +93,7 @@
   private enroll(): void {
     const listed = this.workers.map(({ info }) => ({ ...info, status: 'running' as const, ageS: 60 }));
     this.leader.onMachineList(listed, this.now);
-    for (let round = 0; round < 2; round++) for (const worker of this.workers) this.reportAndAnswer(worker);
+    for (let round = 0; round < 2; round++) for (const worker of this.workers) this.exchangeHeartbeat(worker);
     for (const effect of this.tick())
       if (effect.kind === 'write-registry-page') this.leader.onRegistryPageWritten(effect.page, true);
   }
@@ -109,64 +109,64 @@
 
   cancel(job: JobId): void {
     this.leader.applyCancellation(job, this.now);
-    this.checker.toldCancelled(job);
+    this.checker.onCancellationReported(job);
   }
 
   /** A user is told that the job is done. */
-  tellDone(job: JobId): void {
-    this.checker.told(job, 'done');
+  reportDoneToUser(job: JobId): void {
+    this.checker.onStatusReported(job, 'done');
   }
 
-  pass(ms: number): void {
+  advance(ms: number): void {
     this.clock.runUntil(this.clock.now + ms);
   }
 
   /** Some time goes by, and the leader acts; what it decides on is carried out but for commands to workers. */
   tick(): Effect[] {
-    this.pass(TICK_MS);
+    this.advance(TICK_MS);
     this.leader.tick(this.now, this.clock.now as WallTime);
     const effects = this.leader.takeEffects();
-    for (const effect of effects) if (effect.kind === 'log') this.logged.push(effect);
+    for (const effect of effects) if (effect.kind === 'log') this.logEntries.push(effect);
     return effects;
   }
 
   /** A tick that sends commands straight to this worker. */
-  tickWithCommands(worker: Worker): DirectCommands {
+  tickWithCommands(worker: SimulatedWorker): DirectCommands {
     const sent = this.tick().find((e) => e.kind === 'send-direct-commands' && e.machine === worker.info.id);
     if (sent?.kind !== 'send-direct-commands') throw new Error(`no direct command to ${worker.info.id}`);
     return sent;
   }
 
   /** A report arrives at the leader; its answer is not delivered yet. */
-  report(worker: Worker): ReportAnswer {
-    const report = worker.report();
-    return { report, sentAt: this.clock.now, commands: this.leader.onHeartbeat(report, this.now) };
+  sendHeartbeat(worker: SimulatedWorker): HeartbeatResponse {
+    const report = worker.nextHeartbeat();
+    return { heartbeat: report, sentAt: this.clock.now, commands: this.leader.onHeartbeat(report, this.now) };
   }
 
-  deliver(worker: Worker, { report, sentAt, commands }: ReportAnswer): void {
-    worker.answered(TERM, commands, sentAt, Number(report.incarnation));
+  deliverResponse(worker: SimulatedWorker, { heartbeat, sentAt, commands }: HeartbeatResponse): void {
+    worker.onHeartbeatResponse(TERM, commands, sentAt, Number(heartbeat.incarnation));
   }
 
-  reportAndAnswer(worker: Worker): ReportAnswer {
-    const answer = this.report(worker);
-    this.deliver(worker, answer);
+  exchangeHeartbeat(worker: SimulatedWorker): HeartbeatResponse {
+    const answer = this.sendHeartbeat(worker);
+    this.deliverResponse(worker, answer);
     return answer;
   }
 
   /** The worker executes the commands; the leader hears nothing of it. */
-  carryOut(worker: Worker, sent: DirectCommands): Heartbeat {
-    return worker.order(TERM, Number(sent.incarnation), sent.commands).report;
+  executeCommands(worker: SimulatedWorker, sent: DirectCommands): Heartbeat {
+    return worker.onDirectCommands(TERM, Number(sent.incarnation), sent.commands).report;
   }
 
-  answered(sent: DirectCommands, report: Heartbeat): void {
+  onCommandsExecuted(sent: DirectCommands, report: Heartbeat): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'executed', report }, this.now);
   }
 
-  unanswered(sent: DirectCommands): void {
+  onCommandsUnanswered(sent: DirectCommands): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unknown' }, this.now);
   }
 
-  neverSent(sent: DirectCommands): void {
+  onCommandsUnsent(sent: DirectCommands): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unsent' }, this.now);
   }
 
@@ -178,7 +178,7 @@
   }
 
   /** Whether the leader counts a task of the job as being, or possibly being, on a machine. */
-  knowsPlacement(job: JobId): boolean {
+  hasPlacement(job: JobId): boolean {
     return (this.leader.jobs.get(job)?.placements.size ?? 0) > 0;
   }
 }
--- a/src/test/sim/day.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -1,10 +1,10 @@
 // A day on virtual time: the real core between stand-ins for state service, cloud, workers and users.
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
-import { Checker } from './checker.js';
-import { VirtualClock } from './clock.js';
+import { InvariantChecker } from './invariant-checker.js';
+import { VirtualClock } from './virtual-clock.js';
 import { teams, types } from './fixtures.js';
-import { Worker, type WorldView } from './worker.js';
+import { SimulatedWorker, type WorkerEnvironment } from './simulated-worker.js';
 import { Leader, type Effect } from '../../core/leader/leader.js';
 import type { FinalState, JobRecord, JobSpec, MachineInfo } from '../../core/types.js';
 import type {
@@ -14,7 +14,7 @@
   SegmentName,
   MonotonicTime,
   Term,
-  TypeName,
+  MachineTypeName,
   WallTime,
   Zone,
 } from '../../core/units.js';
@@ -22,27 +22,27 @@
 const times = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
 const NETWORK_MS = 5;
 
-interface Rented {
-  worker: Worker;
+interface RunningMachine {
+  worker: SimulatedWorker;
   listedFrom: number;
   rentedAt: number;
 }
 
-export class Day {
+export class LeaderSimulation {
   readonly clock = new VirtualClock();
-  readonly checker: Checker;
+  readonly checker: InvariantChecker;
   readonly specs = new Map<JobId, JobSpec>();
-  readonly finals = new Map<JobId, FinalState>();
+  readonly finalStates = new Map<JobId, FinalState>();
   readonly trace: string[] = [];
-  readonly workers = new Map<MachineId, Rented>();
-  stateDown = false;
-  cloudDown = false;
-  loseOrders = 0;
+  readonly workers = new Map<MachineId, RunningMachine>();
+  keyValueStoreUnavailable = false;
+  cloudUnavailable = false;
+  commandLossFraction = 0;
   /** Machines looked at in the dearest cycle so far. */
-  longestCycle = 0;
-  holdOrders = false;
+  maxCycleWork = 0;
+  holdCommands = false;
   /** Share of reports, and of orders that were carried out, of which a copy arrives once more, much later. */
-  copies = 0;
+  duplicateFraction = 0;
   /** Machines that the cloud has of each type, if not without limit. */
   readonly capacity = new Map<string, number>();
   leader: Leader | null = null;
@@ -56,7 +56,7 @@
   private readonly rentals = new Map<string, MachineId[]>();
   private held: (() => void)[] = [];
   private readonly rng;
-  private readonly world: WorldView;
+  private readonly world: WorkerEnvironment;
 
   constructor(
     seed: number,
@@ -64,19 +64,19 @@
       new Leader(...a),
   ) {
     this.rng = xoroshiro128plus(seed);
-    this.checker = new Checker(this.specs, teams, times.cancelS, () => this.clock.now);
+    this.checker = new InvariantChecker(this.specs, teams, times.cancelS, () => this.clock.now);
     this.world = {
       clock: this.clock,
       checker: this.checker,
-      times,
+      timings: times,
       specs: this.specs,
       gangs: new Map(),
       capacity: (name) => types.find((t) => t.name === name)!,
       runMs: (job) => this.specs.get(job)!.estimateS * 1000 * (0.7 + 0.6 * this.random()),
       fetchMs: (_, job) => this.specs.get(job)!.imageGb * 1000,
     };
-    this.clock.every(1000, () => this.checker.sweep());
-    this.elect();
+    this.clock.every(1000, () => this.checker.checkPeriodically());
+    this.electLeader();
     this.clock.every(200, () => this.tick());
     this.clock.after(100, () => this.list());
     this.clock.every(4000, () => this.list());
@@ -86,30 +86,30 @@
     return uniformFloat64(this.rng);
   }
 
-  note(line: string): void {
+  addTraceLine(line: string): void {
     this.trace.push(`${(this.clock.now / 1000).toFixed(2).padStart(7)}  ${line}`);
   }
 
   // ---- users -----------------------------------------------------------------------------------------------
 
   submit(spec: JobSpec): void {
-    if (this.stateDown) {
+    if (this.keyValueStoreUnavailable) {
       this.clock.after(1000, () => this.submit(spec)); // answered 503: the user comes back
       return;
     }
     this.specs.set(spec.id, spec);
-    this.checker.accepted(spec.id);
+    this.checker.onJobAccepted(spec.id);
     const record: JobRecord = { spec, submittedAt: this.wall(), cancelledAt: null };
     this.put(spec.id, record);
-    this.note(`user submits ${spec.id} (${spec.kind}, ${spec.tasks} tasks, ${spec.priority})`);
+    this.addTraceLine(`user submits ${spec.id} (${spec.kind}, ${spec.tasks} tasks, ${spec.priority})`);
   }
 
   cancel(id: JobId): void {
     const known = this.records.get(id);
-    if (!known || this.stateDown) return;
+    if (!known || this.keyValueStoreUnavailable) return;
     this.put(id, { ...known.record, cancelledAt: this.wall() });
-    this.checker.toldCancelled(id);
-    this.note(`user cancels ${id}`);
+    this.checker.onCancellationReported(id);
+    this.addTraceLine(`user cancels ${id}`);
   }
 
   private put(id: JobId, record: JobRecord): void {
@@ -121,7 +121,7 @@
   /** An open watch waits through an outage and goes on afterwards. */
   private watchEvent(id: JobId, record: JobRecord, stamp: number): void {
     this.clock.after(NETWORK_MS, () => {
-      if (this.stateDown) this.clock.after(500, () => this.watchEvent(id, record, stamp));
+      if (this.keyValueStoreUnavailable) this.clock.after(500, () => this.watchEvent(id, record, stamp));
       else this.leader?.applyJobRecord(id, record, stamp, false, this.steady(), this.wall());
     });
   }
@@ -129,7 +129,7 @@
   // ---- controllers -----------------------------------------------------------------------------------------
 
   /** A new leader takes over from what the state service holds; the old one is gone without a word. */
-  elect(): void {
+  electLeader(): void {
     this.term++;
     this.leaderStamp = ++this.revision;
     const leader = this.make(
@@ -160,20 +160,20 @@
     }
     for (const p of this.progress.values()) leader.loadProgress(p.job, p.segment, p.bytes);
     this.leader = leader;
-    this.note(`leader of term ${this.term} begins`);
+    this.addTraceLine(`leader of term ${this.term} begins`);
   }
 
   crashLeader(backAfterMs: number): void {
     this.leader = null;
-    this.note('leader crashes');
-    this.clock.after(backAfterMs, () => this.elect());
+    this.addTraceLine('leader crashes');
+    this.clock.after(backAfterMs, () => this.electLeader());
   }
 
   private tick(): void {
     const leader = this.leader;
-    if (!leader || this.stateDown) return;
+    if (!leader || this.keyValueStoreUnavailable) return;
     leader.tick(this.steady(), this.wall());
-    this.longestCycle = Math.max(this.longestCycle, leader.lastCycleWork);
+    this.maxCycleWork = Math.max(this.maxCycleWork, leader.lastCycleWork);
     leader.takeEffects().forEach((e) => this.carryOut(leader, e));
   }
 
@@ -185,10 +185,11 @@
 
   private carryOut(leader: Leader, e: Effect): void {
     const now = (): MonotonicTime => this.steady();
-    const ok = !this.stateDown;
+    const ok = !this.keyValueStoreUnavailable;
     switch (e.kind) {
       case 'log':
-        if (e.level === 'info' && e.text !== 'fleet') this.note(`  ${e.text} ${JSON.stringify(e.fields)}`);
+        if (e.level === 'info' && e.text !== 'fleet')
+          this.addTraceLine(`  ${e.text} ${JSON.stringify(e.fields)}`);
         return;
       case 'write-registry-page':
         if (e.machines.length === 0) this.roster.delete(e.page);
@@ -203,13 +204,13 @@
         this.finish(leader, e);
         return;
       case 'read-final-record': {
-        const final = ok ? (this.finals.get(e.job) ?? null) : null;
+        const final = ok ? (this.finalStates.get(e.job) ?? null) : null;
         this.later(leader, NETWORK_MS, () => leader.onFinalRecordRead(e.job, final, now()));
         return;
       }
       case 'create-machines':
         this.later(leader, 100, () => {
-          if (this.cloudDown) leader.onScaleOutResult(e.request, 'retry', now());
+          if (this.cloudUnavailable) leader.onScaleOutResult(e.request, 'retry', now());
           else {
             const machines = this.rent(e.request, e.order);
             leader.onScaleOutResult(e.request, machines.length === 0 ? 'no-capacity' : { machines }, now());
@@ -217,8 +218,8 @@
         });
         return;
       case 'delete-machines': {
-        const down = this.cloudDown;
-        if (!down) for (const id of e.machines) this.takeAway(id);
+        const down = this.cloudUnavailable;
+        if (!down) for (const id of e.machines) this.removeMachine(id);
         this.later(leader, 100, () => leader.onDeletionResult(e.machines, !down, now()));
         return;
       }
@@ -241,9 +242,9 @@
       return;
     }
     this.records.delete(e.job);
-    this.finals.set(e.job, e.state);
-    this.checker.told(e.job, e.state);
-    this.note(`${e.job} is ${e.state}`);
+    this.finalStates.set(e.job, e.state);
+    this.checker.onStatusReported(e.job, e.state);
+    this.addTraceLine(`${e.job} is ${e.state}`);
     this.later(leader, NETWORK_MS, () =>
       leader.onFinalRecordWritten(e.job, { kind: 'ok', state: e.state }, this.steady()),
     );
@@ -252,32 +253,37 @@
   private order(leader: Leader, e: Extract<Effect, { kind: 'send-direct-commands' }>): void {
     const worker = this.workers.get(e.machine)?.worker;
     const term = leader.leadership.term;
-    for (const c of e.commands) this.note(`order to ${e.machine}: ${c.op} ${c.job}/${c.index}`);
+    for (const c of e.commands) this.addTraceLine(`order to ${e.machine}: ${c.op} ${c.job}/${c.index}`);
     const arrive = (): void => {
       if (!worker?.alive) return;
-      const run = (): ReturnType<Worker['order']> => worker.order(term, Number(e.incarnation), e.commands);
+      const run = (): ReturnType<SimulatedWorker['onDirectCommands']> =>
+        worker.onDirectCommands(term, Number(e.incarnation), e.commands);
       const r = run();
-      if (this.copies > 0 && this.random() < this.copies)
-        this.lateCopy(() => worker.alive && !worker.cut && run());
+      if (this.duplicateFraction > 0 && this.random() < this.duplicateFraction)
+        this.lateCopy(() => worker.alive && !worker.unreachable && run());
       const kind = r.executed ? 'executed' : 'refused';
       this.later(leader, NETWORK_MS, () => {
         leader.onDirectCommandResult(e.machine, e.commands, { kind, report: r.report }, this.steady());
       });
     };
     const silent =
-      !worker?.alive || worker.cut || worker.deaf || this.holdOrders || this.random() < this.loseOrders;
+      !worker?.alive ||
+      worker.unreachable ||
+      worker.inboundPartitioned ||
+      this.holdCommands ||
+      this.random() < this.commandLossFraction;
     if (!silent) {
       this.clock.after(NETWORK_MS, arrive);
       return;
     }
-    if (worker?.deaf) {
+    if (worker?.inboundPartitioned) {
       this.later(leader, 2500, () => {
         leader.onDirectCommandResult(e.machine, e.commands, { kind: 'unknown' }, this.steady());
       });
       return;
     }
     // Held back by the network: given up here, and perhaps delivered minutes later.
-    this.held.push(() => worker?.alive && worker.order(term, Number(e.incarnation), e.commands));
+    this.held.push(() => worker?.alive && worker.onDirectCommands(term, Number(e.incarnation), e.commands));
     this.later(leader, 2500, () => {
       leader.onDirectCommandResult(e.machine, e.commands, { kind: 'unknown' }, this.steady());
     });
@@ -289,10 +295,10 @@
   }
 
   /** The network delivers what it held back. */
-  releaseHeld(): void {
+  deliverHeldCommands(): void {
     const held = this.held;
     this.held = [];
-    this.note(`${held.length} held orders arrive`);
+    this.addTraceLine(`${held.length} held orders arrive`);
     for (const run of held) run();
   }
 
@@ -300,7 +306,7 @@
 
   private rent(
     request: string,
-    order: { type: TypeName; zone: Zone; spot: boolean; count: number },
+    order: { type: MachineTypeName; zone: Zone; spot: boolean; count: number },
   ): MachineId[] {
     const known = this.rentals.get(request);
     if (known) return known;
@@ -316,7 +322,7 @@
       this.clock.after(20_000 * (0.6 + 0.9 * this.random()), () => this.boot(info));
     }
     this.rentals.set(request, ids);
-    this.note(`rents ${order.count} ${order.type} in ${order.zone}${order.spot ? ' (spot)' : ''}`);
+    this.addTraceLine(`rents ${order.count} ${order.type} in ${order.zone}${order.spot ? ' (spot)' : ''}`);
     return ids;
   }
 
@@ -324,7 +330,7 @@
 
   private boot(info: MachineInfo): void {
     if (this.returned.has(info.id)) return;
-    const worker = new Worker(info, this.world);
+    const worker = new SimulatedWorker(info, this.world);
     this.workers.set(info.id, { worker, listedFrom: this.clock.now + 4000, rentedAt: this.clock.now });
     const round = (): void => {
       if (!worker.alive) return;
@@ -334,32 +340,33 @@
     round();
   }
 
-  private reportFrom(worker: Worker): void {
-    const report = worker.report();
+  private reportFrom(worker: SimulatedWorker): void {
+    const report = worker.nextHeartbeat();
     const sentAt = this.clock.now;
-    if (worker.cut) return;
-    if (this.copies > 0 && this.random() < this.copies)
+    if (worker.unreachable) return;
+    if (this.duplicateFraction > 0 && this.random() < this.duplicateFraction)
       this.lateCopy(() => this.leader?.onHeartbeat(report, this.steady()));
     this.clock.after(NETWORK_MS, () => {
       const leader = this.leader;
       if (!leader) {
         // Another controller keeps the worker alive under the last token, without commands.
         this.clock.after(NETWORK_MS, () =>
-          worker.answered(this.term, [], sentAt, Number(report.incarnation)),
+          worker.onHeartbeatResponse(this.term, [], sentAt, Number(report.incarnation)),
         );
         return;
       }
       const term = leader.leadership.term;
       let commands: ReturnType<Leader['onHeartbeat']> = [];
-      if (this.stateDown) leader.onHeartbeatWithoutAuthority(report, this.steady());
+      if (this.keyValueStoreUnavailable) leader.onHeartbeatWithoutAuthority(report, this.steady());
       else commands = leader.onHeartbeat(report, this.steady());
       this.clock.after(NETWORK_MS, () => {
-        if (!worker.cut) worker.answered(term, commands, sentAt, Number(report.incarnation));
+        if (!worker.unreachable)
+          worker.onHeartbeatResponse(term, commands, sentAt, Number(report.incarnation));
       });
     });
   }
 
-  takeAway(id: MachineId): void {
+  removeMachine(id: MachineId): void {
     const worker = this.workers.get(id)?.worker;
     const left = worker ? this.capacity.get(worker.info.type) : undefined;
     if (worker && left !== undefined) this.capacity.set(worker.info.type, left + 1);
@@ -369,7 +376,7 @@
   }
 
   private list(): void {
-    if (!this.leader || this.cloudDown) return;
+    if (!this.leader || this.cloudUnavailable) return;
     const listed = [...this.workers.values()]
       .filter((r) => r.listedFrom <= this.clock.now)
       .map((r) => ({
--- a/src/test/sim/production.ts
+++ b/src/test/sim/production-version.ts
@@ -4,13 +4,13 @@
 import { join } from 'node:path';
 import { fileURLToPath, pathToFileURL } from 'node:url';
 import { parse } from 'smol-toml';
-import type { PlatformSettings } from '../../config/platform.js';
+import type { Address, PlatformSettings } from '../../config/platform.js';
 
 const ROOT = fileURLToPath(new URL('../../..', import.meta.url));
 const BUILDS = join(ROOT, 'target', 'production');
 
 /** A version of the program: what starts one of its controllers, and how it reads its settings. */
-export interface Version {
+export interface ProgramVersion {
   startController: (platform: PlatformSettings, operator: unknown) => void;
   /** A job's record as that version reads it and would write it again. */
   parseJobRecord: (raw: unknown) => unknown;
@@ -63,29 +63,54 @@
   return built;
 };
 
-/** The settings under the names that the version in production uses. */
-const productionSettings = (settings: PlatformSettings): unknown => {
-  const { cloudProvider, cloudProviderLimits, keyValueStore, keyValueStoreLimits, workers, ...same } =
-    settings;
-  const { heartbeatIntervalS, ...times } = workers;
+/** The settings as the version in production names them; in full, so that a rename can't leave one out. */
+interface ProductionSettings {
+  name: string;
+  zone: string;
+  publicAddr: Address;
+  internalAddr: Address;
+  peers: { name: string; zone: string; address: Address }[];
+  cloud: Address;
+  state: Address;
+  zones: string[];
+  clockErrorMs: number;
+  teams: { name: string; cpus: number; cpusMax: number; gpus: number; gpusMax: number }[];
+  objectives: { kind: string; class?: string; within_s?: number; share?: number; times?: number }[];
+  workers: { reportS: number; leaseS: number; gangWaitS: number; gangPeerS: number; cancelS: number };
+  stateLimits: { rps: number; writeRps: number; valueKb: number; txnOps: number };
+  cloudLimits: { rps: number; listLagS: number };
+  limits: { cpu: number; memoryMb: number; sockets: number };
+}
+
+const productionSettings = (settings: PlatformSettings): ProductionSettings => {
+  const { leaseS, gangWaitS, gangPeerS, cancelS } = settings.workers;
   return {
-    ...same,
-    cloud: cloudProvider,
-    cloudLimits: cloudProviderLimits,
-    state: keyValueStore,
-    stateLimits: keyValueStoreLimits,
-    workers: { reportS: heartbeatIntervalS, ...times },
+    name: settings.name,
+    zone: settings.zone,
+    publicAddr: settings.publicAddress,
+    internalAddr: settings.internalAddress,
+    peers: settings.peers,
+    cloud: settings.cloudProvider,
+    state: settings.keyValueStore,
+    zones: settings.zones,
+    clockErrorMs: settings.clockErrorMs,
+    teams: settings.teams,
+    objectives: settings.objectives,
+    workers: { reportS: settings.workers.heartbeatIntervalS, leaseS, gangWaitS, gangPeerS, cancelS },
+    stateLimits: settings.keyValueStoreLimits,
+    cloudLimits: settings.cloudProviderLimits,
+    limits: settings.limits,
   };
 };
 
 /** Imports the version that `deploy/service.toml` names. */
-export const loadProduction = async (): Promise<Version> => {
+export const loadProductionVersion = async (): Promise<ProgramVersion> => {
   const out = join(build(productionCommit()), 'out');
   const load = async (file: string): Promise<Record<string, unknown>> =>
     (await import(pathToFileURL(join(out, file)).href)) as Record<string, unknown>;
   const { Controller } = await load('runtime/controller.js');
   const { checkOperator } = await load('config/operator.js');
-  const records = (await load('wire/state.js')) as unknown as Pick<Version, RecordParser>;
+  const records = (await load('wire/state.js')) as unknown as Pick<ProgramVersion, RecordParser>;
   const { parsePeerRequest } = await load('wire/peer-messages.js');
   const Constructor = Controller as new (settings: unknown, operator: unknown) => { start: () => void };
   return {
@@ -101,6 +126,6 @@
     parseRosterPage: records.parseRosterPage,
     parseProgress: records.parseProgress,
     parseStoredTypes: records.parseStoredTypes,
-    parsePeerRequest: parsePeerRequest as Version['parsePeerRequest'],
+    parsePeerRequest: parsePeerRequest as ProgramVersion['parsePeerRequest'],
   };
 };
--- a/src/test/sim/meeting.ts
+++ b/src/test/sim/scenario.ts
@@ -2,7 +2,7 @@
 // time without troubles.
 import assert from 'node:assert/strict';
 import { jobSpec, types } from './fixtures.js';
-import { ServiceSim, type Setup } from './service.js';
+import { ClusterSimulation, type ClusterSetup } from './cluster-simulation.js';
 import type { JobSpec, TeamQuota } from '../../core/types.js';
 import type { JobId, Team } from '../../core/units.js';
 
@@ -14,8 +14,8 @@
   { name: 'blue' as Team, cpus: 0, cpusMax: 0, gpus: 4, gpusMax: 8 },
 ];
 
-export interface Meeting {
-  sim: ServiceSim;
+export interface Scenario {
+  cluster: ClusterSimulation;
   /** Submits a job; runMs: how long each of its tasks runs. */
   submit: (over?: Partial<JobSpec>, runMs?: number) => JobId;
   /** Submits a job as soon as those that it depends on are accepted; its id is known at once. */
@@ -24,38 +24,38 @@
 }
 
 /** Jobs that run for long: arrays, gangs and a service. */
-export const mixedWork = (m: Meeting): JobId[] => [
+export const submitMixedWork = (m: Scenario): JobId[] => [
   ...[1, 2, 3, 4].map((tasks) => m.submit({ tasks })),
   m.submit({ kind: 'gang', tasks: 2, team: 'blue' as Team }),
   m.submit({ kind: 'gang', tasks: 3, oneZone: true, team: 'blue' as Team, priority: 'high' }),
   m.submit({ kind: 'service', tasks: 2, spread: true, estimateS: 0, priority: 'production' }),
 ];
 
-interface Options {
+interface ScenarioOptions {
   seeds?: number[];
-  over?: Partial<Setup>;
+  setup?: Partial<ClusterSetup>;
   /** When all troubles are over, and when the day ends. */
-  quietMs: number;
+  faultsEndMs: number;
   endMs: number;
 }
 
 /** One day: what broke, and the jobs that never ended though nobody called them off. */
-export const playDay = async (
+export const runScenario = async (
   seed: number,
-  { over = {}, quietMs, endMs }: Options,
-  script: (m: Meeting) => void,
-): Promise<{ sim: ServiceSim; broken: string[]; unfinished: string[] }> => {
+  { setup = {}, faultsEndMs, endMs }: ScenarioOptions,
+  script: (m: Scenario) => void,
+): Promise<{ sim: ClusterSimulation; broken: string[]; unfinished: string[] }> => {
   const durations = new Map<JobId, number>();
-  const sim = new ServiceSim({
+  const sim = new ClusterSimulation({
     seed,
     zones: ['east', 'west'],
     controllers: ['east', 'west', 'east'],
     teams,
     types,
     capacity: 40,
-    up: { type: 'small', perZone: 8 },
+    initialMachines: { type: 'small', perZone: 8 },
     runMs: (job) => durations.get(job)!,
-    ...over,
+    ...setup,
   });
   let jobs = 0;
   const prepare = (spec: Partial<JobSpec>, runMs: number): JobSpec => {
@@ -79,81 +79,85 @@
     return spec.id;
   };
   try {
-    script({ sim, submit, submitAfter, random: sim.random });
-    await sim.run(quietMs);
-    await sim.settle(endMs);
-    sim.checker.sumUp();
+    script({ cluster: sim, submit, submitAfter, random: sim.random });
+    await sim.run(faultsEndMs);
+    await sim.runUntilSettled(endMs);
+    sim.checker.checkAtEnd();
     const unfinished = [...sim.users]
       .filter(([, u]) => u.accepted && u.spec.kind !== 'service')
       .filter(([, u]) => u.status !== 'done' && u.status !== 'cancelled')
       .map(([id, u]) => `${id} ${u.status}`);
-    return { sim, broken: sim.checker.broken, unfinished };
+    return { sim, broken: sim.checker.violations, unfinished };
   } finally {
-    sim.end();
+    sim.dispose();
   }
 };
 
 /** Plays the meeting with several seeds; no rule may break, and every job that is not cancelled must have ended. */
-export const playMeeting = async (options: Options, script: (m: Meeting) => void): Promise<void> => {
+export const assertScenarioPasses = async (
+  options: ScenarioOptions,
+  script: (m: Scenario) => void,
+): Promise<void> => {
   for (const seed of options.seeds ?? [1, 2, 3]) {
-    const { sim, broken, unfinished } = await playDay(seed, options, script);
+    const { sim, broken, unfinished } = await runScenario(seed, options, script);
     const found = { seed, broken: broken.slice(0, 5), unfinished };
     assert.deepEqual(found, { seed, broken: [], unfinished: [] }, sim.notes.join('; '));
-    assert.ok(sim.checker.starts > 0);
+    assert.ok(sim.checker.startCount > 0);
   }
 };
 
-const START = 10_000;
+const WORK_STARTS_AT_MS = 10_000;
 /** When the meetings below happen. */
-export const MEETING = 60_000;
+export const FAULTS_AT_MS = 60_000;
 /** Longer than cancel_s of the stand-ins, which is 40 s. */
-export const LONG_OUTAGE = 57_000;
+export const LONG_OUTAGE_MS = 57_000;
 
-export const begin = (m: Meeting): JobId[] => {
+export const startMixedWork = (m: Scenario): JobId[] => {
   const jobs: JobId[] = [];
-  m.sim.at(START, () => jobs.push(...mixedWork(m)));
+  m.cluster.at(WORK_STARTS_AT_MS, () => jobs.push(...submitMixedWork(m)));
   return jobs;
 };
 
 /** Jobs are cancelled as the leader alone is refused, their machines hang, and a second later the service is out. */
-export const cancelledAsMachinesHang =
-  (then: (m: Meeting) => void = () => undefined) =>
-  (m: Meeting): void => {
-    const jobs = begin(m);
-    m.sim.at(MEETING, () => {
-      m.sim.refuseLeader(14_000);
+export const cancelWhileMachinesHang =
+  (then: (m: Scenario) => void = () => undefined) =>
+  (m: Scenario): void => {
+    const jobs = startMixedWork(m);
+    m.cluster.at(FAULTS_AT_MS, () => {
+      m.cluster.refuseLeader(14_000);
       for (const id of jobs.slice(0, 3)) {
-        for (const w of m.sim.machinesOf(id)) w.hang(60_000);
-        m.sim.cancel(id);
+        for (const w of m.cluster.machinesOf(id)) w.hang(60_000);
+        m.cluster.cancel(id);
       }
     });
-    m.sim.at(MEETING + 1000, () => m.sim.state.outage(LONG_OUTAGE));
+    m.cluster.at(FAULTS_AT_MS + 1000, () => m.cluster.keyValueStore.startOutage(LONG_OUTAGE_MS));
     then(m);
   };
 
 /** A team at its limit, a change of leader, machines that can't be asked, a cancellation. */
-export const cancelledAtTheLimit = (m: Meeting): void => {
+export const cancelAtTeamLimit = (m: Scenario): void => {
   const jobs: JobId[] = [];
   const blue = { team: 'blue' as Team };
-  m.sim.at(START, () => {
+  m.cluster.at(WORK_STARTS_AT_MS, () => {
     for (let i = 0; i < 2; i++) jobs.push(m.submit({ ...blue, tasks: 4 }, 90_000));
   });
-  m.sim.at(MEETING, () => {
+  m.cluster.at(FAULTS_AT_MS, () => {
     // With so many silent at once the leader waits before it fences them.
-    for (const w of m.sim.machinesOf(jobs[0])) w.hang(25_000);
-    for (const w of [...m.sim.workers.values()].slice(0, 4)) w.hang(25_000);
-    m.sim.restart(m.sim.leader!, 5000);
-    m.sim.cancel(jobs[0]);
+    for (const w of m.cluster.machinesOf(jobs[0])) w.hang(25_000);
+    for (const w of [...m.cluster.workers.values()].slice(0, 4)) w.hang(25_000);
+    m.cluster.restart(m.cluster.leader!, 5000);
+    m.cluster.cancel(jobs[0]);
   });
-  m.sim.at(MEETING + 5000, () => m.submit({ ...blue, tasks: 6 }, 30_000));
+  m.cluster.at(FAULTS_AT_MS + 5000, () => m.submit({ ...blue, tasks: 6 }, 30_000));
 };
 
 /** The leader alone is refused, and that much later everybody, for longer than cancel_s; jobs are cancelled meanwhile. */
-export const refusedThenOutage =
+export const leaderRefusedThenOutage =
   (gapMs: number) =>
-  (m: Meeting): void => {
-    const jobs = begin(m);
-    m.sim.at(MEETING, () => m.sim.refuseLeader(14_000));
-    for (const atMs of [0, 200, 900]) m.sim.at(MEETING + atMs, () => m.sim.cancel(jobs[atMs % 7]));
-    m.sim.at(MEETING + gapMs, () => m.sim.state.outage(LONG_OUTAGE));
+  (m: Scenario): void => {
+    const jobs = startMixedWork(m);
+    m.cluster.at(FAULTS_AT_MS, () => m.cluster.refuseLeader(14_000));
+    for (const atMs of [0, 200, 900])
+      m.cluster.at(FAULTS_AT_MS + atMs, () => m.cluster.cancel(jobs[atMs % 7]));
+    m.cluster.at(FAULTS_AT_MS + gapMs, () => m.cluster.keyValueStore.startOutage(LONG_OUTAGE_MS));
   };
--- a/src/test/sim/cycle.ts
+++ b/src/test/sim/scheduling-cycle-fixtures.ts
@@ -4,8 +4,8 @@
 import { Machine } from '../../core/machine.js';
 import { addResources } from '../../core/resources.js';
 import { Job, newPlacement, type Placement } from '../../core/job.js';
-import { runCycle, type CycleResult } from '../../core/scheduler/scheduling-cycle.js';
-import { markGuaranteed } from '../../core/scheduler/guarantees.js';
+import { runSchedulingCycle, type CycleResult } from '../../core/scheduler/scheduling-cycle.js';
+import { markWithinGuarantee } from '../../core/scheduler/guarantees.js';
 import type { Resources, JobSpec, TeamQuota } from '../../core/types.js';
 import type {
   Attempt,
@@ -14,18 +14,18 @@
   MachineId,
   MonotonicTime,
   Team,
-  TypeName,
+  MachineTypeName,
   WallTime,
   Zone,
 } from '../../core/units.js';
 
 export const now = 100_000 as MonotonicTime;
 
-export const machine = (id: string, type: string, zone: string, spot = false): Machine => {
+export const makeMachine = (id: string, type: string, zone: string, spot = false): Machine => {
   const info = {
     id: id as MachineId,
     endpoint: '1.1.1.1:1' as Endpoint,
-    type: type as TypeName,
+    type: type as MachineTypeName,
     zone: zone as Zone,
     spot,
   };
@@ -38,48 +38,52 @@
   return m;
 };
 
-export const job = (id: string, over: Partial<JobSpec> = {}): Job => {
+export const makeJob = (id: string, over: Partial<JobSpec> = {}): Job => {
   const spec = jobSpec(id, over);
   return new Job(spec.id, { spec, submittedAt: 0 as WallTime, cancelledAt: null }, 1, false, now);
 };
 
-export const put = (m: Machine, j: Job, index: number): Placement => {
+export const placeRunningTask = (m: Machine, j: Job, index: number): Placement => {
   const p = newPlacement(index, m.id, (index + 1) as Attempt, now);
   p.observed = p.running = true;
   p.runningSince = now;
-  j.place(p);
+  j.addPlacement(p);
   m.assign(j, p);
   return p;
 };
 
-export const cycle = (machines: Machine[], jobs: Job[], teams: TeamQuota[] = dayTeams): CycleResult => {
+export const runTestCycle = (
+  machines: Machine[],
+  jobs: Job[],
+  teams: TeamQuota[] = dayTeams,
+): CycleResult => {
   const teamLimits = new Map(teams.map((t) => [t.name, t]));
   const byId = new Map(jobs.map((j) => [j.id, j]));
   for (const m of machines) for (const { job: j } of m.placements.values()) byId.set(j.id, j);
-  markGuaranteed(byId.values(), teamLimits);
+  markWithinGuarantee(byId.values(), teamLimits);
   const usage = new Map<Team, Resources>();
   for (const j of byId.values()) {
     const used = usage.get(j.spec.team) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
     addResources(used, j.spec, j.placements.size);
     usage.set(j.spec.team, used);
   }
-  return runCycle({
+  return runSchedulingCycle({
     machines: new Map(machines.map((m) => [m.id, m])),
     queue: jobs.filter((j) => j.pendingCount > 0),
     jobs: byId.values(),
-    specOf: (id: JobId) => byId.get(id)?.spec ?? null,
+    resourcesOf: (id: JobId) => byId.get(id)?.spec ?? null,
     usage,
-    teams: teamLimits,
+    quotas: teamLimits,
     now,
-    wall: 0 as WallTime,
-    silentMs: 5000,
-    maxTasks: 40,
-    maxWork: 200_000,
+    wallTime: 0 as WallTime,
+    unreachableAfterMs: 5000,
+    maxTasksPerJob: 40,
+    maxMachineEvaluations: 200_000,
     typePenalty: () => 0,
   });
 };
 
-export const show = (r: CycleResult): string[] => [
+export const describeDecisions = (r: CycleResult): string[] => [
   ...r.placed.map((p) => `${p.job.id}/${p.index} -> ${p.machine.id}`),
   ...r.victims.map((v) => `stop ${v.job.id}/${v.placement.index}`),
   ...r.unplaced.map((u) => `${u.job.id} waits for ${u.tasks}`),
--- a/src/test/sim/cloud-service.ts
+++ b/src/test/sim/simulated-cloud-provider.ts
@@ -1,51 +1,57 @@
 // Stand-in for the cloud: rents machines, lists them late, takes them back; an outage.
-import type { Host } from './host.js';
-import { serve, type Answer } from './serve.js';
+import type { SimulatedHost } from './simulation-runtime.js';
+import { startHttpServer, type HttpResponse } from './http-server.js';
 import type { MachineInfo, MachineType } from '../../core/types.js';
-import type { Endpoint, MachineId, TypeName, Zone } from '../../core/units.js';
+import type { Endpoint, MachineId, MachineTypeName, Zone } from '../../core/units.js';
 
-export interface Rented {
+export interface CloudMachine {
   info: MachineInfo;
   rentedAt: number;
   up: boolean;
 }
 
 const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
-const trouble: Answer = { status: 503, body: { error: 'trouble' } };
+const trouble: HttpResponse = { status: 503, body: { error: 'trouble' } };
 
-export class CloudService {
-  readonly machines = new Map<MachineId, Rented>();
+export class SimulatedCloudProvider {
+  readonly machines = new Map<MachineId, CloudMachine>();
   /** Machines rented through requests. */
-  rented = 0;
+  scaledOutCount = 0;
   private readonly hires = new Map<string, MachineId[]>();
   private count = 0;
-  down = false;
+  unavailable = false;
   /** Every answer takes this much longer. */
-  answerDelayMs = 0;
+  responseDelayMs = 0;
   /** Who was given back, and when. */
-  readonly returned = new Map<MachineId, number>();
+  readonly deletedAt = new Map<MachineId, number>();
 
   constructor(
-    private readonly host: Host,
+    private readonly host: SimulatedHost,
     address: string,
     private readonly types: MachineType[],
     private readonly capacity: number,
     private readonly lagMs: number,
     private readonly events: { up: (m: MachineInfo) => void; gone: (id: MachineId) => void },
   ) {
-    serve(host, address, async (q, body) => {
-      if (this.answerDelayMs > 0) await sleep(this.answerDelayMs);
-      return this.down ? trouble : this.answer(q.target, body);
+    startHttpServer(host, address, async (q, body) => {
+      if (this.responseDelayMs > 0) await sleep(this.responseDelayMs);
+      return this.unavailable ? trouble : this.answer(q.target, body);
     });
   }
 
-  add(type: TypeName, zone: Zone, spot: boolean, bootMs: number, rentedAt = this.now): MachineId {
+  addMachine(
+    type: MachineTypeName,
+    zone: Zone,
+    spot: boolean,
+    bootMs: number,
+    rentedAt = this.now,
+  ): MachineId {
     const n = ++this.count;
     const id = `host-${String(n).padStart(6, '0')}` as MachineId;
     const endpoint = `10.1.${n >> 8}.${n & 255}:9000` as Endpoint;
     const rented = { info: { id, endpoint, type, zone, spot }, rentedAt, up: false };
     this.machines.set(id, rented);
-    this.host.world.clock.after(bootMs, () => {
+    this.host.runtime.clock.after(bootMs, () => {
       if (!this.machines.has(id)) return;
       rented.up = true;
       this.events.up(rented.info);
@@ -54,10 +60,10 @@
   }
 
   private get now(): number {
-    return this.host.world.clock.now;
+    return this.host.runtime.clock.now;
   }
 
-  private answer(target: string, body: unknown): Answer {
+  private answer(target: string, body: unknown): HttpResponse {
     const path = target.split('?')[0];
     if (path === '/machine_types') {
       const breeds = this.types.map((t) => ({
@@ -78,7 +84,7 @@
       const { stalls } = body as { stalls: MachineId[] };
       for (const id of stalls) {
         if (!this.machines.delete(id)) continue;
-        this.returned.set(id, this.now);
+        this.deletedAt.set(id, this.now);
         this.events.gone(id);
       }
       return { status: 200 };
@@ -98,15 +104,21 @@
     return { status: 200, body: { stalls, more: false } };
   }
 
-  private rent(body: unknown): Answer {
-    const q = body as { hire: string; breed: TypeName; pasture: Zone; loaners: boolean; number: number };
+  private rent(body: unknown): HttpResponse {
+    const q = body as {
+      hire: string;
+      breed: MachineTypeName;
+      pasture: Zone;
+      loaners: boolean;
+      number: number;
+    };
     const known = this.hires.get(q.hire);
     if (known) return { status: 200, body: { stalls: known } };
     const bootMs = (this.types.find((t) => t.name === q.breed)?.bootS ?? 30) * 1000;
     const room = Math.min(q.number, this.capacity - this.machines.size);
     if (room <= 0) return { status: 503, body: { error: 'no capacity' } };
-    const stalls = Array.from({ length: room }, () => this.add(q.breed, q.pasture, q.loaners, bootMs));
-    this.rented += room;
+    const stalls = Array.from({ length: room }, () => this.addMachine(q.breed, q.pasture, q.loaners, bootMs));
+    this.scaledOutCount += room;
     this.hires.set(q.hire, stalls);
     return { status: 200, body: { stalls } };
   }
--- a/src/test/sim/key-value-store.ts
+++ b/src/test/sim/simulated-key-value-store.ts
@@ -1,6 +1,6 @@
 // Stand-in for the state service: transactions, leases, watches; outages, refusals of one host, late transactions.
-import type { Host } from './host.js';
-import { serve, type Answer } from './serve.js';
+import type { SimulatedHost } from './simulation-runtime.js';
+import { startHttpServer, type HttpResponse } from './http-server.js';
 import type { KeyValueStoreLimits } from '../../config/platform.js';
 import { TokenBucket } from '../../runtime/key-value-store/token-bucket.js';
 
@@ -21,9 +21,9 @@
 
 const SWEEP_MS = 50;
 const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
-const trouble: Answer = { status: 503, body: { error: 'trouble' } };
+const trouble: HttpResponse = { status: 503, body: { error: 'trouble' } };
 
-export class StateService {
+export class SimulatedKeyValueStore {
   readonly items = new Map<string, Item>();
   private readonly leases = new Map<number, Lease>();
   private readonly log: (
@@ -36,62 +36,62 @@
   private lateShare = 0;
   private lostAnswerShare = 0;
   /** Every answer takes this much longer. */
-  answerDelayMs = 0;
+  responseDelayMs = 0;
   private watchers: (() => void)[] = [];
   /** What it takes; null: anything. */
   limits: KeyValueStoreLimits | null = null;
   /** Transactions that were refused for their size. */
-  tooLarge = 0;
+  rejectedForSize = 0;
   /** Transactions that were refused since there were too many. */
-  tooMany = 0;
+  rejectedForRate = 0;
   private readonly writes = new TokenBucket(Infinity, Infinity, 0);
   /** Transactions without an answer that were carried out late. */
-  late = 0;
+  lateTransactions = 0;
 
   constructor(
-    private readonly host: Host,
+    private readonly host: SimulatedHost,
     address: string,
     private readonly random: () => number,
   ) {
-    serve(host, address, async (q, body, from) => {
+    startHttpServer(host, address, async (q, body, from) => {
       const out = (): boolean => this.down || this.refused.has(from);
-      if (this.answerDelayMs > 0) await sleep(this.answerDelayMs);
+      if (this.responseDelayMs > 0) await sleep(this.responseDelayMs);
       if (out()) return trouble;
       return this.answer(q.method, q.target, body, out);
     });
     host.run(() => setInterval(() => this.sweep(), SWEEP_MS));
   }
 
-  outage(forMs: number): void {
+  startOutage(forMs: number): void {
     this.down = true;
-    this.host.world.clock.after(forMs, () => {
+    this.host.runtime.clock.after(forMs, () => {
       this.down = false;
       for (const l of this.leases.values()) l.endsAt = this.now + l.ttlMs;
       this.wake();
     });
   }
 
-  refuse(ip: string, forMs: number): void {
+  refuseHost(ip: string, forMs: number): void {
     this.refused.add(ip);
-    this.host.world.clock.after(forMs, () => {
+    this.host.runtime.clock.after(forMs, () => {
       this.refused.delete(ip);
       this.wake();
     });
   }
 
-  lateWrites(share: number, forMs: number): void {
+  delayTransactions(share: number, forMs: number): void {
     this.lateShare = share;
-    this.host.world.clock.after(forMs, () => (this.lateShare = 0));
+    this.host.runtime.clock.after(forMs, () => (this.lateShare = 0));
   }
 
   /** That share of the transactions is carried out at once, and only the answer is lost. */
-  loseAnswers(share: number, forMs: number): void {
+  loseResponses(share: number, forMs: number): void {
     this.lostAnswerShare = share;
-    this.host.world.clock.after(forMs, () => (this.lostAnswerShare = 0));
+    this.host.runtime.clock.after(forMs, () => (this.lostAnswerShare = 0));
   }
 
   private get now(): number {
-    return this.host.world.clock.now;
+    return this.host.runtime.clock.now;
   }
 
   private wake(): void {
@@ -121,22 +121,22 @@
     this.wake();
   }
 
-  private refusal(t: Multi): Answer | null {
+  private refusal(t: Multi): HttpResponse | null {
     if (!this.limits) return null;
     const { writeRps, valueKb, txnOps } = this.limits;
     const fits = (c: Change): boolean =>
       !('put' in c) || Buffer.byteLength(JSON.stringify(c.data)) <= valueKb * 1024;
     if (t.then.length > txnOps || t.if.length > 4 * txnOps || !t.then.every(fits)) {
-      this.tooLarge++;
+      this.rejectedForSize++;
       return { status: 400, body: { error: 'too large' } };
     }
     this.writes.setRate(writeRps, writeRps, this.now);
     if (this.writes.take(t.then.length, this.now)) return null;
-    this.tooMany++;
+    this.rejectedForRate++;
     return { status: 429 };
   }
 
-  private transact(t: Multi): Answer {
+  private transact(t: Multi): HttpResponse {
     const refusal = this.refusal(t);
     if (refusal) return refusal;
     const failed = t.if
@@ -156,13 +156,13 @@
     target: string,
     body: unknown,
     out: () => boolean,
-  ): Promise<Answer | null> {
+  ): Promise<HttpResponse | null> {
     const [path = '', search = ''] = target.split('?');
     const query = new URLSearchParams(search);
     if (path === '/multi') {
       if (this.random() < this.lateShare) {
-        this.late++;
-        this.host.world.clock.after(2000 + this.random() * 10_000, () => this.transact(body as Multi));
+        this.lateTransactions++;
+        this.host.runtime.clock.after(2000 + this.random() * 10_000, () => this.transact(body as Multi));
         return null;
       }
       const answer = this.transact(body as Multi);
@@ -192,7 +192,7 @@
     return { status: 200, body: { key: path.slice('/store/'.length), ...item } };
   }
 
-  private list(under: string, query: URLSearchParams): Answer {
+  private list(under: string, query: URLSearchParams): HttpResponse {
     const since = query.get('since') ?? '';
     const most = Number(query.get('most') ?? 1000);
     const all = [...this.items]
@@ -203,7 +203,7 @@
   }
 
   /** An open watch stays open through an outage, and through a refusal of its host. */
-  private async changes(query: URLSearchParams, out: () => boolean): Promise<Answer> {
+  private async changes(query: URLSearchParams, out: () => boolean): Promise<HttpResponse> {
     const under = query.get('under') ?? '';
     const since = Number(query.get('since'));
     const until = this.now + Number(query.get('blockMs') ?? 0);
--- a/src/test/sim/network.ts
+++ b/src/test/sim/simulated-network.ts
@@ -2,22 +2,22 @@
 // later in order, connections are refused, or those that are open are reset.
 import { EventEmitter } from 'node:events';
 import type { Socket } from 'node:net';
-import type { Host, World } from './host.js';
+import type { SimulatedHost, SimulationRuntime } from './simulation-runtime.js';
 
-export type Trouble = 'hold' | 'refuse' | 'lose';
+export type LinkFault = 'hold' | 'refuse' | 'lose';
 const LATENCY_MS = 1;
 
-class End extends EventEmitter {
+class SimulatedSocket extends EventEmitter {
   destroyed = false;
   connected = false;
-  peer: End | null = null;
+  peer: SimulatedSocket | null = null;
   private paused = false;
   private readonly unread: Buffer[] = [];
   private unsent: Buffer[] = [];
 
   constructor(
-    private readonly network: Network,
-    readonly host: Host,
+    private readonly network: SimulatedNetwork,
+    readonly host: SimulatedHost,
     /** Where the other end is. */
     readonly other: string,
   ) {
@@ -45,7 +45,7 @@
     return this;
   }
 
-  established(peer: End): void {
+  established(peer: SimulatedSocket): void {
     this.connected = true;
     this.peer = peer;
     for (const b of this.unsent.splice(0)) this.write(b);
@@ -76,7 +76,7 @@
 
   resume(): this {
     this.paused = false;
-    if (this.unread.length > 0) this.network.world.clock.after(0, () => this.flush());
+    if (this.unread.length > 0) this.network.runtime.clock.after(0, () => this.flush());
     return this;
   }
 
@@ -109,32 +109,32 @@
   private gone(): void {
     if (this.destroyed) return;
     this.destroyed = true;
-    this.network.world.clock.after(0, () => this.host.run(() => this.emit('close')));
+    this.network.runtime.clock.after(0, () => this.host.run(() => this.emit('close')));
   }
 }
 
-export class Network {
-  private readonly listeners = new Map<string, { host: Host; accept: (s: Socket) => void }>();
-  private readonly troubles = new Map<string, Trouble>();
+export class SimulatedNetwork {
+  private readonly listeners = new Map<string, { host: SimulatedHost; accept: (s: Socket) => void }>();
+  private readonly troubles = new Map<string, LinkFault>();
   private readonly held = new Map<string, (() => void)[]>();
   private readonly slowLinks = new Map<string, number>();
   /** When the last packet on its way from one host to another arrives: packets never overtake one another. */
   private readonly lastArrival = new Map<string, number>();
 
-  constructor(readonly world: World) {}
+  constructor(readonly runtime: SimulationRuntime) {}
 
   private key(a: string, b: string): string {
     return a < b ? `${a}|${b}` : `${b}|${a}`;
   }
 
   /** Each of these from each of those; packets that are held come when the trouble ends. */
-  cut(these: string[], those: string[], trouble: Trouble, forMs: number): void {
+  cut(these: string[], those: string[], trouble: LinkFault, forMs: number): void {
     const pairs = these.flatMap((a) => those.filter((b) => b !== a).map((b) => this.key(a, b)));
     for (const pair of pairs) this.troubles.set(pair, trouble);
-    this.world.clock.after(forMs, () => {
+    this.runtime.clock.after(forMs, () => {
       for (const pair of pairs) {
         this.troubles.delete(pair);
-        for (const f of this.held.get(pair)?.splice(0) ?? []) this.world.clock.after(LATENCY_MS, f);
+        for (const f of this.held.get(pair)?.splice(0) ?? []) this.runtime.clock.after(LATENCY_MS, f);
       }
     });
   }
@@ -143,13 +143,13 @@
   slow(these: string[], those: string[], latencyMs: () => number, forMs: number): void {
     const pairs = these.flatMap((a) => those.filter((b) => b !== a).map((b) => this.key(a, b)));
     for (const pair of pairs) this.slowLinks.set(pair, latencyMs());
-    this.world.clock.after(forMs, () => {
+    this.runtime.clock.after(forMs, () => {
       for (const pair of pairs) this.slowLinks.delete(pair);
     });
   }
 
   private schedule(from: string, to: string, f: () => void): void {
-    const { clock } = this.world;
+    const { clock } = this.runtime;
     const latencyMs = this.slowLinks.get(this.key(from, to)) ?? LATENCY_MS;
     const direction = `${from}>${to}`;
     const arrival = Math.max(clock.now + latencyMs, this.lastArrival.get(direction) ?? 0);
@@ -167,8 +167,8 @@
     } else if (trouble !== 'lose') this.schedule(from, to, f);
   }
 
-  connect(host: Host, { host: ip, port }: { host: string; port: number }): Socket {
-    const here = new End(this, host, ip);
+  connect(host: SimulatedHost, { host: ip, port }: { host: string; port: number }): Socket {
+    const here = new SimulatedSocket(this, host, ip);
     const attempt = (): void => {
       if (here.destroyed) return;
       const trouble = this.troubles.get(this.key(host.ip, ip));
@@ -178,7 +178,7 @@
       }
       // Behind a cut the attempt is repeated until it is given up.
       if (trouble !== undefined) {
-        this.world.clock.after(500, attempt);
+        this.runtime.clock.after(500, attempt);
         return;
       }
       const listener = this.listeners.get(`${ip}:${port}`);
@@ -186,7 +186,7 @@
         here.failed('ECONNREFUSED');
         return;
       }
-      const there = new End(this, listener.host, host.ip);
+      const there = new SimulatedSocket(this, listener.host, host.ip);
       there.established(here);
       here.established(there);
       listener.host.run(() => listener.accept(there as unknown as Socket));
@@ -196,7 +196,7 @@
     return here as unknown as Socket;
   }
 
-  createServer(host: Host, accept: (s: Socket) => void) {
+  createServer(host: SimulatedHost, accept: (s: Socket) => void) {
     const server = {
       on: () => server,
       listen: (o: { host: string; port: number }) => {
--- a/src/test/sim/worker.ts
+++ b/src/test/sim/simulated-worker.ts
@@ -1,6 +1,6 @@
 // Stand-in for a worker, written from the published protocol.
-import type { Checker } from './checker.js';
-import type { VirtualClock } from './clock.js';
+import type { InvariantChecker } from './invariant-checker.js';
+import type { VirtualClock } from './virtual-clock.js';
 import type {
   Command,
   ExitCause,
@@ -12,75 +12,75 @@
 } from '../../core/types.js';
 import type { Attempt, JobId } from '../../core/units.js';
 
-export interface Held {
+export interface WorkerTask {
   job: JobId;
   index: number;
   attempt: Attempt;
   state: TaskState;
   cause: ExitCause | null;
   saved: boolean;
-  place: ReturnType<Checker['started']> | null;
-  gang: Gang | null;
+  place: ReturnType<InvariantChecker['onTaskStarted']> | null;
+  gang: GangAttempt | null;
 }
 
 /** The tasks of a gang's attempt find one another by its number. */
-export interface Gang {
-  members: Set<Held>;
+export interface GangAttempt {
+  members: Set<WorkerTask>;
   started: boolean;
 }
 
-export interface WorldView {
+export interface WorkerEnvironment {
   clock: VirtualClock;
-  checker: Checker;
-  times: WorkerTimings;
+  checker: InvariantChecker;
+  timings: WorkerTimings;
   specs: Map<JobId, JobSpec>;
-  gangs: Map<string, Gang>;
+  gangs: Map<string, GangAttempt>;
   capacity: (type: string) => { cpus: number; gpus: number; memoryGb: number };
   runMs: (job: JobId) => number;
   fetchMs: (machine: MachineInfo, job: JobId) => number;
 }
 
-export class Worker {
-  session = 1;
-  private seq = 0;
-  token = 0;
+export class SimulatedWorker {
+  incarnation = 1;
+  private sequence = 0;
+  fencingToken = 0;
   alive = true;
   /** A machine that can't be reached keeps working; one that hangs doesn't. */
-  cut = false;
-  noticeS: number | null = null;
-  faulty = false;
+  unreachable = false;
+  interruptionNoticeS: number | null = null;
+  failsTasks = false;
   /** Its reports arrive, but answers and commands don't reach it. */
-  deaf = false;
+  inboundPartitioned = false;
   /** Executes nothing, its tasks included, until it goes on. */
   hung = false;
-  private readonly tasks = new Map<string, Held>();
+  private readonly tasks = new Map<string, WorkerTask>();
   private leaseFrom: number;
 
   constructor(
     readonly info: MachineInfo,
-    private readonly world: WorldView,
+    private readonly environment: WorkerEnvironment,
   ) {
-    this.leaseFrom = world.clock.now;
+    this.leaseFrom = environment.clock.now;
   }
 
-  get reportMs(): number {
-    return this.world.times.heartbeatIntervalS * 1000;
+  get heartbeatIntervalMs(): number {
+    return this.environment.timings.heartbeatIntervalS * 1000;
   }
 
   /** Changes whenever a report would tell something new. */
-  describe(): string {
+  describeState(): string {
     const tasks = [...this.tasks].map(([key, t]) => `${key} ${t.state}`);
-    return `${this.session} ${this.token} ${this.noticeS !== null} ${tasks.join(',')}`;
+    return `${this.incarnation} ${this.fencingToken} ${this.interruptionNoticeS !== null} ${tasks.join(',')}`;
   }
 
-  report(): Heartbeat {
+  nextHeartbeat(): Heartbeat {
     this.checkLease();
     return {
       ...this.info,
-      incarnation: this.session,
-      sequence: ++this.seq,
-      fencingToken: this.token,
-      interruptionNoticeS: this.noticeS,
+      incarnation: this.incarnation,
+      sequence: ++this.sequence,
+      fencingToken: this.fencingToken,
+      interruptionNoticeS: this.interruptionNoticeS,
       tasks: [...this.tasks.values()].map(({ job, index, attempt, state, cause, saved }) => {
         return { job, index, attempt, state, cause, saved };
       }),
@@ -88,29 +88,38 @@
   }
 
   /** The answer to a report sent at `sentAt`. */
-  answered(token: number, commands: Command[], sentAt: number, session: number): void {
+  onHeartbeatResponse(token: number, commands: Command[], sentAt: number, session: number): void {
     this.checkLease();
-    if (!this.alive || this.deaf || session !== this.session || token < this.token) return;
-    this.token = token;
+    if (!this.alive || this.inboundPartitioned || session !== this.incarnation || token < this.fencingToken)
+      return;
+    this.fencingToken = token;
     this.leaseFrom = Math.max(this.leaseFrom, sentAt);
     this.execute(commands);
   }
 
-  order(token: number, session: number, commands: Command[]): { executed: boolean; report: Heartbeat } {
+  onDirectCommands(
+    token: number,
+    session: number,
+    commands: Command[],
+  ): { executed: boolean; report: Heartbeat } {
     this.checkLease();
-    const executed = token >= this.token && session === this.session;
+    const executed = token >= this.fencingToken && session === this.incarnation;
     if (executed) {
-      this.token = token;
+      this.fencingToken = token;
       this.execute(commands);
     }
-    return { executed, report: this.report() };
+    return { executed, report: this.nextHeartbeat() };
   }
 
   checkLease(): void {
-    if (!this.alive || this.hung || this.world.clock.now - this.leaseFrom <= this.world.times.leaseS * 1000)
+    if (
+      !this.alive ||
+      this.hung ||
+      this.environment.clock.now - this.leaseFrom <= this.environment.timings.leaseS * 1000
+    )
       return;
-    this.session++;
-    this.leaseFrom = this.world.clock.now;
+    this.incarnation++;
+    this.leaseFrom = this.environment.clock.now;
     this.dropAll();
   }
 
@@ -121,7 +130,7 @@
 
   private dropAll(): void {
     for (const t of this.tasks.values()) {
-      this.world.checker.ended(t.place);
+      this.environment.checker.onTaskEnded(t.place);
       t.place = null;
       this.leaveGang(t);
     }
@@ -142,14 +151,14 @@
     }
   }
 
-  private forget(key: string, { job, index, cause }: Held): void {
+  private forget(key: string, { job, index, cause }: WorkerTask): void {
     this.tasks.delete(key);
-    if (cause === 'done') this.world.checker.completionAcknowledged(job, index);
+    if (cause === 'done') this.environment.checker.onCompletionAcknowledged(job, index);
   }
 
   private start(job: JobId, index: number, attempt: Attempt, key: string): void {
-    const spec = this.world.specs.get(job);
-    const held: Held = {
+    const spec = this.environment.specs.get(job);
+    const held: WorkerTask = {
       job,
       index,
       attempt,
@@ -175,70 +184,70 @@
       refuse('in_use');
       return;
     }
-    if (!this.hasRoom(spec, held)) {
+    if (!this.hasCapacity(spec, held)) {
       refuse('no_room');
       return;
     }
-    this.world.clock.after(this.world.fetchMs(this.info, job), () => {
+    this.environment.clock.after(this.environment.fetchMs(this.info, job), () => {
       if (this.tasks.get(key) !== held || held.state !== 'fetching') return;
-      held.place = this.world.checker.started(this.info, job, index);
-      if (spec.kind === 'gang' && !this.faulty) {
+      held.place = this.environment.checker.onTaskStarted(this.info, job, index);
+      if (spec.kind === 'gang' && !this.failsTasks) {
         this.joinGang(held, spec);
         return;
       }
       held.state = 'running';
       if (spec.kind === 'service') return;
-      const ms = this.faulty ? 500 : this.world.runMs(job);
-      this.world.clock.after(ms, () => this.complete(key, held));
+      const ms = this.failsTasks ? 500 : this.environment.runMs(job);
+      this.environment.clock.after(ms, () => this.complete(key, held));
     });
   }
 
-  private joinGang(held: Held, spec: JobSpec): void {
+  private joinGang(held: WorkerTask, spec: JobSpec): void {
     const key = `${held.job}#${held.attempt}`;
-    const gang = this.world.gangs.get(key) ?? { members: new Set<Held>(), started: false };
-    this.world.gangs.set(key, gang);
+    const gang = this.environment.gangs.get(key) ?? { members: new Set<WorkerTask>(), started: false };
+    this.environment.gangs.set(key, gang);
     held.state = 'waiting';
     held.gang = gang;
     gang.members.add(held);
-    this.world.clock.after(this.world.times.gangWaitS * 1000, () => {
+    this.environment.clock.after(this.environment.timings.gangWaitS * 1000, () => {
       if (held.state === 'waiting') this.exit(held, 'incomplete');
     });
     if (gang.members.size < spec.tasks) return;
     gang.started = true;
     for (const m of gang.members) m.state = 'running';
-    this.world.clock.after(this.world.runMs(held.job), () => this.completeGang(gang, spec));
+    this.environment.clock.after(this.environment.runMs(held.job), () => this.completeGang(gang, spec));
   }
 
-  private completeGang(gang: Gang, spec: JobSpec): void {
+  private completeGang(gang: GangAttempt, spec: JobSpec): void {
     const whole = gang.members.size === spec.tasks && [...gang.members].every((m) => m.state === 'running');
     if (!whole) return;
-    for (const m of gang.members) this.world.checker.taskCompleted(m.job, m.index);
+    for (const m of gang.members) this.environment.checker.onTaskCompleted(m.job, m.index);
     for (const m of [...gang.members]) this.exit(m, 'done');
   }
 
   /** Out of its gang: of a running one, the others notice within gang_peer_s and exit. */
-  private leaveGang(held: Held): void {
+  private leaveGang(held: WorkerTask): void {
     const gang = held.gang;
     held.gang = null;
     if (!gang?.members.delete(held) || !gang.started) return;
-    this.world.clock.after(this.world.times.gangPeerS * 1000, () => {
+    this.environment.clock.after(this.environment.timings.gangPeerS * 1000, () => {
       for (const m of [...gang.members]) if (m.state === 'running') this.exit(m, 'peers');
     });
   }
 
-  private complete(key: string, held: Held): void {
+  private complete(key: string, held: WorkerTask): void {
     if (this.hung) {
-      this.world.clock.after(1000, () => this.complete(key, held));
+      this.environment.clock.after(1000, () => this.complete(key, held));
       return;
     }
     this.checkLease();
     if (this.tasks.get(key) !== held || held.state !== 'running') return;
-    if (!this.faulty) this.world.checker.taskCompleted(held.job, held.index);
-    this.exit(held, this.faulty ? 'error' : 'done');
+    if (!this.failsTasks) this.environment.checker.onTaskCompleted(held.job, held.index);
+    this.exit(held, this.failsTasks ? 'error' : 'done');
   }
 
-  private stop(held: Held, graceS: number): void {
-    const spec = this.world.specs.get(held.job);
+  private stop(held: WorkerTask, graceS: number): void {
+    const spec = this.environment.specs.get(held.job);
     if (held.state === 'exited') return;
     const saves = held.state === 'running' && spec && spec.checkpointS > 0 && graceS >= spec.saveS;
     if (!saves) {
@@ -246,31 +255,31 @@
       return;
     }
     held.state = 'saving';
-    this.world.clock.after(spec.saveS * 1000, () => {
+    this.environment.clock.after(spec.saveS * 1000, () => {
       if (held.state !== 'saving') return;
       held.saved = true;
       this.exit(held, 'stopped');
     });
   }
 
-  private exit(held: Held, cause: ExitCause): void {
+  private exit(held: WorkerTask, cause: ExitCause): void {
     held.state = 'exited';
     held.cause = cause;
     this.leaveGang(held);
-    this.world.checker.ended(held.place);
+    this.environment.checker.onTaskEnded(held.place);
     held.place = null;
   }
 
   /** How many tasks of the job it holds, in whatever state but exited. */
-  holds(job: JobId): number {
+  activeTaskCount(job: JobId): number {
     return [...this.tasks.values()].filter((t) => t.job === job && t.state !== 'exited').length;
   }
 
-  hasRoom(spec: JobSpec, self: Held | null = null): boolean {
-    const free = { ...this.world.capacity(this.info.type) };
+  hasCapacity(spec: JobSpec, self: WorkerTask | null = null): boolean {
+    const free = { ...this.environment.capacity(this.info.type) };
     for (const t of this.tasks.values()) {
       if (t === self || t.state === 'exited') continue;
-      const other = this.world.specs.get(t.job);
+      const other = this.environment.specs.get(t.job);
       free.cpus -= other?.cpus ?? 0;
       free.gpus -= other?.gpus ?? 0;
       free.memoryGb -= other?.memoryGb ?? 0;
--- a/src/test/sim/host.ts
+++ b/src/test/sim/simulation-runtime.ts
@@ -3,8 +3,8 @@
 import { AsyncLocalStorage } from 'node:async_hooks';
 import net from 'node:net';
 import { syncBuiltinESMExports } from 'node:module';
-import { VirtualClock } from './clock.js';
-import type { Network } from './network.js';
+import { VirtualClock } from './virtual-clock.js';
+import type { SimulatedNetwork } from './simulated-network.js';
 
 const EPOCH = 1_700_000_000_000;
 /** Controllers seed their random numbers with it: the same day must give the same verdict in each test process. */
@@ -15,25 +15,25 @@
 const drain = setImmediate;
 
 /** One run of a process (or a stand-in) at an address. */
-export class Host {
+export class SimulatedHost {
   alive = true;
   private frozen = false;
   private deferred: (() => void)[] = [];
   onKilled: (() => void)[] = [];
 
   constructor(
-    readonly world: World,
+    readonly runtime: SimulationRuntime,
     readonly ip: string,
     /** Steady clocks of different processes have nothing in common. */
-    readonly steadyOffset: number,
+    readonly monotonicOffsetMs: number,
     /** The time of day is off by this. */
-    readonly wallOffset: number,
+    readonly wallClockOffsetMs: number,
   ) {}
 
   run(f: () => void): void {
     if (!this.alive) return;
     if (this.frozen) this.deferred.push(f);
-    else this.world.als.run(this, f);
+    else this.runtime.currentHost.run(this, f);
   }
 
   kill(): void {
@@ -45,7 +45,7 @@
   /** Stands still while its clocks run on. */
   freeze(ms: number): void {
     this.frozen = true;
-    this.world.clock.after(ms, () => {
+    this.runtime.clock.after(ms, () => {
       this.frozen = false;
       for (const f of this.deferred.splice(0)) this.run(f);
     });
@@ -58,17 +58,17 @@
   ref: () => Timer;
 }
 
-export class World {
+export class SimulationRuntime {
   readonly clock = new VirtualClock();
-  readonly als = new AsyncLocalStorage<Host>();
+  readonly currentHost = new AsyncLocalStorage<SimulatedHost>();
   private hosts = 0;
 
-  host(ip: string, wallOffset = 0): Host {
-    return new Host(this, ip, 1000 + 7919 * ++this.hosts, wallOffset);
+  createHost(ip: string, wallOffset = 0): SimulatedHost {
+    return new SimulatedHost(this, ip, 1000 + 7919 * ++this.hosts, wallOffset);
   }
 
   /** Replaces what Node offers a process; returns what puts it back. */
-  install(network: Network): () => void {
+  replaceNodeGlobals(network: SimulatedNetwork): () => void {
     const { setTimeout, clearTimeout, setInterval, clearInterval } = globalThis;
     const { connect, createServer } = net;
     const perfNow = performance.now.bind(performance);
@@ -80,7 +80,7 @@
       return t;
     };
     const after = (ms: number, t: Timer, f: () => void): void => {
-      const host = this.als.getStore();
+      const host = this.currentHost.getStore();
       this.clock.after(Number.isFinite(ms) ? ms : 0, () => {
         if (t.cancelled) return;
         if (host) host.run(() => (t.cancelled ? undefined : f()));
@@ -110,15 +110,15 @@
       },
     };
     Object.assign(globalThis, fakes);
-    performance.now = () => this.clock.now + (this.als.getStore()?.steadyOffset ?? 0);
-    Date.now = () => EPOCH + this.clock.now + (this.als.getStore()?.wallOffset ?? 0);
+    performance.now = () => this.clock.now + (this.currentHost.getStore()?.monotonicOffsetMs ?? 0);
+    Date.now = () => EPOCH + this.clock.now + (this.currentHost.getStore()?.wallClockOffsetMs ?? 0);
     Object.assign(net, {
-      connect: (o: { host: string; port: number }) => network.connect(this.als.getStore()!, o),
-      createServer: (f: (s: net.Socket) => void) => network.createServer(this.als.getStore()!, f),
+      connect: (o: { host: string; port: number }) => network.connect(this.currentHost.getStore()!, o),
+      createServer: (f: (s: net.Socket) => void) => network.createServer(this.currentHost.getStore()!, f),
     });
     syncBuiltinESMExports();
     return () => {
-      this.als.disable();
+      this.currentHost.disable();
       Object.assign(globalThis, { setTimeout, clearTimeout, setInterval, clearInterval });
       performance.now = perfNow;
       Date.now = dateNow;
--- a/src/test/sim/worker-host.ts
+++ b/src/test/sim/worker-host.ts
@@ -1,7 +1,7 @@
 // A machine on the simulated network: its worker reports to the controllers and takes direct commands.
-import type { Host } from './host.js';
-import { serve } from './serve.js';
-import { Worker, type WorldView } from './worker.js';
+import type { SimulatedHost } from './simulation-runtime.js';
+import { startHttpServer } from './http-server.js';
+import { SimulatedWorker, type WorkerEnvironment } from './simulated-worker.js';
 import { parseAddress } from '../../config/platform.js';
 import type { Command, MachineInfo, Heartbeat } from '../../core/types.js';
 import type { Attempt, JobId } from '../../core/units.js';
@@ -53,13 +53,13 @@
 });
 
 export class WorkerHost {
-  readonly worker: Worker;
+  readonly worker: SimulatedWorker;
   /** Its reports reach no controller, while direct commands reach it. */
-  mute = false;
+  heartbeatsDropped = false;
   /** Given copies of its reports, which arrive again late. */
-  copy: ((body: Buffer) => void) | null = null;
+  onHeartbeatSent: ((body: Buffer) => void) | null = null;
   /** That share of direct commands gets no answer and is carried out once, much later. */
-  lateCommands = { share: 0, until: 0 };
+  delayedCommands = { fraction: 0, until: 0 };
   private readonly clients = new Map<string, HttpClient>();
   private at: number;
   private open = false;
@@ -68,21 +68,21 @@
   private readonly held: (() => void)[] = [];
 
   constructor(
-    readonly host: Host,
+    readonly host: SimulatedHost,
     readonly info: MachineInfo,
-    view: WorldView,
+    view: WorkerEnvironment,
     private readonly controllers: { name: string; address: string }[],
     private readonly random: () => number,
   ) {
-    this.worker = new Worker(info, view);
+    this.worker = new SimulatedWorker(info, view);
     this.at = Math.floor(random() * controllers.length);
-    serve(host, info.endpoint, async (_q, body) => {
+    startHttpServer(host, info.endpoint, async (_q, body) => {
       if (this.worker.hung) await new Promise<void>((r) => this.held.push(r));
-      if (this.worker.deaf) return null;
+      if (this.worker.inboundPartitioned) return null;
       const o = body as { reins: number; shift: number; calls: Call[] };
-      const carryOut = () => this.worker.order(o.reins, o.shift, o.calls.map(commandOf));
-      if (this.now < this.lateCommands.until && this.random() < this.lateCommands.share) {
-        this.host.world.clock.after(2000 + this.random() * 14_000, () =>
+      const carryOut = () => this.worker.onDirectCommands(o.reins, o.shift, o.calls.map(commandOf));
+      if (this.now < this.delayedCommands.until && this.random() < this.delayedCommands.fraction) {
+        this.host.runtime.clock.after(2000 + this.random() * 14_000, () =>
           this.host.run(() => void carryOut()),
         );
         return null;
@@ -95,46 +95,46 @@
 
   hang(forMs: number): void {
     this.worker.hung = true;
-    this.host.world.clock.after(forMs, () => {
+    this.host.runtime.clock.after(forMs, () => {
       this.worker.hung = false;
       for (const go of this.held.splice(0)) this.host.run(go);
     });
   }
 
-  end(): void {
+  terminate(): void {
     this.worker.kill();
     this.host.kill();
   }
 
   private get now(): number {
-    return this.host.world.clock.now;
+    return this.host.runtime.clock.now;
   }
 
   private look(): void {
     if (this.worker.hung || this.open) return;
     this.worker.checkLease();
-    const tasks = this.worker.describe();
+    const tasks = this.worker.describeState();
     if (this.now < this.nextAt && tasks === this.lastTasks) return;
     this.lastTasks = tasks;
-    this.nextAt = this.now + this.worker.reportMs * (0.75 + 0.5 * this.random());
+    this.nextAt = this.now + this.worker.heartbeatIntervalMs * (0.75 + 0.5 * this.random());
     void this.report();
   }
 
   private async report(): Promise<void> {
     this.open = true;
     const sentAt = this.now;
-    const { session } = this.worker;
-    const body = encode(reportBody(this.worker.report()));
-    this.copy?.(body);
+    const { incarnation } = this.worker;
+    const body = encode(reportBody(this.worker.nextHeartbeat()));
+    this.onHeartbeatSent?.(body);
     const to = this.controllers[this.at];
     const client = this.clients.get(to.name) ?? new HttpClient(parseAddress(to.address), 1, 60_000);
     this.clients.set(to.name, client);
-    const r = this.mute
+    const r = this.heartbeatsDropped
       ? ({ ok: false } as const)
       : await client.request('POST', '/checkin', body, ANSWER_LIMIT_MS);
     if (this.worker.hung) await new Promise<void>((go) => this.held.push(go));
     this.open = false;
-    if (this.worker.deaf) {
+    if (this.worker.inboundPartitioned) {
       await new Promise((go) => setTimeout(go, ANSWER_LIMIT_MS));
       this.next(null);
       return;
@@ -145,7 +145,12 @@
     }
     const answer = decode(r.body) as { reins?: number; calls?: Call[]; foreman?: string };
     if (r.status === 200 && this.now - sentAt <= ANSWER_LIMIT_MS)
-      this.worker.answered(Number(answer.reins), (answer.calls ?? []).map(commandOf), sentAt, session);
+      this.worker.onHeartbeatResponse(
+        Number(answer.reins),
+        (answer.calls ?? []).map(commandOf),
+        sentAt,
+        incarnation,
+      );
     else if (r.status !== 200) this.next(r.status === 421 ? (answer.foreman ?? null) : null);
   }
 
--- a/src/test/sockets.test.ts
+++ b/src/test/socket-limits.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { createServer, type AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import { httpConnections } from '../runtime/http/http-server.js';
+import { httpConnectionHandler } from '../runtime/http/http-server.js';
 import { ImageLocationStore } from '../runtime/peers/image-locations.js';
 import { Logger } from '../runtime/logger.js';
 import { socketBudget } from '../runtime/http/socket-budget.js';
@@ -13,22 +13,22 @@
   for (const limit of [300, 900, 924, 1890, 10_000]) {
     for (const peers of [0, 2, 4, 8]) {
       const b = socketBudget(limit, peers);
-      assert.ok(b.public > b.orders && b.orders >= 4 && b.backlog >= 4);
+      assert.ok(b.public > b.directCommands && b.directCommands >= 4 && b.backlog >= 4);
       assert.ok(
-        b.public + b.backlog + b.orders + 16 + 4 * peers + 40 <= limit,
+        b.public + b.backlog + b.directCommands + 16 + 4 * peers + 40 <= limit,
         `${limit} with ${peers} peers`,
       );
     }
   }
 });
 
-test('orders to more workers than connections: the longest unused is closed, none is sent when all are busy', async (t) => {
+test('direct commands to more workers than connections: the longest unused is closed, none is sent when all are busy', async (t) => {
   // Found on the bench: a leader that kept a connection to each worker had none left to renew its lease on.
   const open: ((r: { status: number }) => void)[] = [];
   const log = new Logger('test', 'error');
   const limits = { connections: 100, idleMs: 5000, bodyBytes: 100 };
   const server = createServer(
-    httpConnections(limits, log, (q, reply) => {
+    httpConnectionHandler(limits, log, (q, reply) => {
       if (q.target === '/hold') open.push(reply);
       else reply({ status: 200 });
     }),
@@ -45,7 +45,7 @@
   for (let n = 1; n <= 8; n++) {
     const r = await calls.request(to(n), '/orders', body, 5000);
     assert.ok(r.ok && r.status === 200);
-    assert.ok(calls.size <= 3);
+    assert.ok(calls.connectionCount <= 3);
   }
   const held = [1, 2, 3].map((n) => calls.request(to(n), '/hold', body, 5000));
   while (open.length < 3) await new Promise((r) => setImmediate(r));
@@ -55,18 +55,18 @@
   assert.ok((await Promise.all(held)).every((h) => h.ok));
 });
 
-test('image hints of 930 machines go in pages that fit a frame, and machines that are gone are dropped', () => {
+test('image locations of 930 machines go in pages that fit a frame, and deleted machines are dropped', () => {
   const images = Array.from({ length: 12 }, (_, i): [string, number] => [`img-${i}`, 6.25]);
   const all = Object.fromEntries(Array.from({ length: 930 }, (_, i) => [`host-${100000 + i}`, images]));
   const leader = new ImageLocationStore();
   const peer = new ImageLocationStore();
   for (let i = 0; i < 10; i++) {
-    const page = leader.page(all);
+    const page = leader.nextPage(all);
     assert.ok(encode(page).length < 64 * 1024);
     peer.merge(page, i * 1000);
   }
   assert.deepEqual(peer.all(), all);
   const one = { 'host-100000': images };
-  peer.merge(leader.page(one), 100_000);
+  peer.merge(leader.nextPage(one), 100_000);
   assert.deepEqual(peer.all(), one);
 });
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -3,10 +3,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { teams as dayTeams, jobSpec, types } from './sim/fixtures.js';
-import { begin, playDay, type Meeting } from './sim/meeting.js';
-import { submitPipelines } from './sim/pipelines.js';
-import { loadProduction, type Version } from './sim/production.js';
-import type { Setup } from './sim/service.js';
+import { startMixedWork, runScenario, type Scenario } from './sim/scenario.js';
+import { submitPipelines } from './sim/pipeline-scenarios.js';
+import { loadProductionVersion, type ProgramVersion } from './sim/production-version.js';
+import type { ClusterSetup } from './sim/cluster-simulation.js';
 import type { KeyValueStoreLimits } from '../config/platform.js';
 import type { JobRecord } from '../core/types.js';
 import type {
@@ -16,7 +16,7 @@
   NodeName,
   SegmentName,
   Term,
-  TypeName,
+  MachineTypeName,
   WallTime,
   Zone,
 } from '../core/units.js';
@@ -39,57 +39,78 @@
   registryPageData,
 } from '../wire/key-value-store.js';
 
-const production = await loadProduction();
+const production = await loadProductionVersion();
 
 const ROLL = 40_000;
 const EVERY_MS = 10_000;
 const LOWERED = 90_000;
-const lowered: Partial<Setup> = {
+const lowered: Partial<ClusterSetup> = {
   version: production,
-  stateLimits: { valueKb: 16, txnOps: 16, writeRps: 40 },
-  nextLimits: { valueKb: 2, txnOps: 5, writeRps: 25 },
+  keyValueStoreLimits: { valueKb: 16, txnOps: 16, writeRps: 40 },
+  announcedKeyValueStoreLimits: { valueKb: 2, txnOps: 5, writeRps: 25 },
+};
+
+/** Counts the users whose jobs the version in production has accepted. */
+const countAcceptedBeforeRoll = (m: Scenario): { accepted: number } => {
+  const count = { accepted: 0 };
+  m.cluster.at(ROLL - 1, () => {
+    count.accepted = [...m.cluster.users.values()].filter((user) => user.accepted).length;
+  });
+  return count;
 };
 
 /** Controllers are killed one after the other and come back with the present version; then the limits fall. */
-const roll = (m: Meeting): void => {
-  for (const [i, p] of m.sim.processes.entries()) m.sim.at(ROLL + i * EVERY_MS, () => m.sim.upgrade(p, 4000));
-  m.sim.at(LOWERED, () => m.sim.lowerLimits());
-  m.sim.at(LOWERED + 5000, () => submitPipelines(m, 3));
+const roll = (m: Scenario): void => {
+  for (const [i, p] of m.cluster.controllers.entries())
+    m.cluster.at(ROLL + i * EVERY_MS, () => m.cluster.upgrade(p, 4000));
+  m.cluster.at(LOWERED, () => m.cluster.lowerLimits());
+  m.cluster.at(LOWERED + 5000, () => submitPipelines(m, 3));
 };
 
-const playUpgrade = async (seed: number, script: (m: Meeting) => void, over = lowered) => {
-  const { sim, broken, unfinished } = await playDay(seed, { over, quietMs: 160_000, endMs: 380_000 }, script);
+const playUpgrade = async (seed: number, script: (m: Scenario) => void, over = lowered) => {
+  const { sim, broken, unfinished } = await runScenario(
+    seed,
+    { setup: over, faultsEndMs: 160_000, endMs: 380_000 },
+    script,
+  );
   assert.deepEqual({ seed, broken, unfinished }, { seed, broken: [], unfinished: [] });
   return sim;
 };
 
 /** Short jobs all the while, so that each version finishes what the other took in. */
-const steadyWork = (m: Meeting): void => {
-  begin(m);
+const steadyWork = (m: Scenario): void => {
+  startMixedWork(m);
   for (let i = 0; i < 40; i++)
-    m.sim.at(12_000 + i * 3000, () => {
+    m.cluster.at(12_000 + i * 3000, () => {
       const id = m.submit({ tasks: 1 + (i % 3) }, 6000);
-      if (i % 5 === 0) m.sim.at(m.sim.now + 2500, () => m.sim.cancel(id));
+      if (i % 5 === 0) m.cluster.at(m.cluster.now + 2500, () => m.cluster.cancel(id));
     });
 };
 
 test('an upgrade under load; then the limits fall, and pipelines are submitted', async () => {
   for (const seed of [1, 2]) {
+    let before = { accepted: 0 };
     const sim = await playUpgrade(seed, (m) => {
+      before = countAcceptedBeforeRoll(m);
       steadyWork(m);
       roll(m);
     });
-    assert.equal(sim.state.tooLarge, 0, 'nothing was written that the service does not take any more');
+    assert.ok(before.accepted > 0, 'the version in production takes jobs');
+    assert.equal(
+      sim.keyValueStore.rejectedForSize,
+      0,
+      'nothing was written that the service does not take any more',
+    );
   }
 });
 
-test('in an upgrade an old controller dies early and comes back old, and the state service is out', async () => {
+test('in an upgrade an old controller crashes early and restarts with the old version, and the key-value store has an outage', async () => {
   await playUpgrade(1, (m) => {
     steadyWork(m);
     roll(m);
-    m.sim.at(ROLL + 5000, () => m.sim.restart(m.sim.processes[2], 300));
-    m.sim.at(ROLL + 13_000, () => m.sim.state.outage(6000));
-    m.sim.at(ROLL + 12_000, () => m.sim.state.lateWrites(0.2, 40_000));
+    m.cluster.at(ROLL + 5000, () => m.cluster.restart(m.cluster.controllers[2], 300));
+    m.cluster.at(ROLL + 13_000, () => m.cluster.keyValueStore.startOutage(6000));
+    m.cluster.at(ROLL + 12_000, () => m.cluster.keyValueStore.delayTransactions(0.2, 40_000));
   });
 });
 
@@ -98,14 +119,14 @@
   await playUpgrade(2, (m) => {
     steadyWork(m);
     for (let i = 0; i < 8; i++)
-      m.sim.at(ROLL + i * 6000, () => {
-        const { leader } = m.sim;
+      m.cluster.at(ROLL + i * 6000, () => {
+        const { leader } = m.cluster;
         if (!leader) return;
         leaders.push(leader.version === null);
-        m.sim.restart(leader, 1000);
-        if (i === 0) m.sim.upgrade(m.sim.processes[0], 1000);
+        m.cluster.restart(leader, 1000);
+        if (i === 0) m.cluster.upgrade(m.cluster.controllers[0], 1000);
       });
-    m.sim.at(ROLL + 50_000, () => m.sim.processes.forEach((p) => m.sim.upgrade(p, 1500)));
+    m.cluster.at(ROLL + 50_000, () => m.cluster.controllers.forEach((p) => m.cluster.upgrade(p, 1500)));
   });
   assert.ok(leaders.includes(true) && leaders.includes(false), 'both versions have led');
 });
@@ -113,18 +134,21 @@
 /** A job whose record is larger than the service will take later is accepted, runs, and is cancelled after that. */
 const cancelLargeRecord = async (nextLimits: Partial<KeyValueStoreLimits>) => {
   let id = 'wk-0' as JobId;
-  const others = Array.from({ length: 99 }, (_, i) => `another-type-${i}` as TypeName);
-  const { sim, broken } = await playDay(
+  const others = Array.from({ length: 99 }, (_, i) => `another-type-${i}` as MachineTypeName);
+  const { sim, broken } = await runScenario(
     1,
-    { over: { ...lowered, nextLimits }, quietMs: 120_000, endMs: 200_000 },
+    { setup: { ...lowered, announcedKeyValueStoreLimits: nextLimits }, faultsEndMs: 120_000, endMs: 200_000 },
     (m) => {
-      m.sim.at(8000, () => (id = m.submit({ tasks: 2, types: [...others, types[0].name] })));
-      m.sim.at(30_000, () => m.sim.processes.forEach((p) => m.sim.upgrade(p, 2000)));
-      m.sim.at(60_000, () => (m.sim.state.limits = { rps: 200, writeRps: 25, valueKb: 2, txnOps: 5 }));
-      m.sim.at(70_000, () => m.sim.cancel(id));
+      m.cluster.at(8000, () => (id = m.submit({ tasks: 2, types: [...others, types[0].name] })));
+      m.cluster.at(30_000, () => m.cluster.controllers.forEach((p) => m.cluster.upgrade(p, 2000)));
+      m.cluster.at(
+        60_000,
+        () => (m.cluster.keyValueStore.limits = { rps: 200, writeRps: 25, valueKb: 2, txnOps: 5 }),
+      );
+      m.cluster.at(70_000, () => m.cluster.cancel(id));
     },
   );
-  return { status: sim.users.get(id)!.status, broken, tooLarge: sim.state.tooLarge };
+  return { status: sim.users.get(id)!.status, broken, tooLarge: sim.keyValueStore.rejectedForSize };
 };
 
 test('a record from before the limits fell can still be cancelled; not so where they were not announced', async () => {
@@ -160,7 +184,7 @@
   const machine = {
     id: 'host-1' as MachineId,
     endpoint: '10.0.0.1:9000' as Endpoint,
-    type: 'small' as TypeName,
+    type: 'small' as MachineTypeName,
     zone: 'east' as Zone,
     spot: true,
   };
@@ -255,27 +279,27 @@
     node: 'stable-0' as NodeName,
     term: 3 as Term,
     leading: true,
-    holding: true,
-    reaches: null,
-    stateOk: true,
-    hearing: true,
+    holdsLease: true,
+    reachableLeader: null,
+    storeAvailable: true,
+    receivesHeartbeats: true,
     leaderSeenAgoMs: 40,
   };
   const requests: PeerRequest[] = [
-    { kind: 'heartbeat', from: status, have: null },
-    { kind: 'cancelled', jobs: ['wk-1'] },
-    { kind: 'heard', machines: ['host-1'] },
-    { kind: 'relay', report: Buffer.from([1]) },
+    { kind: 'heartbeat', status, logPosition: null },
+    { kind: 'cancellations', jobs: ['wk-1'] },
+    { kind: 'recent-heartbeats', machines: ['host-1'] },
+    { kind: 'forwarded-heartbeat', heartbeat: Buffer.from([1]) },
     {
-      kind: 'vouch',
+      kind: 'unchanged-heartbeats',
       term: 3 as Term,
-      machines: [{ machine: 'host-1' as MachineId, incarnation: 1, sequence: 9, baseSequence: 8 }],
+      heartbeats: [{ machine: 'host-1' as MachineId, incarnation: 1, sequence: 9, baseSequence: 8 }],
     },
-    { kind: 'user', method: 'GET', target: '/v1/jobs/wk-1', body: Buffer.alloc(0) },
-    { kind: 'hints', images: {} },
-    { kind: 'counts', job: 'wk-1' },
+    { kind: 'user-request', method: 'GET', target: '/v1/jobs/wk-1', body: Buffer.alloc(0) },
+    { kind: 'image-locations', locations: {} },
+    { kind: 'task-counts', job: 'wk-1' },
   ];
-  const versions: Pick<Version, 'parsePeerRequest'>[] = [production, { parsePeerRequest }];
+  const versions: Pick<ProgramVersion, 'parsePeerRequest'>[] = [production, { parsePeerRequest }];
   for (const request of requests)
     for (const version of versions)
       assert.ok(version.parsePeerRequest(stored(encodePeerRequest(request))).ok, `${request.kind} not taken`);
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -3,7 +3,7 @@
 import type { HttpMessage } from '../runtime/http/http-parser.js';
 import type { KeyValueStoreClient } from '../runtime/key-value-store/key-value-store-client.js';
 import type { KnownJobs } from '../runtime/users/job-lookup.js';
-import { Admission } from '../runtime/users/admission.js';
+import { AdmissionControl } from '../runtime/users/admission-control.js';
 import { UserApi } from '../runtime/users/user-api.js';
 import type { PlatformSettings } from '../config/platform.js';
 import { JobIndex } from '../core/job-index.js';
@@ -14,7 +14,7 @@
 
 /** Stand-in for the state service: transactions with conditions, and answers that get lost. */
 class Store {
-  readonly items = new Map<string, { data: unknown; stamp: number }>();
+  readonly items = new Map<string, { data: unknown; revision: number }>();
   revision = 0;
   mode: 'up' | 'down' | 'answer lost' | 'late' = 'up';
 
@@ -29,21 +29,21 @@
   transact(t: Transaction) {
     if (this.mode === 'down') return Promise.resolve({ kind: 'refused' as const });
     if (this.mode === 'late') return Promise.resolve({ kind: 'unknown' as const });
-    const stampOf = (key: string): Uint64 => this.items.get(key)?.stamp ?? 0;
-    const failed = t.if.filter((c) => stampOf(c.key) !== c.revision).map((c) => c.key);
+    const revisionOf = (key: string): Uint64 => this.items.get(key)?.revision ?? 0;
+    const failed = t.conditions.filter((c) => revisionOf(c.key) !== c.revision).map((c) => c.key);
     if (failed.length > 0) return Promise.resolve({ kind: 'conflict' as const, failed });
-    const stamp = ++this.revision;
-    for (const c of t.then) {
-      if ('put' in c) this.items.set(c.put, { data: decode(encode(c.data)), stamp });
+    const revision = ++this.revision;
+    for (const c of t.changes) {
+      if ('put' in c) this.items.set(c.put, { data: decode(encode(c.data)), revision });
       else this.items.delete(c.delete);
     }
     if (this.mode === 'answer lost') return Promise.resolve({ kind: 'unknown' as const });
-    return Promise.resolve({ kind: 'ok' as const, stamp });
+    return Promise.resolve({ kind: 'ok' as const, revision });
   }
 
   finish(id: string, state: string): void {
     this.items.delete(`j/${id}`);
-    this.items.set(`f/${id}`, { data: { state, tasks: 2 }, stamp: ++this.revision });
+    this.items.set(`f/${id}`, { data: { state, tasks: 2 }, revision: ++this.revision });
   }
 }
 
@@ -118,7 +118,7 @@
   assert.equal(await call(b, 'GET', '/v1/jobs/wk-1'), '200 done', 'a final state is safe from memory');
 });
 
-test('what cannot be taken is answered at once, with a time to come back', async () => {
+test('what cannot be accepted is answered at once, with a retry time', async () => {
   const { store, make, call } = setup();
   store.mode = 'down';
   assert.equal(await call(make(), 'POST', '/v1/jobs', job), '503 after 1');
@@ -127,7 +127,7 @@
   assert.equal(await blind.call(blind.make(), 'POST', '/v1/jobs', job), '503 after 1', 'types not known yet');
 });
 
-test('a lost answer is read back before the user is told', async () => {
+test('a lost store response is read back before the user is answered', async () => {
   const { store, make, call } = setup();
   store.mode = 'late';
   assert.equal(await call(make(), 'POST', '/v1/jobs', job), '503 after 1', 'it may still be carried out');
@@ -166,29 +166,29 @@
   assert.equal(await submit({ hands: 0 }), '200 pending');
 });
 
-test('a damaged record is never gone: its job stays known', async () => {
+test('a damaged record does not count as missing: its job stays known', async () => {
   const { store, make, call } = setup();
   const api = make();
   assert.equal(await call(api, 'POST', '/v1/jobs', job), '201 pending');
-  store.items.set('j/wk-1', { data: { spec: 'damaged' }, stamp: 99 });
+  store.items.set('j/wk-1', { data: { spec: 'damaged' }, revision: 99 });
   assert.equal(await call(api, 'GET', '/v1/jobs/wk-1'), '200 pending');
   assert.equal(await call(api, 'POST', '/v1/jobs', job), '200 pending');
 });
 
-test('nobody is turned away again and again while others are served', () => {
-  const stage = new Admission(2, 1);
-  assert.ok(stage.enter('a') && stage.enter('b'));
-  assert.equal(stage.enter('c'), false, 'full: answered at once');
-  assert.equal(stage.enter('d'), false);
-  assert.equal(stage.enter('c'), true, 'the second time it has room that others do not get');
-  assert.equal(stage.enter('e'), false);
-  assert.equal(stage.enter('d'), false, 'the reserve is bounded, too');
-  stage.leave('c', true);
-  assert.equal(stage.enter('c'), false, 'served: it is one of many again');
-  assert.equal(stage.enter('d'), true);
+test('no client is refused repeatedly while others are served', () => {
+  const stage = new AdmissionControl(2, 1);
+  assert.ok(stage.tryAdmit('a') && stage.tryAdmit('b'));
+  assert.equal(stage.tryAdmit('c'), false, 'full: answered at once');
+  assert.equal(stage.tryAdmit('d'), false);
+  assert.equal(stage.tryAdmit('c'), true, 'the second time it has room that others do not get');
+  assert.equal(stage.tryAdmit('e'), false);
+  assert.equal(stage.tryAdmit('d'), false, 'the reserve is bounded, too');
+  stage.release('c', true);
+  assert.equal(stage.tryAdmit('c'), false, 'served: it is one of many again');
+  assert.equal(stage.tryAdmit('d'), true);
 });
 
-test('whoever tells a user that a job is cancelled knows it before: by its own hand, on being asked, on a repeat', async () => {
+test('a controller that reports a job as cancelled knows it before: on its own cancellation, on a query, on a repeat', async () => {
   const { store, make, call, confirmed } = setup();
   const [a, b, c] = [make(), make(), make()];
   await call(a, 'POST', '/v1/jobs', job);
@@ -203,7 +203,7 @@
 
 const after = (...awaits: string[]) => ({ ...job, nameId: 'wk-2', awaits });
 
-test('what a job depends on: accepted anywhere, or refused; a known job is answered as before', async () => {
+test('dependencies: accepted anywhere, or refused; a known job is answered as before', async () => {
   const { store, make, call } = setup();
   const [a, b] = [make(), make()];
   assert.equal(await call(a, 'POST', '/v1/jobs', after('wk-1')), '422', 'never accepted');
@@ -222,7 +222,7 @@
   assert.equal(await call(make(), 'POST', '/v1/jobs', { ...after('wk-1'), nameId: 'wk-5' }), '503 after 1');
 });
 
-test('a job after a cancelled one is recorded as cancelled before any user is told so', async () => {
+test('a dependent of a cancelled job is recorded as cancelled before any user is told so', async () => {
   const { store, make, call, confirmed } = setup();
   const [a, b] = [make(), make()];
   await call(a, 'POST', '/v1/jobs', job);
@@ -245,7 +245,7 @@
   assert.equal(await call(b, 'GET', '/v1/jobs/wk-4'), '200 withdrawn', 'and then cancelled');
 });
 
-test('a cancellation answered with done leaves the jobs after it alone', async () => {
+test('a cancellation answered with done leaves the dependents alone', async () => {
   const { store, make, call } = setup();
   const api = make();
   await call(api, 'POST', '/v1/jobs', job);
@@ -255,7 +255,7 @@
   assert.equal(await call(api, 'GET', '/v1/jobs/wk-2'), '200 pending');
 });
 
-test('a fresh feed answers for other jobs without a request; one that is behind is not believed', async () => {
+test('an up-to-date feed answers for other jobs without a request; one that lags is not used', async () => {
   const fresh = feed(true);
   const { store, make, call } = setup(types, fresh);
   const api = make();
