--- a/src/test/wire.test.ts
+++ b/src/test/wire.test.ts
@@ -3,7 +3,7 @@
 import { parseOperatorSettings } from '../config/operator.js';
 import { parsePlatformSettings, platformWarnings } from '../config/platform.js';
 import { decode, encode, tryDecode } from '../wire/cbor.js';
-import { parseTypes } from '../wire/cloud.js';
+import { parseMachineTypes } from '../wire/cloud.js';
 import { parseItem, transactionBody } from '../wire/key-value-store.js';
 import { parseJob } from '../wire/users.js';
 import { directCommandsBody, parseHeartbeat } from '../wire/workers.js';
@@ -64,8 +64,8 @@
 test('integers up to 2^64 survive; what we count in must stay below 2^53', () => {
   const huge = 2n ** 63n + 1n;
   const item = parseItem(decode(encode({ key: 'a', data: null, stamp: huge })));
-  assert.equal(item?.stamp, huge);
-  const body = transactionBody({ if: [{ key: 'a', revision: huge }], then: [] });
+  assert.equal(item?.revision, huge);
+  const body = transactionBody({ conditions: [{ key: 'a', revision: huge }], changes: [] });
   assert.deepEqual(decode(encode(body)), { if: [{ key: 'a', stamp: huge }], then: [] });
   const attempt = (3 * 2 ** 40) as Attempt;
   const orders = directCommandsBody(7, huge, [{ op: 'start', job: 'wk-1' as JobId, index: 0, attempt }]);
@@ -91,14 +91,14 @@
 });
 
 test('wrong types from the cloud are refused as a whole', () => {
-  assert.equal(parseTypes({ breeds: [{ label: 'g8' }] }), null);
-  assert.equal(parseTypes('soon'), null);
+  assert.equal(parseMachineTypes({ breeds: [{ label: 'g8' }] }), null);
+  assert.equal(parseMachineTypes('soon'), null);
 });
 
 const platform = platformToml();
 
 test('settings: unknown fields are ignored, a bad one is named with its value and what is expected', () => {
-  assert.equal(parsePlatformSettings(platform).publicAddr.port, 8080);
+  assert.equal(parsePlatformSettings(platform).publicAddress.port, 8080);
   assert.throws(() => parsePlatformSettings(platform.replace('lease_s = 10.0', 'lease_s = "long"')), {
     message: 'settings.workers.lease_s: "long" is not valid; expected number',
   });
--- a/src/test/parted-zones.test.ts
+++ b/src/test/zone-partition.test.ts
@@ -3,20 +3,20 @@
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 import { types } from './sim/fixtures.js';
-import { playDay, type Meeting } from './sim/meeting.js';
-import type { Trouble } from './sim/network.js';
-import type { Setup } from './sim/service.js';
+import { runScenario, type Scenario } from './sim/scenario.js';
+import type { LinkFault } from './sim/simulated-network.js';
+import type { ClusterSetup } from './sim/cluster-simulation.js';
 import { LeaderRoutes } from '../runtime/peers/leader-route.js';
 import type { JobId, Zone } from '../core/units.js';
 
 const zones = ['north', 'east', 'south'];
-const over: Partial<Setup> = {
+const over: Partial<ClusterSetup> = {
   zones,
   controllers: zones,
   types: types.map((t) => ({ ...t, zones: zones as Zone[] })),
   // As many as are up: none is rented beside those that can't be reached.
   capacity: 24,
-  up: { type: 'small', perZone: 8 },
+  initialMachines: { type: 'small', perZone: 8 },
 };
 const PARTED_MS = 30_000;
 const FOR_MS = 70_000;
@@ -34,40 +34,44 @@
   running: number;
 }
 
-const part = async (trouble: Trouble, seed: number): Promise<Seen> => {
+const part = async (trouble: LinkFault, seed: number): Promise<Seen> => {
   let fenced = 0;
   let running = 0;
-  const script = (m: Meeting): void => {
-    const { sim } = m;
+  const script = (m: Scenario): void => {
+    const { cluster } = m;
     let bound: JobId;
-    sim.at(10_000, () => [2, 4, 6].forEach((tasks) => m.submit({ tasks }, 120_000)));
+    cluster.at(10_000, () => [2, 4, 6].forEach((tasks) => m.submit({ tasks }, 120_000)));
     let far: string;
-    sim.at(PARTED_MS, () => {
-      const near = sim.leader!.platform.zone;
+    cluster.at(PARTED_MS, () => {
+      const near = cluster.leader!.platform.zone;
       far = zones.find((z) => z !== near)!;
-      sim.partZones(near, far, trouble, FOR_MS);
+      cluster.partitionZones(near, far, trouble, FOR_MS);
     });
-    sim.at(SUBMITTED_MS, () => (bound = m.submit({ tasks: 4, zone: far as Zone }, 120_000)));
-    sim.at(RUNNING_MS, () => (running = sim.checker.machinesOf(bound).length));
-    sim.at(FENCED_MS, () => {
-      fenced = [...sim.cloud.returned.values()].filter((at) => at > PARTED_MS).length;
+    cluster.at(SUBMITTED_MS, () => (bound = m.submit({ tasks: 4, zone: far as Zone }, 120_000)));
+    cluster.at(RUNNING_MS, () => (running = cluster.checker.machinesOf(bound).length));
+    cluster.at(FENCED_MS, () => {
+      fenced = [...cluster.cloudProvider.deletedAt.values()].filter((at) => at > PARTED_MS).length;
     });
   };
   // Nothing is given back for being idle.
   const operator = { scaling: [{ idle_hold_s: 600 }] };
-  const day = await playDay(seed, { over: { ...over, operator }, quietMs: 110_000, endMs: 330_000 }, script);
+  const day = await runScenario(
+    seed,
+    { setup: { ...over, operator }, faultsEndMs: 110_000, endMs: 330_000 },
+    script,
+  );
   return { broken: day.broken, unfinished: day.unfinished, fenced, running };
 };
 
 for (const trouble of ['hold', 'refuse'] as const) {
-  test(`zones apart (${trouble}): the far zone is commanded over the third controller, and keeps its machines`, async () => {
+  test(`zone partition (${trouble}): the far zone is commanded through the third controller, and keeps its machines`, async () => {
     for (const seed of [1, 2, 3])
       assert.deepEqual(await part(trouble, seed), { broken: [], unfinished: [], fenced: 0, running: 4 });
   });
 }
 
-test('zones apart: without the third controller the far zone gets no work and is fenced', async (t: TestContext) => {
-  t.mock.method(LeaderRoutes.prototype, 'reaches', () => null);
+test('zone partition: without the third controller the far zone gets no work and is fenced', async (t: TestContext) => {
+  t.mock.method(LeaderRoutes.prototype, 'directlyReachableLeader', () => null);
   const { running, fenced } = await part('hold', 1);
   assert.equal(running, 0);
   assert.ok(fenced > 0);
--- a/src/wire/cancellation-pages.ts
+++ b/src/wire/cancellation-pages.ts
@@ -1,18 +1,18 @@
 // What controllers tell one another of cancellations. A frame of another shape is dropped: it proves nothing.
 import * as v from 'valibot';
-import { amount, parseWith, safeCount, text } from './common.js';
+import { nonNegativeNumber, parseWith, safeInteger, boundedText } from './common.js';
 import type { CancellationLogPosition, CancellationLogPage } from '../core/cancellation-log.js';
 import type { JobId } from '../core/units.js';
 import { isJobId } from './users.js';
 
 const jobs = v.array(v.custom<JobId>((j) => typeof j === 'string' && isJobId(j)));
-const position = v.object({ incarnation: text, position: safeCount });
+const position = v.object({ incarnation: boundedText, position: safeInteger });
 const logPage = v.object({
-  incarnation: text,
-  from: safeCount,
+  incarnation: boundedText,
+  from: safeInteger,
   jobs,
-  end: safeCount,
-  completeAgoMs: v.nullable(amount),
+  end: safeInteger,
+  completeAgoMs: v.nullable(nonNegativeNumber),
 });
 
 export const parseLogPage = (
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,31 +1,31 @@
 // The cloud's side: machine types, rentals, lists.
 import * as v from 'valibot';
-import { amount, parseWith, text } from './common.js';
+import { nonNegativeNumber, parseWith, boundedText } from './common.js';
 import type { ListedMachine, MachineType } from '../core/types.js';
-import type { Endpoint, MachineId, TypeName, Zone } from '../core/units.js';
+import type { Endpoint, MachineId, MachineTypeName, Zone } from '../core/units.js';
 
 const types = v.object({
   breeds: v.array(
     v.object({
-      label: text,
-      vcpus: amount,
-      accelerators: amount,
-      memGb: amount,
-      cacheGb: amount,
-      fetchGbPerS: amount,
-      price: amount,
-      lowPrice: amount,
-      startupS: amount,
-      pastures: v.array(text),
+      label: boundedText,
+      vcpus: nonNegativeNumber,
+      accelerators: nonNegativeNumber,
+      memGb: nonNegativeNumber,
+      cacheGb: nonNegativeNumber,
+      fetchGbPerS: nonNegativeNumber,
+      price: nonNegativeNumber,
+      lowPrice: nonNegativeNumber,
+      startupS: nonNegativeNumber,
+      pastures: v.array(boundedText),
     }),
   ),
 });
 
-export const parseTypes = (raw: unknown): MachineType[] | null => {
+export const parseMachineTypes = (raw: unknown): MachineType[] | null => {
   const r = parseWith(types, raw);
   if (!r.ok) return null;
   return r.value.breeds.map((b) => ({
-    name: b.label as TypeName,
+    name: b.label as MachineTypeName,
     cpus: b.vcpus,
     gpus: b.accelerators,
     memoryGb: b.memGb,
@@ -41,13 +41,13 @@
 const list = v.object({
   stalls: v.array(
     v.object({
-      nameId: text,
-      endpoint: text,
-      breed: text,
-      pasture: text,
+      nameId: boundedText,
+      endpoint: boundedText,
+      breed: boundedText,
+      pasture: boundedText,
       loaners: v.boolean(),
       status: v.picklist(['starting', 'running', 'failed']),
-      ageS: amount,
+      ageS: nonNegativeNumber,
     }),
   ),
   more: v.boolean(),
@@ -61,7 +61,7 @@
     machines: r.value.stalls.map((m) => ({
       id: m.nameId as MachineId,
       endpoint: m.endpoint as Endpoint,
-      type: m.breed as TypeName,
+      type: m.breed as MachineTypeName,
       zone: m.pasture as Zone,
       spot: m.loaners,
       status: m.status,
@@ -70,21 +70,21 @@
   };
 };
 
-const rented = v.object({ stalls: v.array(text) });
-export const parseRented = (raw: unknown): MachineId[] | null => {
+const rented = v.object({ stalls: v.array(boundedText) });
+export const parseCreatedMachines = (raw: unknown): MachineId[] | null => {
   const r = parseWith(rented, raw);
   return r.ok ? (r.value.stalls as MachineId[]) : null;
 };
 
-export interface Rental {
+export interface ScaleOutRequest {
   request: string;
-  type: TypeName;
+  type: MachineTypeName;
   zone: Zone;
   spot: boolean;
   count: number;
 }
 
-export const rentBody = (r: Rental) => ({
+export const createMachinesBody = (r: ScaleOutRequest) => ({
   hire: r.request,
   breed: r.type,
   pasture: r.zone,
@@ -92,7 +92,7 @@
   number: r.count,
 });
 
-export const returnBody = (machines: MachineId[]) => ({ stalls: machines });
+export const deleteMachinesBody = (machines: MachineId[]) => ({ stalls: machines });
 
-export const listTarget = (since: MachineId | null, most: number) =>
+export const listMachinesTarget = (since: MachineId | null, most: number) =>
   since === null ? `/machines?most=${most}` : `/machines?since=${since}&most=${most}`;
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -1,6 +1,6 @@
 // The state service's side: reads, transactions, leases, watches; and how our records are laid out in it.
 import * as v from 'valibot';
-import { counter, integer, parseWith, text } from './common.js';
+import { uint64, encodeUint64, parseWith, boundedText } from './common.js';
 import type { FinalRecord, JobRecord, JobSpec, MachineInfo, MachineType } from '../core/types.js';
 import { LARGEST_SEGMENT_BYTES } from '../core/progress-segments.js';
 import type { Uint64, JobId, NodeName, SegmentName, Revision, Term, WallTime } from '../core/units.js';
@@ -11,38 +11,53 @@
 }
 export type Change = { put: string; data: unknown; lease?: Uint64 } | { delete: string };
 export interface Transaction {
-  if: Condition[];
-  then: Change[];
+  conditions: Condition[];
+  changes: Change[];
 }
 
 export const transactionBody = (t: Transaction) => ({
-  if: t.if.map((c) => ({ key: c.key, stamp: integer(c.revision) })),
-  then: t.then.map((c) =>
+  if: t.conditions.map((c) => ({ key: c.key, stamp: encodeUint64(c.revision) })),
+  then: t.changes.map((c) =>
     'put' in c
       ? c.lease === undefined
         ? { put: c.put, data: c.data }
-        : { put: c.put, data: c.data, permit: integer(c.lease) }
+        : { put: c.put, data: c.data, permit: encodeUint64(c.lease) }
       : { delete: c.delete },
   ),
 });
 
-const item = v.object({ key: text, data: v.unknown(), stamp: counter, permit: v.nullish(counter) });
-const items = v.object({ items: v.array(item), more: v.boolean(), ledger: counter });
-const committed = v.object({ ledger: counter });
-const conflict = v.object({ failed: v.array(text), ledger: counter });
-const leased = v.object({ permit: counter });
+/** A key with its value, as a read gives it. */
+export interface Item {
+  key: string;
+  data: unknown;
+  revision: Revision;
+  /** The lease that the key ends with. */
+  lease?: Uint64 | null;
+}
+const item = v.pipe(
+  v.object({ key: boundedText, data: v.unknown(), stamp: uint64, permit: v.nullish(uint64) }),
+  v.transform(({ key, data, stamp, permit }): Item => ({
+    key,
+    data,
+    revision: stamp,
+    lease: permit ?? null,
+  })),
+);
+const items = v.object({ items: v.array(item), more: v.boolean(), ledger: uint64 });
+const committed = v.object({ ledger: uint64 });
+const conflict = v.object({ failed: v.array(boundedText), ledger: uint64 });
+const leased = v.object({ permit: uint64 });
 const leaseGone = v.object({ error: v.literal('no such lease') });
 const events = v.object({
-  ledger: counter,
+  ledger: uint64,
   log: v.array(
     v.union([
-      v.object({ put: text, data: v.unknown(), stamp: counter }),
-      v.object({ delete: text, stamp: counter }),
+      v.object({ put: boundedText, data: v.unknown(), stamp: uint64 }),
+      v.object({ delete: boundedText, stamp: uint64 }),
     ]),
   ),
 });
 
-export type Item = v.InferOutput<typeof item>;
 export type ChangeEvent = v.InferOutput<typeof events>['log'][number];
 
 const orNull = <S extends v.GenericSchema>(schema: S, raw: unknown): v.InferOutput<S> | null => {
@@ -55,8 +70,8 @@
 export const parseConflict = (raw: unknown) => orNull(conflict, raw);
 export const parseLease = (raw: unknown) => orNull(leased, raw)?.permit ?? null;
 /** Whether a refused transaction named a lease that has ended. */
-export const saysLeaseGone = (raw: unknown): boolean => parseWith(leaseGone, raw).ok;
-export const parseEvents = (raw: unknown) => orNull(events, raw);
+export const isLeaseGoneError = (raw: unknown): boolean => parseWith(leaseGone, raw).ok;
+export const parseChanges = (raw: unknown) => orNull(events, raw);
 
 export const listTarget = (prefix: string, since: string | null, most: number) =>
   `/store?under=${prefix}${since === null ? '' : `&since=${since}`}&most=${most}`;
@@ -82,19 +97,19 @@
 
 // Our own records are written by us alone, but a damaged one must not crash a controller: shapes are checked.
 const spec = v.object({
-  id: text,
-  class: text,
-  team: text,
+  id: boundedText,
+  class: boundedText,
+  team: boundedText,
   kind: v.picklist(['array', 'gang', 'service']),
   priority: v.picklist(['production', 'high', 'normal', 'low']),
   tasks: v.number(),
   cpus: v.number(),
   gpus: v.number(),
   memoryGb: v.number(),
-  image: text,
+  image: boundedText,
   imageGb: v.number(),
-  types: v.nullable(v.array(text)),
-  zone: v.nullable(text),
+  types: v.nullable(v.array(boundedText)),
+  zone: v.nullable(boundedText),
   oneZone: v.boolean(),
   spread: v.boolean(),
   spot: v.boolean(),
@@ -103,16 +118,16 @@
   saveS: v.number(),
   deadlineS: v.nullable(v.number()),
   // Records of jobs that wait for none don't have it, as all of those that earlier versions wrote.
-  dependsOn: v.optional(v.array(text), []),
+  dependsOn: v.optional(v.array(boundedText), []),
 });
 const jobRecord = v.object({ spec, submittedAt: v.number(), cancelledAt: v.nullable(v.number()) });
 /** The word that stands in stored records for a cancelled job. */
 const STORED_CANCELLED = 'withdrawn';
 const finalRecord = v.object({ state: v.picklist(['done', STORED_CANCELLED]), tasks: v.number() });
-const leaderRecord = v.object({ node: text, term: v.number() });
+const leaderRecord = v.object({ node: boundedText, term: v.number() });
 const termRecord = v.object({ term: v.number() });
 const rosterPageRecord = v.object({
-  machines: v.array(v.object({ id: text, type: text, zone: text, spot: v.boolean() })),
+  machines: v.array(v.object({ id: boundedText, type: boundedText, zone: boundedText, spot: v.boolean() })),
 });
 const progressRecord = v.object({ bits: v.string() });
 
@@ -131,12 +146,12 @@
   const { dependsOn, ...plain } = record.spec;
   return dependsOn.length > 0 ? record : { ...record, spec: plain };
 };
-const dependenciesOnly = v.object({ spec: v.object({ dependsOn: v.array(text) }) });
+const dependenciesOnly = v.object({ spec: v.object({ dependsOn: v.array(boundedText) }) });
 /** The jobs that a record names to be done before; cheaper than reading all of it. */
 export const dependenciesIn = (raw: unknown): JobId[] =>
   (orNull(dependenciesOnly, raw)?.spec.dependsOn ?? []) as JobId[];
 /** Whether a job's record says that it is cancelled; cheaper than reading all of it. */
-export const saysCancelled = (raw: unknown): boolean =>
+export const isCancelledRecord = (raw: unknown): boolean =>
   typeof raw === 'object' && raw !== null && 'cancelledAt' in raw && typeof raw.cancelledAt === 'number';
 export const parseFinalRecord = (raw: unknown): FinalRecord | null => {
   const record = orNull(finalRecord, raw);
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,8 +1,8 @@
 // Users' side: job submissions, status answers.
 import * as v from 'valibot';
-import { amount, parseWith, safeCount, text } from './common.js';
+import { nonNegativeNumber, parseWith, safeInteger, boundedText } from './common.js';
 import type { JobSpec, JobKind } from '../core/types.js';
-import type { JobId, Team, TypeName, Zone } from '../core/units.js';
+import type { JobId, Team, MachineTypeName, Zone } from '../core/units.js';
 
 const MAX_TASKS = 100_000;
 const JOB_ID = /^wk-\d{1,32}$/;
@@ -10,25 +10,25 @@
 
 const schema = v.object({
   nameId: v.pipe(v.string(), v.regex(JOB_ID)),
-  herd: text,
-  outfit: text,
+  herd: boundedText,
+  outfit: boundedText,
   gait: v.picklist(['array', 'group', 'service']),
   rank: v.picklist(['production', 'high', 'normal', 'low']),
-  hands: v.pipe(safeCount, v.minValue(1), v.maxValue(MAX_TASKS)),
-  vcpus: amount,
-  accelerators: amount,
-  memGb: amount,
-  breeds: v.nullish(v.pipe(v.array(text), v.maxLength(100))),
-  pasture: v.nullish(text),
+  hands: v.pipe(safeInteger, v.minValue(1), v.maxValue(MAX_TASKS)),
+  vcpus: nonNegativeNumber,
+  accelerators: nonNegativeNumber,
+  memGb: nonNegativeNumber,
+  breeds: v.nullish(v.pipe(v.array(boundedText), v.maxLength(100))),
+  pasture: v.nullish(boundedText),
   oneZone: v.boolean(),
   spread: v.boolean(),
   loaners: v.boolean(),
-  kit: text,
-  sizeGb: amount,
-  rideS: amount,
-  waypointS: amount,
-  stowS: amount,
-  dueS: v.nullish(amount),
+  kit: boundedText,
+  sizeGb: nonNegativeNumber,
+  rideS: nonNegativeNumber,
+  waypointS: nonNegativeNumber,
+  stowS: nonNegativeNumber,
+  dueS: v.nullish(nonNegativeNumber),
   awaits: v.nullish(v.array(v.pipe(v.string(), v.regex(JOB_ID)))),
 });
 
@@ -52,7 +52,7 @@
       memoryGb: j.memGb,
       image: j.kit,
       imageGb: j.sizeGb,
-      types: (j.breeds ?? null) as TypeName[] | null,
+      types: (j.breeds ?? null) as MachineTypeName[] | null,
       zone: (j.pasture ?? null) as Zone | null,
       oneZone: j.oneZone,
       spread: j.spread,
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,8 +1,17 @@
 // Workers' side: reports and commands.
 import * as v from 'valibot';
-import { amount, counter, integer, parseWith, safeCount, text } from './common.js';
+import { nonNegativeNumber, uint64, encodeUint64, parseWith, safeInteger, boundedText } from './common.js';
 import type { Command, Heartbeat, TaskStatus, TaskState } from '../core/types.js';
-import type { Attempt, Uint64, Endpoint, JobId, MachineId, NodeName, TypeName, Zone } from '../core/units.js';
+import type {
+  Attempt,
+  Uint64,
+  Endpoint,
+  JobId,
+  MachineId,
+  NodeName,
+  MachineTypeName,
+  Zone,
+} from '../core/units.js';
 
 const states: Record<string, TaskState> = {
   pulling: 'fetching',
@@ -13,19 +22,19 @@
 };
 
 const schema = v.object({
-  stall: text,
-  endpoint: text,
-  breed: text,
-  pasture: text,
+  stall: boundedText,
+  endpoint: boundedText,
+  breed: boundedText,
+  pasture: boundedText,
   loaners: v.boolean(),
-  shift: counter,
-  tally: counter,
-  reins: counter,
-  recallS: v.nullish(amount),
+  shift: uint64,
+  tally: uint64,
+  reins: uint64,
+  recallS: v.nullish(nonNegativeNumber),
   hands: v.array(
     v.object({
       hand: v.pipe(v.string(), v.regex(/^[^\s/]+\/\d{1,6}$/)),
-      try: safeCount,
+      try: safeInteger,
       status: v.picklist(['pulling', 'waiting', 'running', 'saving', 'exited']),
       cause: v.nullish(
         v.picklist(['done', 'stopped', 'peers', 'incomplete', 'error', 'no_room', 'in_use', 'no_such']),
@@ -58,7 +67,7 @@
     value: {
       id: m.stall as MachineId,
       endpoint: m.endpoint as Endpoint,
-      type: m.breed as TypeName,
+      type: m.breed as MachineTypeName,
       zone: m.pasture as Zone,
       spot: m.loaners,
       incarnation: m.shift,
@@ -71,7 +80,7 @@
 };
 
 const encodeCommand = (c: Command): Record<string, unknown> => {
-  const base = { hand: `${c.job}/${c.index}`, try: integer(c.attempt) };
+  const base = { hand: `${c.job}/${c.index}`, try: encodeUint64(c.attempt) };
   switch (c.op) {
     case 'start':
       return { call: 'run', ...base };
@@ -83,13 +92,13 @@
 };
 
 export const heartbeatReply = (token: Uint64, commands: Command[]) => ({
-  reins: integer(token),
+  reins: encodeUint64(token),
   calls: commands.map(encodeCommand),
 });
 
 export const directCommandsBody = (token: Uint64, session: Uint64, commands: Command[]) => ({
-  reins: integer(token),
-  shift: integer(session),
+  reins: encodeUint64(token),
+  shift: encodeUint64(session),
   calls: commands.map(encodeCommand),
 });
 
