--- a/src/core/in-flight-starts.ts
+++ b/src/core/in-flight-starts.ts
@@ -4,6 +4,7 @@
  */
 import type { AttemptKey } from './task-status.js';
 
+/** Counts the copies in flight of each attempt's start. */
 export class InFlightStarts {
   private readonly copiesInFlight = new Map<AttemptKey, number>();
 
@@ -12,6 +13,7 @@
     return this.copiesInFlight.size;
   }
 
+  /** Whether a copy may still arrive. */
   has(key: AttemptKey): boolean {
     return this.copiesInFlight.has(key);
   }
@@ -21,19 +23,19 @@
     this.copiesInFlight.set(key, (this.copiesInFlight.get(key) ?? 0) + 1);
   }
 
-  /** That copy was never sent after all; earlier ones were. */
+  /** That copy was never sent after all; earlier ones may have been. */
   recordUnsent(key: AttemptKey): void {
     const left = (this.copiesInFlight.get(key) ?? 0) - 1;
     if (left > 0) this.copiesInFlight.set(key, left);
     else this.copiesInFlight.delete(key);
   }
 
-  /** The worker refused a copy for its token or session, and will refuse every earlier one. */
+  /** The worker refused a copy for its token or incarnation, and will refuse every earlier one. */
   recordRefused(key: AttemptKey): void {
     this.copiesInFlight.delete(key);
   }
 
-  /** The worker's session has ended: it refuses all that was sent for it. */
+  /** The worker's incarnation has ended: it refuses all that was sent for it. */
   clear(): void {
     this.copiesInFlight.clear();
   }
--- a/src/core/job.ts
+++ b/src/core/job.ts
@@ -1,4 +1,6 @@
-import { priorityRank, type JobRecord, type Priority } from './types.js';
+/** A job as the leader knows it: its record, its progress, where its tasks are, and why it waits. */
+import { JobProgress } from './job-progress.js';
+import { priorityRank, type JobRecord, type JobSpec, type Priority } from './types.js';
 import type {
   Attempt,
   Uint64,
@@ -16,12 +18,13 @@
   machine: MachineId;
   attempt: Attempt;
   assignedAt: MonotonicTime;
-  /** The report that was answered with the start command; settled by a newer report of the same machine. */
+  /** The heartbeat in whose reply the start was sent; settled by a newer heartbeat of the same machine. */
   startSentInReplyTo: { incarnation: Uint64; sequence: Uint64 } | null;
   /** A start went straight to the worker and its answer is still awaited. */
   directStartInFlight: boolean;
-  /** A start sent straight to the worker got no answer: it may still arrive, until the session moves on. */
+  /** A start sent straight to the worker got no answer: it may still arrive, until the incarnation ends. */
   directStartOutcomeUnknown: boolean;
+  /** The task was reported. */
   observed: boolean;
   running: boolean;
   runningSince: MonotonicTime | null;
@@ -30,6 +33,7 @@
   unpreemptible: boolean;
 }
 
+/** The placement of a task that its worker was not told of yet. */
 export const newPlacement = (
   index: number,
   machine: MachineId,
@@ -50,6 +54,7 @@
   unpreemptible: false,
 });
 
+/** Why a job waits, in the status page's words. */
 export type WaitReason =
   | { why: 'queued' }
   | { why: 'waiting for other jobs'; jobs: number }
@@ -62,23 +67,18 @@
   | { why: 'no machine with room' }
   | { why: 'machines booting' };
 
+/** From the jobs that depend on a job: the highest of their priorities, and when it has to be over for theirs. */
+export interface InheritedUrgency {
+  priority: Priority;
+  dueAt: WallTime | null;
+}
+
+/** An unfinished job. */
 export class Job {
   readonly placements = new Map<number, Placement>();
-  readonly completedBits: Uint8Array;
-  readonly durableBits: Uint8Array;
-  completedCount = 0;
-  /** Tasks whose completion the state service doesn't hold yet, and that no write under way has. */
-  readonly unpersistedCompletions = new Set<number>();
-  progressPersistedAt = -Infinity;
-  /** Segments of the completions that are being written. */
-  readonly segmentsBeingWritten = new Set<SegmentName>();
-  /** Segments that have a key in the state service. */
-  readonly persistedSegments = new Set<SegmentName>();
-  private readonly requeued = new Set<number>();
-  private cursor = 0;
-  private placedNotDone = 0;
+  readonly progress: JobProgress;
   backoffUntil = -Infinity;
-  /** Room that appears after this rejection ends its back-off early. */
+  /** Capacity gained after this rejection ends its back-off early. */
   rejectedAtCapacityVersion = -1;
   placementRejections = 0;
   /** Error back-off isn't cut short by free capacity: the job itself may be at fault. */
@@ -87,16 +87,17 @@
   readonly errorMachines = new Set<MachineId>();
   waitReason: WaitReason = { why: 'queued' };
   loggedWaitReason = '';
+  /** Its final record is being written. */
   finalizing = false;
   /** A controller says that its user was told it is cancelled; the record that says so may not have reached us. */
   cancellationConfirmedAt: MonotonicTime | null = null;
   /** Has waited long with none of its tasks placed. */
   waitedLong = false;
-  /** Goes before the others, and room is held for it. */
+  /** Goes before the others, and capacity is reserved for it. */
   starving = false;
   /** Fits its team's guarantee together with the team's earlier unfinished jobs. */
   withinGuarantee = false;
-  /** Machines being kept free for it. */
+  /** Machines reserved for it. */
   readonly reservedMachines = new Set<MachineId>();
   hasRun = false;
   waitingSince: MonotonicTime;
@@ -106,8 +107,12 @@
   dependencyCancelled = false;
   /** By how much it will probably miss its deadline; null: it is in time, or has none. */
   predictedLateS: number | null = null;
-  /** From the jobs that depend on it: the highest of their priorities, and when it has to be over for theirs. */
-  inheritedUrgency: { priority: Priority; dueAt: WallTime | null } | null = null;
+  inheritedUrgency: InheritedUrgency | null = null;
+  /** Tasks before the cursor that were placed and have to be placed again. */
+  private readonly requeued = new Set<number>();
+  /** All tasks before it are completed, placed or requeued. */
+  private cursor = 0;
+  private placedNotCompleted = 0;
 
   constructor(
     readonly id: JobId,
@@ -117,13 +122,11 @@
     readonly fromEarlierLeader: boolean,
     now: MonotonicTime,
   ) {
-    const bytes = Math.ceil(record.spec.tasks / 8);
-    this.completedBits = new Uint8Array(bytes);
-    this.durableBits = new Uint8Array(bytes);
+    this.progress = new JobProgress(record.spec.tasks);
     this.waitingSince = now;
   }
 
-  get spec() {
+  get spec(): JobSpec {
     return this.record.spec;
   }
 
@@ -154,14 +157,8 @@
     return due < Infinity ? (due as WallTime) : null;
   }
 
-  /** For how long its user may have known that it is cancelled. */
-  cancelledForMs(now: MonotonicTime, wall: WallTime): number {
-    const { cancelledAt } = this.record;
-    const byRecord = cancelledAt === null ? -Infinity : wall - cancelledAt;
-    return Math.max(
-      byRecord,
-      this.cancellationConfirmedAt === null ? -Infinity : now - this.cancellationConfirmedAt,
-    );
+  get completedCount(): number {
+    return this.progress.completedCount;
   }
 
   get allCompleted(): boolean {
@@ -169,74 +166,77 @@
   }
 
   get pendingCount(): number {
-    return this.spec.tasks - this.completedCount - this.placedNotDone;
+    return this.spec.tasks - this.completedCount - this.placedNotCompleted;
   }
 
   get runningCount(): number {
-    let n = 0;
-    for (const p of this.placements.values()) if (p.running) n++;
-    return n;
+    let count = 0;
+    for (const placement of this.placements.values()) if (placement.running) count++;
+    return count;
   }
 
+  /** For how long its user may have known that it is cancelled. */
+  cancelledForMs(now: MonotonicTime, wall: WallTime): number {
+    const { cancelledAt } = this.record;
+    const byRecord = cancelledAt === null ? -Infinity : wall - cancelledAt;
+    return Math.max(
+      byRecord,
+      this.cancellationConfirmedAt === null ? -Infinity : now - this.cancellationConfirmedAt,
+    );
+  }
+
+  /** Whether the task is done. */
   isCompleted(index: number): boolean {
-    return (this.completedBits[index >> 3] & (1 << (index & 7))) !== 0;
+    return this.progress.isCompleted(index);
   }
 
+  /** Whether the state service holds the task's completion. */
   isDurable(index: number): boolean {
-    return (this.durableBits[index >> 3] & (1 << (index & 7))) !== 0;
+    return this.progress.isDurable(index);
   }
 
+  /** The task is done. */
   markCompleted(index: number): void {
-    if (index >= this.spec.tasks || this.isCompleted(index)) return;
-    this.completedBits[index >> 3] |= 1 << (index & 7);
-    this.completedCount++;
-    if (this.placements.has(index)) this.placedNotDone--;
-    this.unpersistedCompletions.add(index);
+    if (this.progress.markCompleted(index) && this.placements.has(index)) this.placedNotCompleted--;
   }
 
-  /** The first n tasks that are neither done nor placed; none is taken away. */
-  firstPending(n: number): number[] {
-    const out: number[] = [];
+  /** Completions read back from the state service, or confirmed as written to it, from that byte on. */
+  confirmCompletions(segment: SegmentName, startByte: number, bytes: Uint8Array): void {
+    this.progress.confirm(segment, startByte, bytes);
+    this.placedNotCompleted = 0;
+    for (const index of this.placements.keys()) if (!this.isCompleted(index)) this.placedNotCompleted++;
+  }
+
+  /** The first tasks, up to so many, that are neither completed nor placed; they stay pending. */
+  firstPending(maxTasks: number): number[] {
+    const pending: number[] = [];
     for (const index of this.requeued) {
-      if (this.isCompleted(index) || this.placements.has(index)) this.requeued.delete(index);
-      else if (out.length < n) out.push(index);
+      if (!this.isPending(index)) this.requeued.delete(index);
+      else if (pending.length < maxTasks) pending.push(index);
       else break;
     }
-    const skip = new Set(out);
-    while (
-      this.cursor < this.spec.tasks &&
-      (this.isCompleted(this.cursor) || this.placements.has(this.cursor))
-    ) {
-      this.cursor++;
-    }
-    for (let i = this.cursor; i < this.spec.tasks && out.length < n; i++) {
-      if (!this.isCompleted(i) && !this.placements.has(i) && !skip.has(i)) out.push(i);
-    }
-    return out;
+    const skip = new Set(pending);
+    while (this.cursor < this.spec.tasks && !this.isPending(this.cursor)) this.cursor++;
+    for (let i = this.cursor; i < this.spec.tasks && pending.length < maxTasks; i++)
+      if (this.isPending(i) && !skip.has(i)) pending.push(i);
+    return pending;
+  }
+
+  private isPending(index: number): boolean {
+    return !this.isCompleted(index) && !this.placements.has(index);
   }
 
-  addPlacement(p: Placement): void {
-    if (!this.placements.has(p.index) && !this.isCompleted(p.index)) this.placedNotDone++;
-    this.placements.set(p.index, p);
+  /** The task is placed, in place of an earlier placement. */
+  addPlacement(placement: Placement): void {
+    const { index } = placement;
+    if (this.isPending(index)) this.placedNotCompleted++;
+    this.placements.set(index, placement);
   }
 
+  /** The task isn't placed any more: it is pending, unless it is completed. */
   removePlacement(index: number): void {
     if (!this.placements.delete(index) || this.isCompleted(index)) return;
-    this.placedNotDone--;
+    this.placedNotCompleted--;
     if (index < this.cursor) this.requeued.add(index);
   }
-
-  /** Completions read back from the state service, or confirmed as written to it, from that byte on. */
-  confirmCompletions(segment: SegmentName, startByte: number, bytes: Uint8Array): void {
-    this.persistedSegments.add(segment);
-    for (let i = 0; i < bytes.length && startByte + i < this.durableBits.length; i++) {
-      this.durableBits[startByte + i] |= bytes[i];
-      this.completedBits[startByte + i] |= bytes[i];
-    }
-    let count = 0;
-    for (const byte of this.completedBits) for (let b = byte; b !== 0; b &= b - 1) count++;
-    this.completedCount = count;
-    this.placedNotDone = 0;
-    for (const index of this.placements.keys()) if (!this.isCompleted(index)) this.placedNotDone++;
-  }
 }
--- a/src/core/leader/deadline-predictor.ts
+++ b/src/core/leader/deadline-predictor.ts
@@ -1,9 +1,9 @@
-// Which jobs will miss their deadlines, as far as their owners' estimates tell: seen before it happens, for pipelines too.
+/** Predicts which jobs will miss their deadlines, as far as their owners' estimates tell, through DAG dependencies too. */
 import type { Job } from '../job.js';
 import type { JobId, MonotonicTime, WallTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
-const LOOK_MS = 2000;
+const UPDATE_INTERVAL_MS = 2000;
 
 /** Seconds that a job still takes from the moment at which it is ready, if nothing holds it up. */
 const remainingS = (job: Job, now: MonotonicTime): number => {
@@ -15,20 +15,21 @@
   return longest;
 };
 
-/** Predicts when jobs with a deadline end, and says so once when the prediction turns. */
+/** Predicts when jobs with a deadline end, and logs when a prediction turns. */
 export class DeadlinePredictor {
-  private lookedAt = -Infinity;
+  private lastUpdatedAt = -Infinity;
 
   constructor(private readonly state: LeaderState) {}
 
+  /** Predicts anew, if that is due. */
   update(now: MonotonicTime, wall: WallTime): void {
-    if (now - this.lookedAt < LOOK_MS) return;
-    this.lookedAt = now;
+    if (now - this.lastUpdatedAt < UPDATE_INTERVAL_MS) return;
+    this.lastUpdatedAt = now;
     const ends = new Map<JobId, number>();
     for (const job of this.state.jobs.values()) {
       if (job.spec.deadlineS === null || job.cancelled || job.finalizing) continue;
       const dueAt = job.record.submittedAt + job.spec.deadlineS * 1000;
-      this.note(job, (this.predictedEnd(job, ends, now, wall) - dueAt) / 1000);
+      this.recordPrediction(job, (this.predictedEnd(job, ends, now, wall) - dueAt) / 1000);
     }
   }
 
@@ -50,7 +51,7 @@
     return ends.get(job.id)!;
   }
 
-  private note(job: Job, lateS: number): void {
+  private recordPrediction(job: Job, lateS: number): void {
     const late = lateS > 0;
     if (late !== (job.predictedLateS !== null)) {
       const fields = { job: job.id, class: job.spec.class, lateS: Math.round(lateS), priority: job.priority };
--- a/src/core/leader/decision-log.ts
+++ b/src/core/leader/decision-log.ts
@@ -1,23 +1,24 @@
 /**
  * Log events and counters of what the leader decides about single tasks. The lines of all controllers, merged by job,
- * task, attempt and machine, tell why a task was started, stopped, given up or forgotten, and under which term.
+ * task, attempt and machine, tell why a task was started, stopped, released or forgotten, and under which term.
  */
 import type { Machine } from '../machine.js';
 import type { Job, Placement } from '../job.js';
 import type { Command, TaskStatus } from '../types.js';
 import type { Uint64, Term } from '../units.js';
+import type { LogLevel } from './effects.js';
 
-/** How commands reach a worker: with the answer to a report of that sequence number, or straight to its address. */
-export type CommandChannel = { via: 'report'; seq: Uint64 } | { via: 'direct' };
+/** How commands reach a worker: in reply to the heartbeat of that sequence number, or straight to its endpoint. */
+export type CommandChannel = { via: 'heartbeat'; sequence: Uint64 } | { via: 'direct' };
 
 /** Why the leader no longer counts a task as being on a machine. */
 export type ReleaseCause =
   | 'never told to its worker'
-  | 'stopped, and not started by a later report'
-  | 'not started by a worker that heeds no command'
+  | 'stopped, and not started by a later heartbeat'
+  | 'not started by a worker that acknowledges no command'
   | 'exited'
   | 'task vanished'
-  | 'session ended'
+  | 'incarnation ended'
   | 'machine gone';
 
 /** Counts since this leadership began, for the status page. */
@@ -30,10 +31,11 @@
   completed: number;
 }
 
-type Log = (level: 'info' | 'debug', fields: Record<string, unknown>, text: string) => void;
+type Log = (level: LogLevel, fields: Record<string, unknown>, text: string) => void;
 
 const countedAs = { start: 'started', stop: 'stopped', forget: 'forgotten' } as const;
 
+/** Counts and logs decisions. */
 export class DecisionLog {
   readonly counts: DecisionCounts = {
     started: 0,
@@ -49,30 +51,31 @@
     private readonly log: Log,
   ) {}
 
+  /** Commands go to the machine's worker. */
   recordCommandsSent(machine: Machine, commands: readonly Command[], channel: CommandChannel): void {
     const { term } = this;
-    const { id, incarnation } = machine;
+    const { incarnation } = machine.lastHeartbeat;
     for (const { op, job, index: task, attempt } of commands) {
       this.counts[countedAs[op]]++;
-      this.log(
-        'debug',
-        { op, job, task, attempt, machine: id, session: incarnation, term, ...channel },
-        'command sent',
-      );
+      const fields = { op, job, task, attempt, machine: machine.id, incarnation, term, ...channel };
+      this.log('debug', fields, 'command sent');
     }
   }
 
+  /** The task no longer counts as being on its machine. */
   recordReleased(job: Job, placement: Placement, cause: ReleaseCause): void {
     this.counts.released++;
     const { index: task, attempt, machine } = placement;
     this.log('debug', { job: job.id, task, attempt, machine, term: this.term, cause }, 'task released');
   }
 
+  /** A task of an earlier leader counts as being on the machine. */
   recordAdopted(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
     this.counts.adopted++;
     this.log('debug', { job, task, attempt, machine: machine.id, term: this.term }, 'task adopted');
   }
 
+  /** The task is done. */
   recordCompleted(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
     this.counts.completed++;
     this.log('debug', { job, task, attempt, machine: machine.id, term: this.term }, 'task completed');
--- /dev/null
+++ b/src/core/leader/detection-timeouts.ts
@@ -0,0 +1,98 @@
+/** After which time without a heartbeat a machine counts as unreachable, and as failed. */
+import type { WorkerTimings } from '../types.js';
+
+/** The longest time between two heartbeats of a worker, in heartbeat intervals. */
+const LONGEST_INTERVALS = 1.25;
+/** How long a heartbeat may take to the leader. */
+const DELIVERY_MARGIN_MS = 750;
+/** A machine has missed a heartbeat after so many of the longest intervals, and a margin. */
+const MISSED_LONGEST_INTERVALS = 1.5;
+const MISSED_MARGIN_S = 0.5;
+/** For so many heartbeat intervals, and a margin, after a partition its end is awaited: see `recoveryMs`. */
+const RECOVERY_INTERVALS = 2.5;
+const RECOVERY_MARGIN_MS = 5000;
+/** A single machine has failed after so many of the longest intervals, and a margin, or this part of a lease. */
+const FAILED_LONGEST_INTERVALS = 3;
+const FAILED_MARGIN_S = 1;
+const FAILED_LEASE_FRACTION = 0.6;
+/** What is unreachable with many others is fenced after this part of cancel_s, and not before so many leases. */
+const MASS_FAILURE_CANCEL_FRACTION = 0.6;
+const MASS_FAILURE_LEASES = 1.6;
+/** A machine of a partitioned zone is fenced after so many times cancel_s. */
+const PARTITION_CANCEL_FACTOR = 1.2;
+/** A machine must be fenced when it has held a cancelled task for this part of cancel_s. */
+const OVERDUE_CANCEL_FRACTION = 0.5;
+/** The same for a machine that may hold one of a job whose tasks aren't located. */
+const UNLOCATED_OVERDUE_CANCEL_FRACTION = 0.75;
+/** By this part of cancel_s it is fenced whatever this leader has seen of it: the remainder is the cloud's. */
+const LATEST_FENCE_CANCEL_FRACTION = 0.85;
+
+/** Computed from the workers' timings. */
+export class DetectionTimeouts {
+  constructor(private readonly workers: WorkerTimings) {}
+
+  /** Within this time a worker that is up has reported, whenever it did before. */
+  get heartbeatRoundMs(): number {
+    return this.workers.heartbeatIntervalS * (LONGEST_INTERVALS * 1000) + DELIVERY_MARGIN_MS;
+  }
+
+  /** A partition cuts off a whole zone at one moment, but each machine is noticed at its own next heartbeat. */
+  get missedHeartbeatMs(): number {
+    const intervalS = this.workers.heartbeatIntervalS * LONGEST_INTERVALS;
+    return (intervalS * MISSED_LONGEST_INTERVALS + MISSED_MARGIN_S) * 1000;
+  }
+
+  /** When a partition heals, the last machines to report again are few: they still get time to find a controller. */
+  get recoveryMs(): number {
+    return this.workers.heartbeatIntervalS * (RECOVERY_INTERVALS * 1000) + RECOVERY_MARGIN_MS;
+  }
+
+  /** For a machine that is unreachable while most others report. */
+  get failedMs(): number {
+    const { heartbeatIntervalS, leaseS } = this.workers;
+    const intervalS = heartbeatIntervalS * LONGEST_INTERVALS;
+    return (
+      Math.max(intervalS * FAILED_LONGEST_INTERVALS + FAILED_MARGIN_S, leaseS * FAILED_LEASE_FRACTION) * 1000
+    );
+  }
+
+  /** For machines that are unreachable together with many others. */
+  get massFailureMs(): number {
+    const { leaseS, cancelS } = this.workers;
+    return Math.max(
+      this.failedMs,
+      cancelS * MASS_FAILURE_CANCEL_FRACTION * 1000,
+      leaseS * MASS_FAILURE_LEASES * 1000,
+    );
+  }
+
+  /**
+   * For machines of a partitioned zone, which are whole. What they held is mostly not placed elsewhere (a spread service
+   * may not be), and where its image is cached it starts again as soon as the partition heals: a fenced zone has to boot
+   * and fetch first.
+   */
+  get partitionedMs(): number {
+    return Math.max(this.massFailureMs, this.workers.cancelS * PARTITION_CANCEL_FACTOR * 1000);
+  }
+
+  /** A cancelled task must be gone within cancel_s: so much of it is left to waiting, the remainder to the fence. */
+  get overdueCancelMs(): number {
+    return this.workers.cancelS * 1000 * OVERDUE_CANCEL_FRACTION;
+  }
+
+  /** The same for jobs whose tasks aren't located: of the machines that may hold one, most are whole. */
+  get unlocatedOverdueCancelMs(): number {
+    return this.workers.cancelS * 1000 * UNLOCATED_OVERDUE_CANCEL_FRACTION;
+  }
+
+  /**
+   * For a machine that may hold a task cancelled for so long. What users wait for began with the cancellation, not with
+   * this leadership. Guards against leaders that change, or lose and regain their authority, faster than each one's
+   * timeout: none would ever fence. A missed heartbeat is waited for, and when time is up one round of heartbeats.
+   */
+  overdueMs(cancelledForMs: number): number {
+    const leftMs = this.workers.cancelS * 1000 * LATEST_FENCE_CANCEL_FRACTION - cancelledForMs;
+    if (leftMs <= 0) return this.heartbeatRoundMs;
+    return Math.max(this.missedHeartbeatMs, Math.min(this.failedMs, leftMs));
+  }
+}
--- a/src/core/leader/direct-command-dispatcher.ts
+++ b/src/core/leader/direct-command-dispatcher.ts
@@ -1,23 +1,27 @@
-// Tells workers of new starts and stops at once, without waiting for their next report.
+/** Sends new starts and stops straight to workers, without waiting for their next heartbeat. */
 import { attemptKey } from '../task-status.js';
-import { type Machine } from '../machine.js';
+import type { Machine } from '../machine.js';
 import { commandsForMachine } from './machine-commands.js';
 import type { Command } from '../types.js';
 import type { MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
-/** Attempts kept on a worker only because a copy of their start may still arrive; beyond, starts go in answers. */
-const MAX_STARTS_ON_THE_WAY = 16;
+/**
+ * Attempts kept on a worker only because a copy of their start may still arrive; beyond, starts go in replies. Keeps
+ * heartbeats short on a machine that runs many tasks under one leader.
+ */
+const MAX_IN_FLIGHT_STARTS = 16;
 
-/** Commands that go straight to workers. */
+/** Sends direct commands, one request at a time to each worker. */
 export class DirectCommandDispatcher {
   constructor(private readonly state: LeaderState) {}
 
+  /** All starts and stops that are pending. */
   dispatch(now: MonotonicTime): void {
     for (const machine of [...this.state.machinesWithPendingCommands]) {
       if (machine.directCommandInFlight) continue;
       this.state.machinesWithPendingCommands.delete(machine);
-      if (this.canBeReached(machine)) this.dispatchTo(machine, now);
+      if (this.isCurrent(machine)) this.dispatchTo(machine, now);
     }
   }
 
@@ -26,33 +30,32 @@
     for (const machine of [...this.state.machinesWithPendingCommands]) {
       if (machine.directCommandInFlight || !machine.reconciled || !machine.endpointKnown) continue;
       const stops = commandsForMachine(machine, this.state.jobs, now).filter(
-        (c) => c.op === 'stop' && this.state.jobs.get(c.job)?.cancelled,
+        ({ op, job }) => op === 'stop' && this.state.jobs.get(job)?.cancelled,
       );
-      // It stays among those to be told: the rest of its commands waits for authority.
+      // The machine stays pending: its other commands wait for authority.
       if (stops.length > 0) this.send(machine, stops);
     }
   }
 
-  private canBeReached(machine: Machine): boolean {
+  private isCurrent(machine: Machine): boolean {
     return machine.reconciled && machine.endpointKnown && this.state.machines.get(machine.id) === machine;
   }
 
   private dispatchTo(machine: Machine, now: MonotonicTime): void {
-    // The bound keeps reports short on a machine that runs many tasks under one leader.
-    const direct = machine.inFlightStarts.size < MAX_STARTS_ON_THE_WAY;
+    const mayStart = machine.inFlightStarts.size < MAX_IN_FLIGHT_STARTS;
     const commands = commandsForMachine(machine, this.state.jobs, now).filter(
-      (c) => c.op === 'stop' || (c.op === 'start' && direct),
+      ({ op }) => op === 'stop' || (op === 'start' && mayStart),
     );
     if (commands.length === 0) {
-      if (machine.registration !== 'durable' && machine.placements.size > 0)
+      if (machine.registration.state !== 'durable' && machine.placements.size > 0)
         this.state.machinesWithPendingCommands.add(machine);
       return;
     }
-    for (const c of commands) if (c.op === 'start') this.noteStart(machine, c);
+    for (const command of commands) if (command.op === 'start') this.recordStart(machine, command);
     this.send(machine, commands);
   }
 
-  private noteStart(machine: Machine, { job, index, attempt }: Command): void {
+  private recordStart(machine: Machine, { job, index, attempt }: Command): void {
     const placement = this.state.jobs.get(job)?.placements.get(index);
     if (placement) placement.directStartInFlight = true;
     machine.inFlightStarts.recordSent(attemptKey(job, index, attempt));
@@ -60,13 +63,13 @@
 
   private send(machine: Machine, commands: Command[]): void {
     machine.directCommandInFlight = true;
-    const { id, incarnation, info } = machine;
+    const { id, info } = machine;
     this.state.decisionLog.recordCommandsSent(machine, commands, { via: 'direct' });
     this.state.effects.push({
       kind: 'send-direct-commands',
       machine: id,
       endpoint: info.endpoint,
-      incarnation: incarnation,
+      incarnation: machine.lastHeartbeat.incarnation,
       commands,
     });
   }
--- a/src/core/leader/effects.ts
+++ b/src/core/leader/effects.ts
@@ -1,8 +1,20 @@
-// What the leader asks the runtime to do, and what it is told at its start.
+/** What the leader asks the runtime to do, what it is told of the results, and its settings. */
 import type { ScaleOutRequest } from '../scaling/scale-out-plan.js';
-import type { Command, JobRecord, MachineInfo, TeamQuota, WorkerTimings, FinalState } from '../types.js';
+import type {
+  Command,
+  FinalState,
+  Heartbeat,
+  JobRecord,
+  MachineInfo,
+  TeamQuota,
+  WorkerTimings,
+} from '../types.js';
 import type { Uint64, Endpoint, JobId, MachineId, SegmentName, Revision } from '../units.js';
 
+/** Levels of the leader's log events. */
+export type LogLevel = 'info' | 'debug';
+
+/** One thing that the runtime is to do. */
 export type Effect =
   | {
       kind: 'write-final-record';
@@ -25,34 +37,50 @@
       incarnation: Uint64;
       commands: Command[];
     }
-  | { kind: 'log'; level: 'info' | 'debug'; fields: Record<string, unknown>; text: string };
+  | { kind: 'log'; level: LogLevel; fields: Record<string, unknown>; text: string };
+
+/** The outcome of writing a job's final record. */
+export type FinalRecordOutcome =
+  | { kind: 'ok'; state: FinalState }
+  | { kind: 'retry' }
+  | { kind: 'changed'; record: JobRecord; revision: Revision };
+
+/** The outcome of a request for machines; after `retry` the same request is to be made again. */
+export type ScaleOutOutcome = { machines: MachineId[] } | 'no-capacity' | 'retry';
 
+/**
+ * The outcome of commands that went straight to a worker. The worker's answer holds a heartbeat, unless that could not be
+ * read; `unsent` commands certainly didn't reach it.
+ */
+export type DirectCommandResult =
+  { kind: 'executed' | 'refused'; heartbeat: Heartbeat | null } | { kind: 'unsent' } | { kind: 'unknown' };
+
+/** The images in each machine's cache, with their sizes. */
 export type ImageLocations = Record<string, [string, number][]>;
 
+/** What a leader is told at its start. */
 export interface LeaderSettings {
   workers: WorkerTimings;
   teams: TeamQuota[];
   objectives: { kind: string; class?: string; within_s?: number }[];
+  /** How long an idle machine is kept. */
   idleHoldS: number;
+  /** How long the operators want the cloud provider left alone after it had no capacity. */
   capacityRetryS: number;
-  /** After so long without a start, a group goes before the others and room is held for it. */
+  /** After so long without a start, a job goes before the others and capacity is reserved for it. */
   agingS: number;
+  /** By how much the cloud provider's list of machines lags. */
   listLagS: number;
-  /** Room kept for work still to come, in standard deviations of its arrivals. */
+  /** Capacity kept for work still to come, in standard deviations of its arrivals. */
   headroom: number;
-  /** Whether one page of the durable roster can name all of these machines within the limit on a value. */
+  /** Whether one page of the machine registry can name all of these machines within the limit on a value. */
   fitsRegistryPage: (machines: MachineInfo[]) => boolean;
   /** Bytes of completions in one record. */
   segmentBytes: number;
   /** Records of progress written a second, at the most. */
   progressWritesPerS: number;
-  /** Machines looked at in one cycle, at the most. */
+  /** Machines examined in one scheduling cycle, at the most. */
   cycleWorkLimit: number;
   /** Uniform in [0, 1). */
   random: () => number;
 }
-
-export type FinalRecordOutcome =
-  | { kind: 'ok'; state: FinalState }
-  | { kind: 'retry' }
-  | { kind: 'changed'; record: JobRecord; revision: Revision };
--- a/src/core/leader/job-dependencies.ts
+++ b/src/core/leader/job-dependencies.ts
@@ -1,24 +1,23 @@
-// Jobs that wait for others: held until all that they depend on is done, cancelled with what they depend on, and treated
-// as urgent as the most urgent job that depends on them.
-import type { Job } from '../job.js';
+/**
+ * DAG dependencies: jobs are held until all that they depend on is done, cancelled with what they depend on, and treated
+ * as urgent as the most urgent job that depends on them.
+ */
+import type { InheritedUrgency, Job } from '../job.js';
 import { priorityRank, type FinalState, type Priority } from '../types.js';
 import type { JobId, MonotonicTime, WallTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
 /** Final states kept for jobs that are submitted only after those that they depend on. */
 const FINAL_STATES_KEPT = 20_000;
-/** Final records asked for at once: a new leader may have many to ask for, and has other questions too. */
-const MAX_LOOKUPS = 16;
+/** Final records being read at once: a new leader may have many to read, and has other questions too. */
+const MAX_OPEN_LOOKUPS = 16;
+/** A final record that was not found is read again after this time. */
 const LOOKUP_RETRY_MS = 500;
 
-interface Inherited {
-  priority: Priority;
-  dueAt: WallTime | null;
-}
-
+/** The reading of a job's final record. */
 interface Lookup {
   open: boolean;
-  askAgainAt: MonotonicTime;
+  retryAt: MonotonicTime;
 }
 
 /** The unfinished jobs that depend on others, by what they depend on. */
@@ -28,7 +27,7 @@
   private readonly finalStates = new Map<JobId, FinalState>();
   /** Jobs that others depend on and that are neither known as unfinished nor known to be final. */
   private readonly lookups = new Map<JobId, Lookup>();
-  private changed = false;
+  private urgencyChanged = false;
 
   constructor(
     private readonly state: LeaderState,
@@ -40,8 +39,8 @@
   addJob(job: Job, now: MonotonicTime): void {
     this.lookups.delete(job.id);
     for (const id of job.spec.dependsOn) this.dependOn(job, id, now);
-    if (job.spec.dependsOn.length > 0) this.changed = true;
-    if (this.dependents.has(job.id)) this.changed = true;
+    if (job.spec.dependsOn.length > 0) this.urgencyChanged = true;
+    if (this.dependents.has(job.id)) this.urgencyChanged = true;
     if (job.cancelled) this.cancelDependents(job.id);
     if (job.dependencyCancelled) return;
     if (job.ready) this.onReady(job, now);
@@ -59,7 +58,7 @@
     const dependents = this.dependents.get(id) ?? new Set<Job>();
     dependents.add(job);
     this.dependents.set(id, dependents);
-    if (!this.state.jobs.has(id)) this.lookups.set(id, { open: false, askAgainAt: now });
+    if (!this.state.jobs.has(id)) this.lookups.set(id, { open: false, retryAt: now });
   }
 
   private logWaiting(job: Job): void {
@@ -91,20 +90,24 @@
 
   /** The job is cancelled: so is all that depends on it, directly or through others. */
   cancelDependents(id: JobId): void {
-    this.changed = true;
+    this.urgencyChanged = true;
     const cancelled = [id];
-    for (let each = cancelled.pop(); each !== undefined; each = cancelled.pop()) {
-      const waiting = this.dependents.get(each);
-      this.dependents.delete(each);
-      for (const job of waiting ?? []) if (this.markCancelled(job, each)) cancelled.push(job.id);
+    for (let current = cancelled.pop(); current !== undefined; current = cancelled.pop()) {
+      const waiting = this.dependents.get(current);
+      this.dependents.delete(current);
+      for (const job of waiting ?? []) if (this.markCancelled(job, current)) cancelled.push(job.id);
     }
   }
 
-  /** False if it was marked before. */
+  /** Returns false if it was marked before. */
   private markCancelled(job: Job, dependency: JobId): boolean {
     if (job.dependencyCancelled) return false;
     job.dependencyCancelled = true;
-    this.state.log('info', { job: job.id, class: job.spec.class, dependency }, 'job cancelled with another');
+    this.state.log(
+      'info',
+      { job: job.id, class: job.spec.class, dependency },
+      'job cancelled with its dependency',
+    );
     this.state.changedSinceTick = true;
     return true;
   }
@@ -115,8 +118,8 @@
     let open = 0;
     for (const lookup of this.lookups.values()) if (lookup.open) open++;
     for (const [id, lookup] of this.lookups) {
-      if (open + due.length >= MAX_LOOKUPS) break;
-      if (lookup.open || now < lookup.askAgainAt) continue;
+      if (open + due.length >= MAX_OPEN_LOOKUPS) break;
+      if (lookup.open || now < lookup.retryAt) continue;
       lookup.open = true;
       due.push(id);
     }
@@ -128,7 +131,7 @@
     const lookup = this.lookups.get(id);
     if (!lookup) return;
     lookup.open = false;
-    lookup.askAgainAt = (now + LOOKUP_RETRY_MS) as MonotonicTime;
+    lookup.retryAt = (now + LOOKUP_RETRY_MS) as MonotonicTime;
     this.state.changedSinceTick = true;
     if (final !== null) this.onJobFinal(id, final, now);
     else if (!this.dependents.has(id)) this.lookups.delete(id);
@@ -136,17 +139,17 @@
 
   /** Passes priorities and due times back, from the jobs that depend on others to those others. */
   propagateUrgency(): void {
-    if (!this.changed) return;
-    this.changed = false;
-    const visited = new Map<JobId, Inherited | null>();
+    if (!this.urgencyChanged) return;
+    this.urgencyChanged = false;
+    const visited = new Map<JobId, InheritedUrgency | null>();
     for (const id of this.dependents.keys()) {
       const job = this.state.jobs.get(id);
       if (job) this.inherit(job, visited);
     }
   }
 
-  /** What the job inherits. Dependencies were accepted before, so there are no cycles; long chains need no recursion. */
-  private inherit(job: Job, visited: Map<JobId, Inherited | null>): void {
+  /** The job's inherited urgency. Dependencies were accepted before, so there are no cycles; long chains need no recursion. */
+  private inherit(job: Job, visited: Map<JobId, InheritedUrgency | null>): void {
     const stack = [job];
     while (stack.length > 0) {
       const top = stack.at(-1)!;
--- /dev/null
+++ b/src/core/leader/job-intake.ts
@@ -0,0 +1,95 @@
+/** Jobs as they become known to the leader: from their records in the state service, and from other controllers. */
+import { Job } from '../job.js';
+import type { ArrivalRates } from '../scaling/arrival-rates.js';
+import type { TypePenalties } from '../scheduler/type-penalties.js';
+import type { JobRecord } from '../types.js';
+import type { JobId, MonotonicTime, Revision, WallTime } from '../units.js';
+import type { JobDependencies } from './job-dependencies.js';
+import type { LeaderState } from './leader-state.js';
+
+/** What new jobs are made known to. */
+export interface JobIntakeDependencies {
+  state: LeaderState;
+  dependencies: JobDependencies;
+  arrivalRates: ArrivalRates;
+  typePenalties: TypePenalties;
+}
+
+/** A job's record, and when and from where it came. */
+export interface JobRecordUpdate {
+  id: JobId;
+  record: JobRecord;
+  revision: Revision;
+  /** Known before this leadership began: an earlier leader may have started its tasks. */
+  fromEarlierLeader: boolean;
+}
+
+/** Takes in records and cancellations. */
+export class JobIntake {
+  private readonly state: LeaderState;
+  private readonly dependencies: JobDependencies;
+  private readonly arrivalRates: ArrivalRates;
+  private readonly typePenalties: TypePenalties;
+
+  constructor({ state, dependencies, arrivalRates, typePenalties }: JobIntakeDependencies) {
+    this.state = state;
+    this.dependencies = dependencies;
+    this.arrivalRates = arrivalRates;
+    this.typePenalties = typePenalties;
+  }
+
+  /** A job's record as the state service has it, from the first load or from the watch. */
+  applyRecord(update: JobRecordUpdate, now: MonotonicTime, wall: WallTime): void {
+    const known = this.state.jobs.get(update.id);
+    if (known) this.updateKnown(known, update, now);
+    else this.add(update, now, wall);
+  }
+
+  private updateKnown(job: Job, { record, revision }: JobRecordUpdate, now: MonotonicTime): void {
+    // An older event than what we hold.
+    if (revision < job.revision) return;
+    const isNewlyCancelled = !job.cancelled && record.cancelledAt !== null;
+    job.record = record;
+    job.revision = revision;
+    if (isNewlyCancelled) this.cancel(job, now);
+  }
+
+  private add(
+    { id, record, revision, fromEarlierLeader }: JobRecordUpdate,
+    now: MonotonicTime,
+    wall: WallTime,
+  ): void {
+    const job = new Job(id, record, revision, fromEarlierLeader, now);
+    this.state.jobs.set(id, job);
+    this.state.changedSinceTick = true;
+    this.typePenalties.recordSpec(record.spec);
+    // Jobs that wait for no other were ready when they were submitted.
+    if (record.spec.dependsOn.length === 0) this.arrivalRates.recordArrival(record, now, wall);
+    this.dependencies.addJob(job, now);
+    const { class: name, tasks, image, estimateS, deadlineS } = record.spec;
+    this.state.log('debug', { job: id, class: name, tasks, image, estimateS, deadlineS }, 'job known');
+  }
+
+  /** A controller has told its user that the job is cancelled; its record may reach us much later. */
+  applyCancellation(id: JobId, now: MonotonicTime): void {
+    const job = this.state.jobs.get(id);
+    if (!job || job.cancellationConfirmedAt !== null) return;
+    const isNewlyCancelled = !job.cancelled;
+    job.cancellationConfirmedAt = now;
+    if (isNewlyCancelled) this.cancel(job, now);
+    this.state.changedSinceTick = true;
+  }
+
+  private cancel(job: Job, now: MonotonicTime): void {
+    this.state.placements.stopCancelled(job, now);
+    this.dependencies.cancelDependents(job.id);
+  }
+
+  /** All that the job depends on is done: from now on it waits like any other. */
+  onReady(job: Job, now: MonotonicTime): void {
+    job.waitingSince = now;
+    job.waitReason = { why: 'queued' };
+    this.state.needsScheduling = true;
+    if (job.spec.dependsOn.length > 0) this.arrivalRates.recordTasks(job.spec, now);
+  }
+}
--- a/src/core/leader/machine-commands.ts
+++ b/src/core/leader/machine-commands.ts
@@ -1,19 +1,22 @@
-// Wanted against actual, for one machine: what its worker must be told now.
+/** Compares the wanted tasks of a machine with those reported: which commands its worker must be sent now. */
 import { attemptKey } from '../task-status.js';
-import { type Machine } from '../machine.js';
+import type { Machine } from '../machine.js';
 import type { Job, Placement } from '../job.js';
 import type { Command, TaskStatus } from '../types.js';
 import { taskId, type JobId, type MonotonicTime } from '../units.js';
 
-const REPEAT_GRACE_MS = 4000;
+/** Grace ends after so many times what was granted, and a margin for the command's way to the worker. */
+const GRACE_FACTOR = 1.5;
+const GRACE_MARGIN_MS = 4000;
 
-/** Told to stop with time to save, and that time is well over: it is ended without. */
-const graceLeft = (p: Placement, now: MonotonicTime): number => {
-  if (!p.stop || p.stop.graceS === 0) return 0;
-  return now - p.stop.since > p.stop.graceS * 1500 + REPEAT_GRACE_MS ? 0 : p.stop.graceS;
+/** A task that was told to stop with time to save, and whose time is well over, is ended without. */
+const remainingGraceS = ({ stop }: Placement, now: MonotonicTime): number => {
+  if (!stop || stop.graceS === 0) return 0;
+  return now - stop.since > stop.graceS * (GRACE_FACTOR * 1000) + GRACE_MARGIN_MS ? 0 : stop.graceS;
 };
 
-const forReported = (
+/** The command for a reported task, if any: to stop it, or to forget it once it has exited. */
+const commandForReported = (
   machine: Machine,
   task: TaskStatus,
   job: Job | undefined,
@@ -22,7 +25,7 @@
 ): Command | null => {
   const ref = { job: task.job, index: task.index, attempt: task.attempt };
   if (task.state === 'exited') {
-    // A completion is forgotten only once it is durable: until then this report is the only proof of it.
+    // A completion is forgotten only once it is durable: until then this heartbeat is the only proof of it.
     if (job && task.cause === 'done' && !job.isDurable(task.index) && !job.finalizing && !job.cancelled)
       return null;
     if (job?.finalizing && task.cause === 'done') return null;
@@ -31,12 +34,12 @@
   }
   if (!job || !placement) return { op: 'stop', ...ref, gracePeriodS: 0 };
   if (!placement.stop) return null;
-  const graceS = graceLeft(placement, now);
+  const graceS = remainingGraceS(placement, now);
   if (task.state === 'saving' && graceS > 0) return null;
   return { op: 'stop', ...ref, gracePeriodS: graceS };
 };
 
-/** Commands for the answer to a report, or for an order sent straight to the worker. */
+/** Commands for the reply to a heartbeat, or for a direct command. */
 export const commandsForMachine = (
   machine: Machine,
   jobs: Map<JobId, Job>,
@@ -46,8 +49,8 @@
   for (const task of machine.reportedTasks.values()) {
     const placed = machine.placements.get(taskId(task.job, task.index));
     const own = placed && placed.placement.attempt === task.attempt ? placed.placement : undefined;
-    const c = forReported(machine, task, jobs.get(task.job), own, now);
-    if (c) commands.push(c);
+    const command = commandForReported(machine, task, jobs.get(task.job), own, now);
+    if (command) commands.push(command);
   }
   for (const { job, placement } of machine.placements.values()) {
     if (machine.reportedTasks.has(attemptKey(job.id, placement.index, placement.attempt))) continue;
@@ -57,7 +60,7 @@
       // as exited and never forgotten, and then the late start does nothing.
       if (placement.directStartOutcomeUnknown)
         commands.push({ op: 'start', ...ref }, { op: 'stop', ...ref, gracePeriodS: 0 });
-    } else if (machine.registration === 'durable' && machine.decommissioning === null) {
+    } else if (machine.registration.state === 'durable' && machine.decommissioning === null) {
       commands.push({ op: 'start', ...ref });
     }
   }
--- /dev/null
+++ b/src/core/leader/machine-registration.ts
@@ -0,0 +1,110 @@
+/** Registers machines in the durable machine registry before tasks start on them, and keeps its pages small. */
+import type { Machine } from '../machine.js';
+import type { MachineInfo } from '../types.js';
+import type { MonotonicTime } from '../units.js';
+import type { LeaderState } from './leader-state.js';
+import { MachineRegistry } from './machine-registry.js';
+
+/** Between two pages with new machines: machines that come up together share a page. */
+const REGISTER_INTERVAL_MS = 300;
+/** Between two rounds of tidying, and pages rewritten in one. */
+const TIDY_INTERVAL_MS = 500;
+const TIDY_PAGES_PER_ROUND = 3;
+
+/** Decides which pages of the registry are written, and when. */
+export class MachineRegistration {
+  private readonly registry = new MachineRegistry();
+  private pageCount = 0;
+  private lastRegisteredAt = -Infinity;
+  private lastTidiedAt = -Infinity;
+  /** The page to which machines of one that is too large are being moved. */
+  private splitTarget: string | null = null;
+
+  constructor(private readonly state: LeaderState) {}
+
+  /** An earlier leader registered the machine on that page. */
+  load(page: string, info: MachineInfo): void {
+    this.registry.load(page, info);
+  }
+
+  /** The machine is gone. */
+  remove({ id, registryPage }: Machine): void {
+    if (registryPage !== null) this.registry.remove(registryPage, id);
+  }
+
+  /** Writes are few: one write for up to a page of machines that come up together. */
+  registerMachines(now: MonotonicTime): void {
+    if (now - this.lastRegisteredAt < REGISTER_INTERVAL_MS) return;
+    const failed = this.registry.nextPageToWrite('failed', this.state.settings.fitsRegistryPage);
+    if (failed) {
+      this.lastRegisteredAt = now;
+      this.state.effects.push({ kind: 'write-registry-page', ...failed });
+      return;
+    }
+    const unregistered = this.unregisteredMachines();
+    if (unregistered.length > 0) {
+      this.lastRegisteredAt = now;
+      const page = this.openPage(unregistered.map(({ info }) => info));
+      for (const machine of unregistered) machine.registration = { state: 'writing', page };
+    }
+    if (now - this.lastTidiedAt < TIDY_INTERVAL_MS) return;
+    this.lastTidiedAt = now;
+    this.tidyPages();
+  }
+
+  /** Machines that report and aren't registered yet, as many as fit on a page. */
+  private unregisteredMachines(): Machine[] {
+    const found: Machine[] = [];
+    const infos: MachineInfo[] = [];
+    for (const machine of this.state.machines.values()) {
+      if (machine.registration.state !== 'unregistered' || !machine.endpointKnown) continue;
+      if (machine.decommissioning) continue;
+      if (infos.length > 0 && !this.state.settings.fitsRegistryPage([...infos, machine.info])) break;
+      found.push(machine);
+      infos.push(machine.info);
+    }
+    return found;
+  }
+
+  /** The outcome of writing a page: the machines on it are registered by it. */
+  onPageWritten(page: string, ok: boolean): void {
+    if (ok && page === this.splitTarget) this.splitTarget = null;
+    for (const id of this.registry.onPageWritten(page, ok)) {
+      const machine = this.state.machines.get(id);
+      // Gone while the page was being written.
+      if (!machine) this.registry.remove(page, id);
+      else this.recordRegistered(machine, page);
+    }
+  }
+
+  private recordRegistered(machine: Machine, page: string): void {
+    const { registration } = machine;
+    // On another page before: a durable one names it now, so that one need not any more.
+    if (registration.state !== 'unregistered' && registration.page !== page)
+      this.registry.remove(registration.page, machine.id);
+    machine.registration = { state: 'durable', page };
+    if (registration.state === 'durable') return;
+    machine.inSync = false;
+    if (machine.placements.size > 0) this.state.machinesWithPendingCommands.add(machine);
+  }
+
+  private openPage(machines: MachineInfo[]): string {
+    const page = `${this.state.leadership.term}-${++this.pageCount}`;
+    this.registry.openPage(page, machines);
+    this.state.effects.push({ kind: 'write-registry-page', page, machines });
+    return page;
+  }
+
+  /** A machine left on a page costs the next leader some waiting, nothing else: pages are tidied without haste. */
+  private tidyPages(): void {
+    const { fitsRegistryPage } = this.state.settings;
+    for (let i = 0; i < TIDY_PAGES_PER_ROUND; i++) {
+      const stale = this.registry.nextPageToWrite('stale', fitsRegistryPage);
+      if (!stale) break;
+      this.state.effects.push({ kind: 'write-registry-page', ...stale });
+    }
+    if (this.splitTarget) return;
+    const machines = this.registry.splitOversizedPage(fitsRegistryPage);
+    if (machines.length > 0) this.splitTarget = this.openPage(machines);
+  }
+}
--- a/src/core/leader/scheduling-queue.ts
+++ b/src/core/leader/scheduling-queue.ts
@@ -1,42 +1,44 @@
-// The order in which groups are placed: first those that waited long, then by priority and by when they are due.
+/** The order in which jobs are placed: first those that waited long, then by priority and by when they are due. */
 import { addResources } from '../resources.js';
-import { Job } from '../job.js';
+import type { Job } from '../job.js';
 import { priorityRank, type Resources } from '../types.js';
 import type { MonotonicTime, Team, WallTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
-const HOPELESS_MS = 86_400_000;
+/** A job that can't be in time any more counts as due so long after its submission. */
+const UNATTAINABLE_DUE_MS = 86_400_000;
 
-/** Whole groups before those that start piece by piece, which would take the room held for them; then by age. */
+/** Gangs before jobs that start task by task, which would take the capacity reserved for them; then by age. */
 const starvingOrder = (a: Job, b: Job): number =>
   Number(b.spec.kind === 'gang') - Number(a.spec.kind === 'gang') ||
   a.record.submittedAt - b.record.submittedAt;
 
 /**
  * Arrays by what is left of them, in steps of a doubling: where not all can be in time, the most are when those that
- * need least go first, and one that has begun ends before the next begins. Groups that start whole go before them.
+ * need least go first, and one that has begun ends before the next begins. Gangs and services go before them.
  */
 const workLeft = (job: Job): number =>
   job.spec.kind === 'array' ? Math.round(Math.log2(1 + job.pendingCount * job.spec.estimateS)) : 0;
 
+/** Queues the jobs with pending tasks. */
 export class SchedulingQueue {
+  /** Service-level objectives by class: seconds from submission to the end. */
   readonly finishObjectivesS = new Map<string, number[]>();
 
   constructor(private readonly state: LeaderState) {
-    for (const o of state.settings.objectives) {
-      if (o.kind !== 'finished' || o.class === undefined || o.within_s === undefined) continue;
-      this.finishObjectivesS.set(o.class, [...(this.finishObjectivesS.get(o.class) ?? []), o.within_s]);
+    for (const { kind, class: name, within_s: withinS } of state.settings.objectives) {
+      if (kind !== 'finished' || name === undefined || withinS === undefined) continue;
+      this.finishObjectivesS.set(name, [...(this.finishObjectivesS.get(name) ?? []), withinS]);
     }
   }
 
+  /** The jobs to be placed, in order; `blocked` ones have pending tasks as well, but are in back-off. */
   buildQueue(now: MonotonicTime, wall: WallTime): { queue: Job[]; blocked: Job[] } {
     const queue: Job[] = [];
     const blocked: Job[] = [];
     for (const job of this.state.jobs.values()) {
       if (job.cancelled || job.finalizing || job.pendingCount === 0 || !job.ready) continue;
-      const waitedForOthers = job.spec.dependsOn.length > 0;
-      const idleMs = job.hasRun || waitedForOthers ? now - job.waitingSince : wall - job.record.submittedAt;
-      job.waitedLong = job.placements.size === 0 && idleMs > this.state.settings.agingS * 1000;
+      job.waitedLong = this.hasWaitedLong(job, now, wall);
       if (this.state.mayRunOnUnreconciledMachine(job)) {
         job.waitReason = { why: 'task may still run on a silent machine' };
       } else if (now < job.errorBackoffUntil) {
@@ -48,8 +50,18 @@
       }
     }
     this.chooseStarving(queue);
-    const dues = new Map(queue.map((j) => [j, this.due(j, wall)]));
-    const due = (j: Job): number => dues.get(j)!;
+    this.sort(queue, wall);
+    return { queue, blocked };
+  }
+
+  private hasWaitedLong(job: Job, now: MonotonicTime, wall: WallTime): boolean {
+    const countsFromRelease = job.hasRun || job.spec.dependsOn.length > 0;
+    const waitedMs = countsFromRelease ? now - job.waitingSince : wall - job.record.submittedAt;
+    return job.placements.size === 0 && waitedMs > this.state.settings.agingS * 1000;
+  }
+
+  private sort(queue: Job[], wall: WallTime): void {
+    const dueTimes = new Map(queue.map((job) => [job, this.dueTime(job, wall)]));
     queue.sort(
       (a, b) =>
         Number(b.starving) - Number(a.starving) ||
@@ -57,15 +69,14 @@
         Number(b.withinGuarantee) - Number(a.withinGuarantee) ||
         priorityRank[b.priority] - priorityRank[a.priority] ||
         workLeft(a) - workLeft(b) ||
-        due(a) - due(b) ||
+        dueTimes.get(a)! - dueTimes.get(b)! ||
         (a.id < b.id ? -1 : 1),
     );
-    return { queue, blocked };
   }
 
   /**
-   * Of each class the oldest and the largest group that have waited long go before everybody else: so every class
-   * goes on being served, and large groups begin, through bursts of higher priority. Only these: where all are late,
+   * Of each class the oldest and the largest job that have waited long go before everybody else: so every class
+   * goes on being served, and large jobs begin, through bursts of higher priority. Only these: where all are late,
    * priorities still hold among the others.
    */
   private chooseStarving(queue: Job[]): void {
@@ -86,22 +97,23 @@
   }
 
   /**
-   * When a job should be over: the nearest aim that it can still meet. One that can meet none goes behind those
+   * When a job should be over: the nearest objective or deadline that it can still meet. One that can meet none goes behind those
    * that can, lest under overload everybody is late in turn.
    */
-  private due(job: Job, wall: WallTime): number {
+  private dueTime(job: Job, wall: WallTime): number {
     const { submittedAt } = job.record;
-    const aims = this.finishObjectivesS.get(job.spec.class) ?? [];
-    const limits = aims.map((s) => submittedAt + s * 1000);
-    if (job.dueAt !== null) limits.push(job.dueAt);
-    const soonest = wall + job.spec.estimateS * 1000;
-    const best = Math.min(...limits.filter((at) => at >= soonest));
-    if (best < Infinity) return best;
-    return limits.length === 0 ? submittedAt : submittedAt + HOPELESS_MS;
+    const objectivesS = this.finishObjectivesS.get(job.spec.class) ?? [];
+    const dueTimes = objectivesS.map((objectiveS) => submittedAt + objectiveS * 1000);
+    if (job.dueAt !== null) dueTimes.push(job.dueAt);
+    const earliestEnd = wall + job.spec.estimateS * 1000;
+    const nearest = Math.min(...dueTimes.filter((at) => at >= earliestEnd));
+    if (nearest < Infinity) return nearest;
+    return dueTimes.length === 0 ? submittedAt : submittedAt + UNATTAINABLE_DUE_MS;
   }
 
+  /** Whether the job was rejected a moment ago, and no capacity was gained since. */
   inBackoff(job: Job, now: MonotonicTime): boolean {
-    // Never for one that has waited long: the room held for it would go to others while it is in back-off.
+    // Never for one that has waited long: the capacity reserved for it would go to others while it is in back-off.
     return (
       !job.waitedLong &&
       now < job.backoffUntil &&
@@ -109,11 +121,12 @@
     );
   }
 
+  /** What each team's tasks take, against its quota. */
   teamUsage(): Map<Team, Resources> {
     const usage = new Map<Team, Resources>();
     for (const job of this.state.jobs.values()) {
       let tasks = job.placements.size;
-      // Not located: an earlier leader may have started them on a machine that is still silent.
+      // Not located: an earlier leader may have started them on a machine that is not yet reconciled.
       if (this.state.mayRunOnUnreconciledMachine(job)) tasks += job.pendingCount;
       if (tasks === 0) continue;
       const used = usage.get(job.spec.team) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
--- /dev/null
+++ b/src/core/leader/scheduling-round.ts
@@ -0,0 +1,163 @@
+/** One round of scheduling: builds the queue, runs a cycle on it, and carries out what the cycle decided. */
+import { newPlacement, type Job, type Placement } from '../job.js';
+import type { Machine } from '../machine.js';
+import { markWithinGuarantee } from '../scheduler/guarantees.js';
+import {
+  runSchedulingCycle,
+  type AssumedPlacement,
+  type CycleResult,
+} from '../scheduler/scheduling-cycle.js';
+import type { TypePenalties } from '../scheduler/type-penalties.js';
+import type { TeamQuota } from '../types.js';
+import {
+  attemptNumber,
+  type Attempt,
+  type JobId,
+  type MonotonicTime,
+  type Team,
+  type WallTime,
+} from '../units.js';
+import type { Autoscaler } from './autoscaler.js';
+import type { JobDependencies } from './job-dependencies.js';
+import { wideJitter } from './jitter.js';
+import type { LeaderState } from './leader-state.js';
+import type { SchedulingQueue } from './scheduling-queue.js';
+
+/** Tasks of one job considered in a cycle. */
+const MAX_TASKS_PER_JOB = 40;
+/** A job that was not placed waits for so long, twice as long with each further rejection. */
+const BACKOFF_MS = 400;
+const BACKOFF_MAX_MS = 5000;
+const BACKOFF_MAX_DOUBLINGS = 10;
+/** Nothing is placed on a machine without a heartbeat for so many heartbeat intervals. */
+const UNREACHABLE_INTERVALS = 2.5;
+/** Without any change, the autoscaler runs again after this time. */
+const RESCALE_MS = 1000;
+
+/** The parts of the leader that a round works with. */
+export interface SchedulingRoundDependencies {
+  state: LeaderState;
+  queue: SchedulingQueue;
+  dependencies: JobDependencies;
+  autoscaler: Autoscaler;
+  typePenalties: TypePenalties;
+}
+
+/** Runs a round whenever one is due. */
+export class SchedulingRound {
+  /** Machines that the last cycle examined: its cost. */
+  lastCycleWork = 0;
+  private readonly state: LeaderState;
+  private readonly queue: SchedulingQueue;
+  private readonly dependencies: JobDependencies;
+  private readonly autoscaler: Autoscaler;
+  private readonly typePenalties: TypePenalties;
+  private readonly quotas: Map<Team, TeamQuota>;
+  private attempts = 0;
+
+  constructor({ state, queue, dependencies, autoscaler, typePenalties }: SchedulingRoundDependencies) {
+    this.state = state;
+    this.queue = queue;
+    this.dependencies = dependencies;
+    this.autoscaler = autoscaler;
+    this.typePenalties = typePenalties;
+    this.quotas = new Map(state.settings.teams.map((team) => [team.name, team]));
+  }
+
+  /** Places what can be placed, and scales. */
+  runIfDue(now: MonotonicTime, wall: WallTime): void {
+    if (!this.state.needsScheduling && !this.isDue(now)) return;
+    this.state.needsScheduling = false;
+    this.dependencies.propagateUrgency();
+    markWithinGuarantee(this.state.jobs.values(), this.quotas);
+    const { queue, blocked } = this.queue.buildQueue(now, wall);
+    const result = this.runCycle(queue, now, wall);
+    this.lastCycleWork = result.machineEvaluations;
+    this.applyPlacements(result.placed, now);
+    this.preemptVictims(result, now);
+    for (const { job } of result.unplaced) this.backOff(job, now);
+    if (result.unprocessed.length > 0) this.state.needsScheduling = true;
+    this.logWaitReasons(queue);
+    this.autoscaler.scale([...result.unplaced.map(({ job }) => job), ...result.unprocessed, ...blocked], now);
+  }
+
+  private isDue(now: MonotonicTime): boolean {
+    for (const job of this.state.jobs.values()) {
+      if (!job.ready || job.cancelled) continue;
+      if (job.pendingCount > 0 && !this.queue.inBackoff(job, now) && now >= job.errorBackoffUntil)
+        return true;
+    }
+    return now - this.autoscaler.lastScaledAt > RESCALE_MS;
+  }
+
+  private runCycle(queue: Job[], now: MonotonicTime, wall: WallTime): CycleResult {
+    const { machines, jobs, resourcesOf, settings } = this.state;
+    return runSchedulingCycle({
+      machines,
+      queue,
+      jobs: jobs.values(),
+      resourcesOf,
+      usage: this.queue.teamUsage(),
+      quotas: this.quotas,
+      now,
+      wallTime: wall,
+      unreachableAfterMs: settings.workers.heartbeatIntervalS * (UNREACHABLE_INTERVALS * 1000),
+      maxTasksPerJob: MAX_TASKS_PER_JOB,
+      maxMachineEvaluations: settings.cycleWorkLimit,
+      typePenalty: (spec, type) => this.typePenalties.penaltyOf(spec, type),
+    });
+  }
+
+  /** The tasks of a gang find one another by their attempt, so they share one. */
+  private applyPlacements(placed: readonly AssumedPlacement[], now: MonotonicTime): void {
+    const gangAttempts = new Map<JobId, Attempt>();
+    for (const { job, index, machine } of placed) {
+      const attempt = gangAttempts.get(job.id) ?? attemptNumber(this.state.leadership.term, ++this.attempts);
+      if (job.spec.kind === 'gang') gangAttempts.set(job.id, attempt);
+      this.place(job, newPlacement(index, machine.id, attempt, now), machine, now);
+    }
+  }
+
+  private place(job: Job, placement: Placement, machine: Machine, now: MonotonicTime): void {
+    job.addPlacement(placement);
+    machine.assign(job, placement);
+    machine.idleSince = null;
+    job.placementRejections = 0;
+    placement.unpreemptible = job.starving;
+    this.state.machinesWithPendingCommands.add(machine);
+    const { index: task, attempt } = placement;
+    const { term } = this.state.leadership;
+    const waitedS = (now - job.waitingSince) / 1000;
+    const fields = { job: job.id, task, attempt, machine: machine.id, term, waitedS };
+    this.state.log('debug', fields, 'placed');
+  }
+
+  private preemptVictims({ victims }: CycleResult, now: MonotonicTime): void {
+    for (const { job, placement, reclaimedForTeam } of victims) {
+      const reason =
+        reclaimedForTeam === undefined ? 'preempted' : `preempted for the guarantee of ${reclaimedForTeam}`;
+      this.state.placements.evict(job, placement, reason, now);
+    }
+  }
+
+  private backOff(job: Job, now: MonotonicTime): void {
+    job.placementRejections++;
+    job.rejectedAtCapacityVersion = this.state.capacityVersion;
+    const doublings = Math.min(job.placementRejections, BACKOFF_MAX_DOUBLINGS);
+    const delayMs = Math.min(BACKOFF_MAX_MS, BACKOFF_MS * 2 ** doublings);
+    job.backoffUntil = now + delayMs * wideJitter(this.state.settings.random);
+  }
+
+  /** Why a job waits is logged whenever the reason changes. */
+  private logWaitReasons(queue: Job[]): void {
+    for (const job of queue) {
+      const why = job.pendingCount === 0 ? '' : job.waitReason.why;
+      if (why === job.loggedWaitReason) continue;
+      job.loggedWaitReason = why;
+      if (why === '') continue;
+      const { withinGuarantee, waitReason } = job;
+      const fields = { job: job.id, class: job.spec.class, withinGuarantee, ...waitReason };
+      this.state.log('info', fields, 'job waits');
+    }
+  }
+}
--- /dev/null
+++ b/src/core/leader/task-failure-handler.ts
@@ -0,0 +1,48 @@
+/** Tells bad machines and bad jobs apart by the tasks that fail: the one is quarantined, the other is slowed down. */
+import type { Job } from '../job.js';
+import type { Machine } from '../machine.js';
+import type { MonotonicTime } from '../units.js';
+import { narrowJitter } from './jitter.js';
+import type { LeaderState } from './leader-state.js';
+import type { MachinePool } from './machine-pool.js';
+
+/** Tasks of so many jobs failing on a machine condemn it; one job alone doesn't. */
+const QUARANTINE_FAILED_JOBS = 2;
+/** A job whose tasks failed on so many machines is put into back-off, longer each time. */
+const BACKOFF_FAILED_MACHINES = 3;
+const ERROR_BACKOFF_MS = 2000;
+const ERROR_BACKOFF_MAX_MS = 60_000;
+
+/** Draws the consequences of tasks that end with an error. */
+export class TaskFailureHandler {
+  constructor(
+    private readonly state: LeaderState,
+    private readonly machinePool: MachinePool,
+  ) {}
+
+  /** A task of the job has ended with an error on the machine. */
+  onTaskError(machine: Machine, job: Job, now: MonotonicTime): void {
+    machine.failedJobs.add(job.id);
+    job.errorMachines.add(machine.id);
+    job.errorCount++;
+    if (machine.failedJobs.size >= QUARANTINE_FAILED_JOBS && !machine.quarantined)
+      this.quarantine(machine, now);
+    if (job.errorMachines.size >= BACKOFF_FAILED_MACHINES) this.backOff(job, now);
+  }
+
+  private quarantine(machine: Machine, now: MonotonicTime): void {
+    machine.quarantined = true;
+    const fields = { machine: machine.id, jobs: machine.failedJobs.size };
+    this.state.log('info', fields, 'machine quarantined: fails tasks of several jobs');
+    this.machinePool.decommission(machine, 'fails tasks', now);
+  }
+
+  private backOff(job: Job, now: MonotonicTime): void {
+    const exponent = job.errorCount - BACKOFF_FAILED_MACHINES;
+    const delayMs = Math.min(ERROR_BACKOFF_MAX_MS, ERROR_BACKOFF_MS * 2 ** exponent);
+    job.errorBackoffUntil = now + delayMs * narrowJitter(this.state.settings.random);
+    job.errorMachines.clear();
+    const fields = { job: job.id, errors: job.errorCount, delayMs: Math.round(delayMs) };
+    this.state.log('info', fields, 'job fails on several machines, in back-off');
+  }
+}
--- /dev/null
+++ b/src/core/leader/task-reconciler.ts
@@ -0,0 +1,142 @@
+/** Squares the tasks that a worker reports with those that the leader has placed on its machine. */
+import { newPlacement, type Job, type Placement } from '../job.js';
+import type { Machine } from '../machine.js';
+import { attemptKey } from '../task-status.js';
+import type { Heartbeat, TaskStatus } from '../types.js';
+import type { MonotonicTime } from '../units.js';
+import { wideJitter } from './jitter.js';
+import type { LeaderState } from './leader-state.js';
+import type { MachinePool } from './machine-pool.js';
+import { TaskFailureHandler } from './task-failure-handler.js';
+
+/** How long, about, a job waits after a worker found no room for a task of it. */
+const NO_ROOM_BACKOFF_MS = 1000;
+
+/**
+ * How a heartbeat came. The worker executes the reply to a heartbeat before it sends the next one, or never; the answer
+ * to a direct command may overtake that reply, whatever its sequence number.
+ */
+export type HeartbeatSource = 'heartbeat' | 'direct command answer';
+
+/** Updates placements by what heartbeats say of tasks. */
+export class TaskReconciler {
+  private readonly failures: TaskFailureHandler;
+
+  constructor(
+    private readonly state: LeaderState,
+    machinePool: MachinePool,
+  ) {
+    this.failures = new TaskFailureHandler(state, machinePool);
+  }
+
+  /** The heartbeat lists all tasks of the machine: what is placed there and not listed has vanished, or never began. */
+  reconcile(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource, now: MonotonicTime): void {
+    for (const task of heartbeat.tasks) this.reconcileTask(machine, task, now);
+    for (const { job, placement } of [...machine.placements.values()]) {
+      if (machine.reportedTasks.has(attemptKey(job.id, placement.index, placement.attempt))) continue;
+      if (placement.directStartInFlight || placement.directStartOutcomeUnknown) continue;
+      if (placement.observed) this.state.placements.lose(job, placement, 'task vanished', now);
+      else if (placement.stop && settlesStart(heartbeat, source, placement))
+        this.state.placements.release(job, placement, 'stopped, and not started by a later heartbeat', now);
+    }
+  }
+
+  private reconcileTask(machine: Machine, task: TaskStatus, now: MonotonicTime): void {
+    const job = this.state.jobs.get(task.job);
+    if (!job || task.index >= job.spec.tasks) return;
+    if (hasUsedImage(task)) machine.recordImageUse(job.spec.image, job.spec.imageGb);
+    const placement = job.placements.get(task.index) ?? this.adoptIfWanted(machine, job, task, now);
+    const own =
+      placement && placement.machine === machine.id && placement.attempt === task.attempt
+        ? placement
+        : undefined;
+    if (task.state === 'exited') this.reconcileExit(machine, job, task, own, now);
+    else if (own) this.recordProgress(machine, job, own, task, now);
+  }
+
+  private recordProgress(
+    machine: Machine,
+    job: Job,
+    placement: Placement,
+    task: TaskStatus,
+    now: MonotonicTime,
+  ): void {
+    placement.observed = true;
+    const running = task.state === 'running' || task.state === 'waiting';
+    if (running && !placement.running) {
+      job.hasRun = true;
+      placement.runningSince = now;
+      const afterS = (now - placement.assignedAt) / 1000;
+      const fields = { job: job.id, task: task.index, machine: machine.id, afterS };
+      this.state.log('debug', fields, 'task has its image');
+    }
+    placement.running = running;
+  }
+
+  private reconcileExit(
+    machine: Machine,
+    job: Job,
+    task: TaskStatus,
+    own: Placement | undefined,
+    now: MonotonicTime,
+  ): void {
+    if (task.cause === 'done') this.recordCompletion(machine, job, task, own);
+    if (!own) return;
+    if (task.cause === 'error') this.failures.onTaskError(machine, job, now);
+    else if (task.cause === 'no_room')
+      job.backoffUntil = now + NO_ROOM_BACKOFF_MS * wideJitter(this.state.settings.random);
+    const { stop } = own;
+    this.state.placements.release(job, own, 'exited', now);
+    if (task.cause === 'done') return;
+    const { index, cause, saved } = task;
+    this.state.log(
+      cause === 'stopped' ? 'debug' : 'info',
+      { job: job.id, task: index, machine: machine.id, cause, saved, why: stop?.reason ?? null },
+      'task ended without completing',
+    );
+    if (job.spec.kind === 'gang')
+      this.state.placements.stopBrokenGang(job, `member ${index}: ${cause ?? 'no cause told'}`, now);
+  }
+
+  /** The tasks of a gang complete together. */
+  private recordCompletion(machine: Machine, job: Job, task: TaskStatus, own: Placement | undefined): void {
+    if (job.spec.kind === 'gang') for (let i = 0; i < job.spec.tasks; i++) job.markCompleted(i);
+    else job.markCompleted(task.index);
+    machine.failedJobs.clear();
+    if (own) this.state.decisionLog.recordCompleted(machine, task);
+  }
+
+  /** A task of an earlier leader is counted as placed where it runs, unless its job needs it no more. */
+  private adoptIfWanted(
+    machine: Machine,
+    job: Job,
+    task: TaskStatus,
+    now: MonotonicTime,
+  ): Placement | undefined {
+    if (task.state === 'exited' || job.isCompleted(task.index) || job.finalizing) return undefined;
+    const placement = newPlacement(task.index, machine.id, task.attempt, now);
+    placement.observed = true;
+    job.addPlacement(placement);
+    machine.assign(job, placement);
+    this.state.decisionLog.recordAdopted(machine, task);
+    if (job.cancelled) placement.stop = { graceS: 0, since: now, reason: 'cancelled' };
+    return placement;
+  }
+}
+
+/** Whether the task shows that its image is in the worker's cache, and was used just now. */
+const hasUsedImage = ({ state, cause }: TaskStatus): boolean =>
+  state === 'exited' ? cause === 'done' : state !== 'fetching' && !isRefusal(cause);
+
+const isRefusal = (cause: TaskStatus['cause']): boolean =>
+  cause === 'no_room' || cause === 'in_use' || cause === 'no_such';
+
+/** Whether the heartbeat shows that a start sent in reply to an earlier one was executed, or never will be. */
+const settlesStart = (
+  heartbeat: Heartbeat,
+  source: HeartbeatSource,
+  { startSentInReplyTo }: Placement,
+): boolean => {
+  if (startSentInReplyTo === null || heartbeat.incarnation > startSentInReplyTo.incarnation) return true;
+  return source === 'heartbeat' && heartbeat.sequence > startSentInReplyTo.sequence;
+};
--- a/src/core/machine.ts
+++ b/src/core/machine.ts
@@ -1,3 +1,4 @@
+/** A machine as the leader knows it: what its worker has reported, what is placed on it, and what is to become of it. */
 import {
   priorityRank,
   type Resources,
@@ -5,76 +6,88 @@
   type MachineType,
   type TaskStatus,
 } from './types.js';
-import { taskId, type Uint64, type JobId, type MachineId, type MonotonicTime, type TaskId } from './units.js';
+import { taskId, type JobId, type MachineId, type MonotonicTime, type TaskId } from './units.js';
+import { HeartbeatRecord } from './heartbeat-record.js';
+import { ImageCache } from './image-cache.js';
+import { InFlightStarts } from './in-flight-starts.js';
 import type { Job, Placement } from './job.js';
+import { ReplyTracker } from './reply-tracker.js';
 import { addResources, noResources } from './resources.js';
 import { attemptKey, type AttemptKey } from './task-status.js';
-import { InFlightStarts } from './in-flight-starts.js';
-
-export const UNACKNOWLEDGED_REPLIES_LIMIT = 2;
 
 /** What a machine's placements mean to the scheduler; made anew only when something changed there. */
 export interface MachineLoad {
-  /** Room that tasks already told to stop will leave. */
+  /** Resources that tasks already told to stop will release. */
   releasing: Resources;
   hasStoppingTasks: boolean;
   /** Images being fetched, with their sizes. */
   fetching: Map<string, number>;
-  /** By priority: what tasks of lower ones take that may be stopped; null: there are none. */
+  /** By priority: what tasks of lower ones take that may be preempted; null: there are none. */
   preemptibleBelow: (Resources | null)[];
 }
 
-/** A machine as observed: rented, listed, or known by its worker's reports. */
+/**
+ * What heartbeats say of a machine. Each state leads only to those after it:
+ * - `booting`: its worker has sent no heartbeat, and no earlier leader registered it
+ * - `awaiting-heartbeat`: registered by an earlier leader, so it may hold tasks; its endpoint isn't known
+ * - `reporting`: heartbeats arrive, but none yet under this leader's fencing token
+ * - `reconciled`: has reported under this leader's token: what it holds is known, and no earlier leader's command can
+ *   reach it
+ */
+export type MachineContact = 'booting' | 'awaiting-heartbeat' | 'reporting' | 'reconciled';
+
+/** Whether a page of the durable machine registry names the machine; no task is started on it before. */
+export type Registration =
+  { state: 'unregistered' } | { state: 'writing'; page: string } | { state: 'durable'; page: string };
+
+/** How a machine is given up: drained, or fenced with whatever it holds. */
+export interface Decommissioning {
+  mode: 'drain' | 'fence';
+  since: MonotonicTime;
+  deletionRequested: boolean;
+  /** May hold a cancelled task that must soon be gone. */
+  mayHoldOverdueTask: boolean;
+}
+
+/** A task as it is placed on a machine. */
+export interface MachinePlacement {
+  job: Job;
+  placement: Placement;
+}
+
+const UNREGISTERED: Registration = { state: 'unregistered' };
+const UNLIMITED: Resources = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
+
+/** A machine as observed: provisioned, listed by the cloud provider, or known by its worker's heartbeats. */
 export class Machine {
-  endpointKnown = false;
-  up = false;
   provisionedAt: MonotonicTime;
-  incarnation: Uint64 = 0;
-  sequence: Uint64 = 0;
-  lastHeartbeatAt: MonotonicTime | null = null;
-  /** The newest report of which the tasks below are. */
-  processedSequence: Uint64 | null = null;
-  /** Has reported under our token: what it holds is known, and no earlier leader's command can reach it. */
-  reconciled = false;
-  /** In the durable roster; no task is started here before. */
-  registration: 'none' | 'writing' | 'durable' = 'none';
-  /** The page of the roster that names this machine. */
-  registryPage: string | null = null;
-  /** The last report's tasks, by attempt: two attempts of a task can be listed at once. */
+  contact: MachineContact = 'booting';
+  readonly lastHeartbeat = new HeartbeatRecord();
+  registration: Registration = UNREGISTERED;
+  /** The last heartbeat's tasks, by attempt: two attempts of a task can be listed at once. */
   reportedTasks = new Map<AttemptKey, TaskStatus>();
-  lastHeartbeatTasks: TaskStatus[] = [];
-  /** Nothing to tell its worker, and nothing awaited from it: an unchanged report needs no work. */
+  /** No command for its worker, and none awaited to take effect: an unchanged heartbeat needs no work. */
   inSync = false;
-  /** An order to this worker is on its way. */
   directCommandInFlight = false;
   readonly inFlightStarts = new InFlightStarts();
-  private readonly placed = new Map<TaskId, { job: Job; placement: Placement }>();
-  private usedMemo: Resources | null = null;
-  private loadMemo: MachineLoad | null = null;
-  private readonly images = new Map<string, number>();
+  readonly replies = new ReplyTracker();
+  /** When the cloud provider's notice came that the spot instance will be interrupted. */
   interruptionNoticedAt: MonotonicTime | null = null;
-  interruptionAt: MonotonicTime | null = null;
-  /** Being given back to the cloud: nothing is placed here any more. */
-  decommissioning: {
-    reason: string;
-    since: MonotonicTime;
-    deletionRequested: boolean;
-    /** It may hold a cancelled task that must soon be gone. */
-    overdue?: boolean;
-  } | null = null;
+  /** Being given up: nothing is placed here any more. */
+  decommissioning: Decommissioning | null = null;
   idleSince: MonotonicTime | null = null;
-  readonly recentlyFailedJobs = new Map<JobId, MonotonicTime>();
+  /** Jobs of which a task failed here since the last one completed here. */
+  readonly failedJobs = new Set<JobId>();
   quarantined = false;
   firstListedAt: MonotonicTime | null = null;
-  /** Was listed by the cloud long enough, and is missing now: most likely gone. */
+  /** Was listed by the cloud provider long enough, and is missing now: most likely gone. */
   missingFromList = false;
-  /** Enrolled by an earlier leader. */
+  /** Registered by an earlier leader. */
   fromEarlierLeader = false;
-  /** When a report was last answered by us with authority, and since when without a silence. */
-  lastAnsweredAt: MonotonicTime | null = null;
-  answeredWithoutGapSince: MonotonicTime | null = null;
-  /** Answers with a start in a row that the worker's next report showed no sign of. */
-  unacknowledgedReplies = 0;
+  private readonly placed = new Map<TaskId, MachinePlacement>();
+  private readonly images = new ImageCache();
+  private allocatedMemo: Resources | null = null;
+  private loadMemo: MachineLoad | null = null;
 
   constructor(
     public info: MachineInfo,
@@ -84,26 +97,92 @@
     this.provisionedAt = now;
   }
 
-  get placements(): ReadonlyMap<TaskId, { job: Job; placement: Placement }> {
+  get id(): MachineId {
+    return this.info.id;
+  }
+
+  /** Its worker runs, or ran under an earlier leader. */
+  get up(): boolean {
+    return this.contact !== 'booting';
+  }
+
+  get reconciled(): boolean {
+    return this.contact === 'reconciled';
+  }
+
+  /** Its endpoint is known by a heartbeat. */
+  get endpointKnown(): boolean {
+    return this.contact === 'reporting' || this.contact === 'reconciled';
+  }
+
+  get lastHeartbeatAt(): MonotonicTime | null {
+    return this.lastHeartbeat.receivedAt;
+  }
+
+  /** The page of the machine registry that names it. */
+  get registryPage(): string | null {
+    return this.registration.state === 'unregistered' ? null : this.registration.page;
+  }
+
+  /** Whether tasks may be placed here. */
+  get schedulable(): boolean {
+    return (
+      this.reconciled &&
+      this.decommissioning === null &&
+      !this.quarantined &&
+      this.interruptionNoticedAt === null &&
+      // Guards against one-way partitions: starts sent there would be lost.
+      !this.replies.isUnacknowledged
+    );
+  }
+
+  /** Holds a task, or may hold one. */
+  get busy(): boolean {
+    if (this.placements.size > 0) return true;
+    for (const task of this.reportedTasks.values()) if (task.state !== 'exited') return true;
+    return false;
+  }
+
+  get placements(): ReadonlyMap<TaskId, MachinePlacement> {
     return this.placed;
   }
 
+  /** An earlier leader registered the machine under that page. */
+  recordRegisteredEarlier(page: string): void {
+    this.registration = { state: 'durable', page };
+    this.fromEarlierLeader = true;
+    this.contact = 'awaiting-heartbeat';
+  }
+
+  /** Its tasks leave before it is deleted. */
+  startDrain(now: MonotonicTime): void {
+    this.decommissioning = { mode: 'drain', since: now, deletionRequested: false, mayHoldOverdueTask: false };
+  }
+
+  /** It is deleted with whatever it holds. */
+  startFence(now: MonotonicTime, mayHoldOverdueTask: boolean): void {
+    this.decommissioning = { mode: 'fence', since: now, deletionRequested: false, mayHoldOverdueTask };
+  }
+
+  /** Counts a task as being here. */
   assign(job: Job, placement: Placement): void {
     this.placed.set(taskId(job.id, placement.index), { job, placement });
     this.invalidate();
   }
 
+  /** Counts a task as being here no longer. */
   unassign(job: JobId, index: number): void {
     if (this.placed.delete(taskId(job, index))) this.invalidate();
   }
 
-  /** What is known of its tasks has changed: sums are made anew, and its next report is looked at in full. */
+  /** What is known of its tasks has changed: sums are made anew, and its next heartbeat is processed in full. */
   invalidate(): void {
-    this.usedMemo = null;
+    this.allocatedMemo = null;
     this.loadMemo = null;
     this.inSync = false;
   }
 
+  /** Sums over its placements, for the scheduler. */
   loadSummary(): MachineLoad {
     if (this.loadMemo) return this.loadMemo;
     const load: MachineLoad = {
@@ -128,68 +207,39 @@
     return load;
   }
 
-  get id(): MachineId {
-    return this.info.id;
-  }
-
-  get schedulable(): boolean {
-    // A worker that heeds no command may be deaf: its reports arrive, but answers don't reach it.
-    const deaf = this.unacknowledgedReplies >= UNACKNOWLEDGED_REPLIES_LIMIT;
-    return (
-      this.up &&
-      this.reconciled &&
-      this.decommissioning === null &&
-      !this.quarantined &&
-      this.interruptionNoticedAt === null &&
-      !deaf
-    );
-  }
-
+  /** The images in its worker's cache, with their sizes. */
   cachedImages(): [string, number][] {
-    return [...this.images];
+    return this.images.entries();
   }
 
+  /** Whether its worker's cache holds the image. */
   hasImage(image: string): boolean {
     return this.images.has(image);
   }
 
-  /** The worker's cache keeps the most recently used images, as far as they fit. */
-  recordImageUse(image: string, gb: number): void {
+  /** A task here uses the image. */
+  recordImageUse(image: string, imageGb: number): void {
     this.loadMemo = null;
-    this.images.delete(image);
-    this.images.set(image, gb);
-    let total = 0;
-    for (const size of this.images.values()) total += size;
-    for (const [name, size] of this.images) {
-      if (total <= (this.type?.cacheGb ?? 0) || this.images.size === 1) break;
-      this.images.delete(name);
-      total -= size;
-    }
+    this.images.recordUse(image, imageGb, this.type?.cacheGb ?? 0);
   }
 
-  /** Everything that takes room here or may do so: reported tasks, and placements not reported yet. */
-  allocated(specOf: (job: JobId) => Resources | null): Resources {
-    if (this.usedMemo !== null) return this.usedMemo;
-    const sum = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const t of this.reportedTasks.values()) {
-      if (t.state === 'exited') continue;
-      if (this.placements.get(taskId(t.job, t.index))?.placement.attempt === t.attempt) continue;
-      const spec = specOf(t.job);
+  /** All that takes resources here or may do so: reported tasks, and placements not reported yet. */
+  allocated(resourcesOf: (job: JobId) => Resources | null): Resources {
+    if (this.allocatedMemo !== null) return this.allocatedMemo;
+    const sum = noResources();
+    for (const task of this.reportedTasks.values()) {
+      if (task.state === 'exited') continue;
+      if (this.placements.get(taskId(task.job, task.index))?.placement.attempt === task.attempt) continue;
+      const spec = resourcesOf(task.job);
       // A task of a job we no longer know takes an unknown amount: until it is gone, nothing else fits here.
-      if (spec === null) return { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
+      if (spec === null) return { ...UNLIMITED };
       addResources(sum, spec);
     }
     for (const { job, placement } of this.placements.values()) {
       if (this.reportedTasks.get(attemptKey(job.id, placement.index, placement.attempt))?.state !== 'exited')
         addResources(sum, job.spec);
     }
-    this.usedMemo = sum;
+    this.allocatedMemo = sum;
     return sum;
   }
-
-  get busy(): boolean {
-    if (this.placements.size > 0) return true;
-    for (const t of this.reportedTasks.values()) if (t.state !== 'exited') return true;
-    return false;
-  }
 }
--- a/src/runtime/leadership/leader-loop.ts
+++ b/src/runtime/leadership/leader-loop.ts
@@ -184,7 +184,7 @@
     const record = wire.parseJobRecord(data);
     const id = key.slice(wire.keys.activePrefix.length) as JobId;
     if (record) {
-      leader.applyJobRecord(id, record, stamp, earlier, steady(), wall());
+      leader.applyJobRecord({ id, record, revision: stamp, fromEarlierLeader: earlier }, steady(), wall());
       if (this.cancellations.has(id)) leader.applyCancellation(id, steady());
     } else this.log.error({ key }, 'damaged job record, not placed');
   }
@@ -371,7 +371,7 @@
       leader.onDirectCommandResult(
         e.machine,
         e.commands,
-        { kind, report: report.ok ? report.value : null },
+        { kind, heartbeat: report.ok ? report.value : null },
         steady(),
       );
     }
--- a/src/runtime/leadership/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -8,7 +8,7 @@
   type TransactionOutcome,
 } from '../key-value-store/key-value-store-client.js';
 import type { KeyValueStoreLimits } from '../../config/platform.js';
-import type { Effect, FinishOutcome } from '../../core/leader/leader.js';
+import type { Effect, FinalRecordOutcome } from '../../core/leader/leader.js';
 import type { FinalState, MachineInfo } from '../../core/types.js';
 import type { JobId, SegmentName, Revision } from '../../core/units.js';
 import * as wire from '../../wire/key-value-store.js';
@@ -50,7 +50,7 @@
   }
 
   /** Replaces the job's active record by its final one, and deletes its progress. */
-  async writeFinalRecord(e: Extract<Effect, { kind: 'write-final-record' }>): Promise<FinishOutcome> {
+  async writeFinalRecord(e: Extract<Effect, { kind: 'write-final-record' }>): Promise<FinalRecordOutcome> {
     const { keys } = wire;
     const atOnce = Math.max(0, this.limits.txnOps - FINISH_CHANGES);
     const progress = e.segments.map((segment) => keys.progress(e.job, segment));
@@ -74,7 +74,7 @@
   }
 
   /** The record changed under us: a cancellation came first, or our own lost write was carried out. */
-  private async reread(job: JobId): Promise<FinishOutcome> {
+  private async reread(job: JobId): Promise<FinalRecordOutcome> {
     const active = await this.store.get(wire.keys.active(job), budgetReserves.urgent);
     const record = active.kind === 'ok' ? wire.parseJobRecord(active.value.data) : null;
     if (active.kind === 'ok' && record) return { kind: 'changed', record, revision: active.value.revision };
--- a/src/test/fault-combinations-delayed-commands.test.ts
+++ b/src/test/fault-combinations-delayed-commands.test.ts
@@ -31,7 +31,8 @@
       for (const { op, job: jobId, index } of commands) {
         const job = this['state'].jobs.get(jobId);
         const placement = job?.placements.get(index);
-        if (job && placement && op === 'start') this['state'].releasePlacement(job, placement, 'exited', now);
+        if (job && placement && op === 'start')
+          this['state'].placements.release(job, placement, 'exited', now);
       }
     },
   );
--- a/src/test/heartbeat-handler.test.ts
+++ b/src/test/heartbeat-handler.test.ts
@@ -250,7 +250,7 @@
     await new Promise((r) => setImmediate(r));
     return asked.join(' ');
   };
-  const seen = (): unknown => world.leader.machines.get('host-1' as MachineId)?.sequence;
+  const seen = (): unknown => world.leader.machines.get('host-1' as MachineId)?.lastHeartbeat.sequence;
   return { world, report, seen };
 };
 
@@ -287,7 +287,7 @@
   assert.equal(seen(), 4, 'not taken in');
   assert.equal(await report(6), 'forwarded-heartbeat');
   // The leader has read a newer report, as from an order's answer: the base is not the same any more.
-  world.leader.machines.get('host-1' as MachineId)!.processedSequence = 7;
+  world.leader.machines.get('host-1' as MachineId)!.lastHeartbeat.processedSequence = 7;
   assert.equal(await report(8), 'unchanged-heartbeats');
   assert.equal(seen(), 6);
   assert.equal(await report(9), 'forwarded-heartbeat');
--- a/src/test/key-value-store-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -2,8 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parsePlatformSettings } from '../config/platform.js';
-import { JobCompletion } from '../core/leader/job-completion.js';
 import { JobDependencies } from '../core/leader/job-dependencies.js';
+import { JobFinalizer } from '../core/leader/job-finalizer.js';
+import { ProgressWriter } from '../core/leader/progress-writer.js';
 import type { Effect, LeaderSettings } from '../core/leader/effects.js';
 import { LeaderState } from '../core/leader/leader-state.js';
 import { Job } from '../core/job.js';
@@ -49,13 +50,15 @@
   const spec = jobSpec('wk-1', { tasks });
   const job = new Job(spec.id, { spec, submittedAt: 0 as WallTime, cancelledAt: null }, 1, false, now);
   state.jobs.set(job.id, job);
-  const completion = new JobCompletion(state, new JobDependencies(state, () => undefined));
+  const finalizer = new JobFinalizer(state, new JobDependencies(state, () => undefined));
+  const progress = new ProgressWriter(state);
   let time = 0;
   const flush = (): ProgressEffect[] => {
-    completion.finishJobs((time += 2000) as MonotonicTime);
+    finalizer.finishJobs();
+    progress.writeIfDue((time += 2000) as MonotonicTime);
     return state.takeEffects().filter((e): e is ProgressEffect => e.kind === 'write-progress');
   };
-  return { job, completion, flush };
+  return { job, progress, flush };
 };
 
 test('progress of 100,000 tasks under 2 KiB: each record fits, and a new leader reads all of it back', () => {
@@ -68,25 +71,25 @@
   for (const { segment, bytes: bits } of writes) {
     const data = progressRecordData(bits);
     assert.ok(fitsValue(data, 2), `${segment} is too large`);
-    next.completion.loadProgress(job.id, segment, Buffer.from(parseProgressRecord(data)!, 'base64'));
+    next.progress.loadProgress(job.id, segment, Buffer.from(parseProgressRecord(data)!, 'base64'));
   }
   assert.equal(next.job.completedCount, job.completedCount);
   assert.ok(next.job.isDurable(99_999) && !next.job.isCompleted(99_998));
 });
 
 test('only segments with new completions are written; a failed write is repeated with what came meanwhile', () => {
-  const { job, completion, flush } = bookkeeping(30_000, segmentBytes(2));
+  const { job, progress, flush } = bookkeeping(30_000, segmentBytes(2));
   job.markCompleted(0);
   const [first] = flush();
   job.markCompleted(1);
   assert.deepEqual(flush(), [], 'a write is under way');
-  completion.onProgressWritten(job.id, first.segment, first.bytes, false);
+  progress.onProgressWritten(job.id, first.segment, first.bytes, false);
   const again = flush();
   assert.deepEqual(
     again.map((e) => [e.segment, e.bytes[0]]),
     [[first.segment, 3]],
   );
-  completion.onProgressWritten(job.id, first.segment, again[0].bytes, true);
+  progress.onProgressWritten(job.id, first.segment, again[0].bytes, true);
   assert.deepEqual(flush(), []);
   job.markCompleted(29_999);
   assert.deepEqual(
@@ -115,14 +118,14 @@
 });
 
 test('large segments of an earlier leader stay valid beside small ones, and all are dropped with the job', () => {
-  const { job, completion, flush } = bookkeeping(100_000, segmentBytes(2));
+  const { job, progress, flush } = bookkeeping(100_000, segmentBytes(2));
   const earlier = new Uint8Array(2048).fill(255);
-  completion.loadProgress(job.id, '1' as SegmentName, earlier);
+  progress.loadProgress(job.id, '1' as SegmentName, earlier);
   assert.equal(job.completedCount, 16_384);
   assert.ok(job.isDurable(16_384) && !job.isDurable(16_383));
   job.markCompleted(16_383);
-  for (const e of flush()) completion.onProgressWritten(job.id, e.segment, e.bytes, true);
-  assert.deepEqual([...job.persistedSegments], ['1', '1x1527']);
+  for (const e of flush()) progress.onProgressWritten(job.id, e.segment, e.bytes, true);
+  assert.deepEqual([...job.progress.persistedSegments], ['1', '1x1527']);
 });
 
 const machine = (n: number): MachineInfo => ({
--- a/src/test/large-cluster.test.ts
+++ b/src/test/large-cluster.test.ts
@@ -96,6 +96,6 @@
   const kind = (e: (typeof first)[number]): string => `${e.order.type} ${e.order.zone}`;
   assert.ok(!requests(10).some((e) => kind(e) === kind(first[0])), 'not before the rest is over');
   assert.ok(
-    renting['refusedUntil'].get(capacityKey(first[0].order.type, first[0].order.zone, false))! <= 16_000,
+    renting['unavailableUntil'].get(capacityKey(first[0].order.type, first[0].order.zone, false))! <= 16_000,
   );
 });
--- a/src/test/leader-simulation.test.ts
+++ b/src/test/leader-simulation.test.ts
@@ -252,7 +252,7 @@
 test('the invariant checker detects a leader that forgets a job', () => {
   class Forgetful extends Leader {
     override applyJobRecord(...a: Parameters<Leader['applyJobRecord']>): void {
-      if (a[0] !== 'wk-2') super.applyJobRecord(...a);
+      if (a[0].id !== 'wk-2') super.applyJobRecord(...a);
     }
   }
   const day = new LeaderSimulation(12, (...a) => new Forgetful(...a));
--- a/src/test/mutations-fault-combinations.test.ts
+++ b/src/test/mutations-fault-combinations.test.ts
@@ -9,7 +9,7 @@
   zoneBoundJobsLoseMachines,
   partitionZoneDuringFailover,
 } from './sim/fault-scenarios.js';
-import { Leader } from '../core/leader/leader.js';
+import { Recovery } from '../core/leader/recovery.js';
 import { MachinePool } from '../core/leader/machine-pool.js';
 import { LeaderState } from '../core/leader/leader-state.js';
 import { Snapshot } from '../core/scheduler/snapshot.js';
@@ -29,7 +29,7 @@
 
 test('mutation: a new leader places tasks before machines are reconciled', async (t: TestContext) => {
   t.mock.method(LeaderState.prototype, 'mayRunOnUnreconciledMachine', () => false);
-  t.mock.method(Leader.prototype, 'readyToPlace' as 'takeEffects', () => true as never);
+  t.mock.method(Recovery.prototype, 'isComplete', () => true);
   assert.match(await found(leadersChangeTenTimes(0)), /ran_twice|wrong_place/);
 });
 
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -163,7 +163,7 @@
   const a = makeMachine('a', 'large', 'east');
   placeRunningTask(a, makeJob('wk-8', { image: 'img-8', imageGb: 30 }), 0).running = false;
   const b = makeMachine('b', 'large', 'east');
-  b.up = b.reconciled = false;
+  b.contact = 'booting';
   b.provisionedAt = (now - 18_000) as MonotonicTime;
   const waits = makeJob('wk-1', { image: 'img-1', imageGb: 30 });
   assert.deepEqual(describeDecisions(runTestCycle([a, b], [waits])), []);
@@ -284,7 +284,7 @@
   big.removePlacement(98_304);
   assert.deepEqual(big.firstPending(2), [98_304, 98_305]);
   big.markCompleted(99_999);
-  assert.deepEqual([...big.unpersistedCompletions], [99_999]);
+  assert.deepEqual([...big.progress.unpersisted], [99_999]);
   assert.ok(!big.isDurable(99_999));
 });
 
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -103,7 +103,11 @@
     this.specs.set(spec.id, spec);
     const wall = this.clock.now as WallTime;
     const record = { spec, submittedAt: wall, cancelledAt: null };
-    this.leader.applyJobRecord(spec.id, record, ++this.revision, false, this.now, wall);
+    this.leader.applyJobRecord(
+      { id: spec.id, record, revision: ++this.revision, fromEarlierLeader: false },
+      this.now,
+      wall,
+    );
     return spec.id;
   }
 
@@ -159,7 +163,12 @@
   }
 
   onCommandsExecuted(sent: DirectCommands, report: Heartbeat): void {
-    this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'executed', report }, this.now);
+    this.leader.onDirectCommandResult(
+      sent.machine,
+      sent.commands,
+      { kind: 'executed', heartbeat: report },
+      this.now,
+    );
   }
 
   onCommandsUnanswered(sent: DirectCommands): void {
--- a/src/test/sim/leader-simulation.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -122,7 +122,12 @@
   private watchEvent(id: JobId, record: JobRecord, stamp: number): void {
     this.clock.after(NETWORK_MS, () => {
       if (this.keyValueStoreUnavailable) this.clock.after(500, () => this.watchEvent(id, record, stamp));
-      else this.leader?.applyJobRecord(id, record, stamp, false, this.steady(), this.wall());
+      else
+        this.leader?.applyJobRecord(
+          { id, record, revision: stamp, fromEarlierLeader: false },
+          this.steady(),
+          this.wall(),
+        );
     });
   }
 
@@ -156,7 +161,11 @@
       for (const m of machines) leader.loadMachine(m, page, this.steady());
     }
     for (const [id, { record, stamp }] of this.records) {
-      leader.applyJobRecord(id, record, stamp, true, this.steady(), this.wall());
+      leader.applyJobRecord(
+        { id, record, revision: stamp, fromEarlierLeader: true },
+        this.steady(),
+        this.wall(),
+      );
     }
     for (const p of this.progress.values()) leader.loadProgress(p.job, p.segment, p.bytes);
     this.leader = leader;
@@ -188,7 +197,7 @@
     const ok = !this.keyValueStoreUnavailable;
     switch (e.kind) {
       case 'log':
-        if (e.level === 'info' && e.text !== 'fleet')
+        if (e.level === 'info' && e.text !== 'machine usage')
           this.addTraceLine(`  ${e.text} ${JSON.stringify(e.fields)}`);
         return;
       case 'write-registry-page':
@@ -263,7 +272,7 @@
         this.lateCopy(() => worker.alive && !worker.unreachable && run());
       const kind = r.executed ? 'executed' : 'refused';
       this.later(leader, NETWORK_MS, () => {
-        leader.onDirectCommandResult(e.machine, e.commands, { kind, report: r.report }, this.steady());
+        leader.onDirectCommandResult(e.machine, e.commands, { kind, heartbeat: r.report }, this.steady());
       });
     };
     const silent =
--- a/src/test/sim/scheduling-cycle-fixtures.ts
+++ b/src/test/sim/scheduling-cycle-fixtures.ts
@@ -34,7 +34,7 @@
     types.find((t) => t.name === type),
     now,
   );
-  m.up = m.reconciled = true;
+  m.contact = 'reconciled';
   return m;
 };
 
