--- a/lint/plugin.js
+++ b/lint/plugin.js
@@ -35,7 +35,7 @@
   meta: { type: 'suggestion', schema: [], messages: { missing: 'A module begins with a doc comment.' } },
   create: (context) => ({
     Program(node) {
-      const [first] = context.sourceCode.getAllComments();
+      const [first] = context.sourceCode.getAllComments().filter((comment) => comment.type !== 'Shebang');
       const firstToken = context.sourceCode.getFirstToken(node);
       const isDocComment = first?.type === 'Block' && first.value.startsWith('*');
       if (!isDocComment || (firstToken && first.range[0] > firstToken.range[0]))
