--- a/src/core/task-status.ts
+++ b/src/core/task-status.ts
@@ -4,6 +4,8 @@
 
 /** Names one attempt of one task. */
 export type AttemptKey = string & { readonly attemptKey: unique symbol };
+
+/** The key of this attempt. */
 export const attemptKey = (job: JobId, index: number, attempt: number): AttemptKey =>
   `${job}/${index}#${attempt}` as AttemptKey;
 
@@ -11,9 +13,14 @@
 export const sameTaskStatuses = (a: TaskStatus[], b: TaskStatus[]): boolean => {
   if (a.length !== b.length) return false;
   for (let i = 0; i < a.length; i++) {
-    const x = a[i];
-    const y = b[i];
-    if (x.state !== y.state || x.attempt !== y.attempt || x.index !== y.index || x.job !== y.job)
+    const left = a[i];
+    const right = b[i];
+    if (
+      left.state !== right.state ||
+      left.attempt !== right.attempt ||
+      left.index !== right.index ||
+      left.job !== right.job
+    )
       return false;
   }
   return true;
