--- a/src/runtime/key-value-store/token-bucket.ts
+++ b/src/runtime/key-value-store/token-bucket.ts
@@ -1,42 +1,47 @@
-/** Token bucket: `rate` a second, with a burst. Keeps what we send below a service's published limits. */
+/** Token bucket: keeps what is sent below a service's published limits. */
+
+const MS_PER_S = 1000;
+
+/** Fills at a rate a second, up to a burst. */
 export class TokenBucket {
-  private level: number;
-  private at: number;
+  private tokens: number;
+  private refilledAt: number;
 
   constructor(
-    private rate: number,
+    private ratePerS: number,
     private burst: number,
     now: number,
   ) {
-    this.level = burst;
-    this.at = now;
+    this.tokens = burst;
+    this.refilledAt = now;
   }
 
-  setRate(rate: number, burst: number, now: number): void {
+  /** What was saved up stays, as far as the new burst allows. */
+  setRate(ratePerS: number, burst: number, now: number): void {
     this.refill(now);
-    this.rate = rate;
+    this.ratePerS = ratePerS;
     this.burst = burst;
-    this.level = Math.min(this.level, burst);
+    this.tokens = Math.min(this.tokens, burst);
   }
 
-  /** Takes n if that leaves `reserve`; urgent callers pass a lower reserve than the others. */
-  take(n: number, now: number, reserve = 0): boolean {
+  /** Takes `count` if that leaves `reserve`; urgent callers pass a lower reserve than the others. */
+  take(count: number, now: number, reserve = 0): boolean {
     this.refill(now);
-    if (this.level - n < reserve) return false;
-    this.level -= n;
+    if (this.tokens - count < reserve) return false;
+    this.tokens -= count;
     return true;
   }
 
-  /** Milliseconds until n could be taken, if nobody else took any. */
-  waitMs(n: number, now: number, reserve = 0): number {
+  /** Milliseconds until `count` could be taken, if nobody else took any. */
+  waitMs(count: number, now: number, reserve = 0): number {
     this.refill(now);
-    const missing = n + reserve - this.level;
+    const missing = count + reserve - this.tokens;
     if (missing <= 0) return 0;
-    return n + reserve > this.burst ? Infinity : (missing / this.rate) * 1000;
+    return count + reserve > this.burst ? Infinity : (missing / this.ratePerS) * MS_PER_S;
   }
 
   private refill(now: number): void {
-    this.level = Math.min(this.burst, this.level + ((now - this.at) / 1000) * this.rate);
-    this.at = now;
+    this.tokens = Math.min(this.burst, this.tokens + ((now - this.refilledAt) / MS_PER_S) * this.ratePerS);
+    this.refilledAt = now;
   }
 }
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -1,44 +1,58 @@
+/** Structured log lines on standard error. */
 import { pino } from 'pino';
 
 type Level = 'error' | 'info' | 'debug';
 type Fields = Record<string, unknown>;
 
-const levelFrom = (raw: string | undefined): Level => (raw === 'error' || raw === 'debug' ? raw : 'info');
+const MIN_INTERVAL_MS = 1000;
+const MAX_KEYS = 500;
 
-/** Structured lines on standard error, written synchronously: a killed process loses none. */
+const parseLevel = (raw: string | undefined): Level => (raw === 'error' || raw === 'debug' ? raw : 'info');
+
+/** Writes synchronously: a killed process loses no line. */
 export class Logger {
   private readonly sink;
-  private readonly seen = new Map<string, { at: number; skipped: number }>();
+  private readonly lastWritten = new Map<string, { at: number; skipped: number }>();
 
   constructor(name: string, level: string | undefined = process.env['LOG_LEVEL']) {
     this.sink = pino(
-      { level: levelFrom(level), base: { node: name }, formatters: { level: (label) => ({ level: label }) } },
+      {
+        level: parseLevel(level),
+        base: { node: name },
+        formatters: { level: (label) => ({ level: label }) },
+      },
       pino.destination({ dest: 2, sync: true }),
     );
   }
 
+  /** What needs an operator. */
   error(fields: Fields, text: string): void {
     this.sink.error(fields, text);
   }
 
+  /** What the controller does, in normal operation. */
   info(fields: Fields, text: string): void {
     this.sink.info(fields, text);
   }
 
+  /** Each single request, lease renewal and placement. */
   debug(fields: Fields, text: string): void {
     this.sink.debug(fields, text);
   }
 
-  /** At most one line a second for each key: a failing neighbour must not cost us our processor share. */
+  /**
+   * At most one line a second for each key. Guards against a failing neighbour that costs this controller its share of
+   * the processor.
+   */
   rateLimited(key: string, level: Level, fields: Fields, text: string): void {
     const now = performance.now();
-    const last = this.seen.get(key);
-    if (last && now - last.at < 1000) {
+    const last = this.lastWritten.get(key);
+    if (last && now - last.at < MIN_INTERVAL_MS) {
       last.skipped++;
       return;
     }
-    if (this.seen.size > 500) this.seen.clear();
-    this.seen.set(key, { at: now, skipped: 0 });
+    if (this.lastWritten.size > MAX_KEYS) this.lastWritten.clear();
+    this.lastWritten.set(key, { at: now, skipped: 0 });
     this.sink[level](last?.skipped ? { ...fields, skipped: last.skipped } : fields, text);
   }
 }
