--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -9,14 +9,15 @@
 import { CloudProviderClient } from './cloud/cloud-provider-client.js';
 import { httpConnectionHandler, type HttpReply } from './http/http-server.js';
 import type { HttpMessage } from './http/http-parser.js';
-import { ImageLocationStore } from './peers/image-locations.js';
+import { ImageLocationStore, shareImageLocations } from './peers/image-locations.js';
 import { LeaderLoop } from './leadership/leader-loop.js';
 import { Logger } from './logger.js';
 import { MachineTypeCatalog } from './cloud/machine-type-catalog.js';
 import { LeaderElection } from './leadership/leader-election.js';
 import { LeaderlessFencing } from './workers/leaderless-fencing.js';
 import { PeerHandler } from './peers/peer-handler.js';
-import { PeerLink, servePeer } from './peers/peer-link.js';
+import { PeerLink } from './peers/peer-link.js';
+import { servePeer } from './peers/peer-server.js';
 import { STATUS_CONNECTIONS, socketBudget } from './http/socket-budget.js';
 import { KeyValueStoreClient } from './key-value-store/key-value-store-client.js';
 import { UserApi } from './users/user-api.js';
@@ -100,9 +101,15 @@
       this.leaderLoop?.applyCancellations(jobs),
     );
     for (const peer of platform.peers) {
-      const own = (): PeerStatus => this.status();
-      const onMalformed = (name: NodeName | null, cause: string): void => this.malformed(name, cause);
-      this.links.push(new PeerLink(peer, own, (s) => this.onPeerStatus(s), this.cancellations, onMalformed));
+      this.links.push(
+        new PeerLink({
+          peer,
+          ownStatus: () => this.status(),
+          onStatus: (status) => this.onPeerStatus(status),
+          cancellations: this.cancellations,
+          onMalformed: (name, cause) => this.malformed(name, cause),
+        }),
+      );
     }
     this.users = new UserApi(
       platform,
@@ -167,7 +174,10 @@
     this.cancellations.start();
     setInterval(() => void this.leaderlessFencing.check(), FENCE_CHECK_MS);
     this.machineTypes.start();
-    setInterval(() => this.shareImageLocations(), IMAGE_LOCATIONS_MS);
+    setInterval(
+      () => shareImageLocations(this.leaderLoop?.leaderCore ?? null, this.imageLocations, this.links),
+      IMAGE_LOCATIONS_MS,
+    );
     setInterval(() => this.resignIfUnreachable(), 500);
     for (const warning of platformWarnings(this.platform)) this.log.info({ warning }, 'settings');
     this.log.info({ zone: this.platform.zone }, 'started');
@@ -315,15 +325,6 @@
     this.log.rateLimited('peer-message', 'info', { peer, cause }, 'malformed message of a peer dropped');
   }
 
-  /** A new leader finds out by reports what runs where, but not which images are cached: its peers tell it. */
-  private shareImageLocations(): void {
-    const all = this.leaderLoop?.leaderCore?.imageLocations();
-    if (!all) return;
-    const images = this.imageLocations.nextPage(all);
-    this.imageLocations.merge(images, performance.now());
-    for (const link of this.links) void link.ask({ kind: 'image-locations', locations: images }, 1000);
-  }
-
   private ownCounts(id: JobId): TaskCounts | null {
     const job = this.leaderLoop?.leaderCore?.jobs.get(id);
     return job ? { done: job.completedCount, running: job.runningCount } : null;
--- a/src/runtime/peers/image-locations.ts
+++ b/src/runtime/peers/image-locations.ts
@@ -1,32 +1,52 @@
-// Which machine caches what, as the leader tells it page by page; kept for the next leader.
-import type { ImageLocations } from '../../core/leader/leader.js';
+/** Which machine caches which images, as the leader tells its peers page by page; kept for the next leader. */
+import type { ImageLocations } from '../../core/leader/effects.js';
+import type { Leader } from '../../core/leader/leader.js';
+import type { PeerLink } from './peer-link.js';
 
-const PAGE = 100;
-const KEPT_MS = 60_000;
+const PAGE_MACHINES = 100;
+const RETENTION_MS = 60_000;
+const SHARE_TIMEOUT_MS = 1000;
 
+/** What this controller knows of the caches of machines. */
 export class ImageLocationStore {
   private readonly known = new Map<string, { images: ImageLocations[string]; at: number }>();
-  private next = 0;
+  private nextMachine = 0;
 
   /**
-   * The next page of all. One message with all machines would outgrow a frame, and a peer that gets one too large ends
-   * the connection.
+   * The next page of all. Guards against a message that outgrows a frame: a peer that gets one too large ends the
+   * connection.
    */
   nextPage(all: ImageLocations): ImageLocations {
     const ids = Object.keys(all);
-    if (this.next >= ids.length) this.next = 0;
-    const page = Object.fromEntries(ids.slice(this.next, this.next + PAGE).map((id) => [id, all[id]]));
-    this.next += PAGE;
-    return page;
+    if (this.nextMachine >= ids.length) this.nextMachine = 0;
+    const pageIds = ids.slice(this.nextMachine, this.nextMachine + PAGE_MACHINES);
+    this.nextMachine += PAGE_MACHINES;
+    return Object.fromEntries(pageIds.map((id) => [id, all[id]]));
   }
 
-  /** Adds to what is known; machines not told of for a minute are gone. */
+  /** Adds to what is known; machines that were not named for long are forgotten. */
   merge(page: ImageLocations, now: number): void {
     for (const [id, images] of Object.entries(page)) this.known.set(id, { images, at: now });
-    for (const [id, { at }] of this.known) if (now - at > KEPT_MS) this.known.delete(id);
+    for (const [id, { at }] of this.known) if (now - at > RETENTION_MS) this.known.delete(id);
   }
 
+  /** What a new leader is loaded with. */
   all(): ImageLocations {
     return Object.fromEntries([...this.known].map(([id, { images }]) => [id, images]));
   }
 }
+
+/**
+ * Tells every peer the leader's next page: a new leader finds out by heartbeats what runs where, but not which images are
+ * cached.
+ */
+export const shareImageLocations = (
+  leader: Leader | null,
+  store: ImageLocationStore,
+  links: readonly PeerLink[],
+): void => {
+  if (!leader) return;
+  const locations = store.nextPage(leader.imageLocations());
+  store.merge(locations, performance.now());
+  for (const link of links) void link.ask({ kind: 'image-locations', locations }, SHARE_TIMEOUT_MS);
+};
--- a/src/runtime/peers/leader-route.ts
+++ b/src/runtime/peers/leader-route.ts
@@ -1,38 +1,40 @@
-// The way to the leader: the link to it, or over a peer that reaches it while the network between the two is cut.
+/** The way to the leader: the link to it, or through a peer that reaches it while the network between the two is cut. */
 import type { NodeName, MonotonicTime, Term } from '../../core/units.js';
-import type { PeerLink } from './peer-link.js';
 import {
   parsePeerResponse,
   type LeaderRequest,
   type LeaderStatus,
   type PeerResponses,
 } from '../../wire/peer-messages.js';
+import type { PeerLink } from './peer-link.js';
 
-/** A peer gives up on the leader's answer before the controller that asked gives up on the peer. */
+/** A peer gives up on the leader's response before the controller that asked gives up on the peer. */
 export const FORWARD_TIMEOUT_MS = 2000;
 
+/** A way to a leader. */
 export interface LeaderRoute {
   leader: LeaderStatus;
-  /** The peer in between; null when the leader is asked itself. */
+  /** The peer in between; null when the leader is asked directly. */
   via: NodeName | null;
   ask: <R extends LeaderRequest>(request: R, timeoutMs: number) => Promise<PeerResponses[R['kind']] | null>;
 }
 
+/** Whether both lead to the same leadership in the same way. */
 export const sameRoute = (a: LeaderRoute, b: LeaderRoute): boolean =>
   a.leader.node === b.leader.node && a.leader.term === b.leader.term && a.via === b.via;
 
-const direct = (link: PeerLink): LeaderRoute | null => {
+const directRoute = (link: PeerLink): LeaderRoute | null => {
   const { status } = link;
   if (status === null || !(status.leading || status.holdsLease)) return null;
   const { node, term, leading, holdsLease } = status;
   return {
-    leader: { node, term, leading, holdsLease: holdsLease },
+    leader: { node, term, leading, holdsLease },
     via: null,
     ask: (request, timeoutMs) => link.ask(request, timeoutMs),
   };
 };
 
-const forwarded = (link: PeerLink): LeaderRoute | null => {
+const forwardedRoute = (link: PeerLink): LeaderRoute | null => {
   const leader = link.status?.reachableLeader ?? null;
   if (leader === null) return null;
   return {
@@ -53,22 +55,23 @@
 export class LeaderRoutes {
   constructor(
     private readonly links: PeerLink[],
-    private readonly self: NodeName,
+    private readonly ownName: NodeName,
   ) {}
 
-  find(atLeast: Term, now: MonotonicTime): LeaderRoute | null {
+  /** Direct ways come first; null where no leader is reached. */
+  find(minTerm: Term, now: MonotonicTime): LeaderRoute | null {
     const alive = this.links.filter((link) => link.isAlive(now));
-    const routes = [...alive.map(direct), ...alive.map(forwarded)]
+    const routes = [...alive.map(directRoute), ...alive.map(forwardedRoute)]
       .filter(isRoute)
-      .filter(({ leader }) => leader.term >= atLeast && leader.node !== this.self);
+      .filter(({ leader }) => leader.term >= minTerm && leader.node !== this.ownName);
     return (
       routes.find((route) => route.leader.leading) ?? routes.find((route) => route.leader.holdsLease) ?? null
     );
   }
 
-  /** The leader that this controller reaches itself: what it tells its peers, so that no request goes in a circle. */
-  directlyReachableLeader(atLeast: Term, now: MonotonicTime): LeaderStatus | null {
-    const route = this.find(atLeast, now);
+  /** What this controller tells its peers: only a leader that it reaches directly, so that no request goes in a circle. */
+  directlyReachableLeader(minTerm: Term, now: MonotonicTime): LeaderStatus | null {
+    const route = this.find(minTerm, now);
     return route?.via === null ? route.leader : null;
   }
 }
--- a/src/runtime/peers/peer-handler.ts
+++ b/src/runtime/peers/peer-handler.ts
@@ -1,13 +1,6 @@
-// Answers what other controllers ask.
-import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
-import type { ImageLocationStore } from './image-locations.js';
-import type { LeaderLoop } from '../leadership/leader-loop.js';
-import { FORWARD_TIMEOUT_MS } from './leader-route.js';
-import type { LeaderElection } from '../leadership/leader-election.js';
-import type { PeerLink } from './peer-link.js';
-import type { HeartbeatHandler } from '../workers/heartbeat-handler.js';
-import type { UserApi } from '../users/user-api.js';
+/** Answers what other controllers ask. */
 import type { JobId } from '../../core/units.js';
+import { parsePosition } from '../../wire/cancellation-pages.js';
 import {
   encodePeerResponse,
   type PeerKind,
@@ -17,8 +10,16 @@
   type RequestOf,
   type TaskCounts,
 } from '../../wire/peer-messages.js';
-import { parsePosition } from '../../wire/cancellation-pages.js';
+import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
+import type { LeaderElection } from '../leadership/leader-election.js';
+import type { LeaderLoop } from '../leadership/leader-loop.js';
+import type { UserApi } from '../users/user-api.js';
+import type { HeartbeatHandler } from '../workers/heartbeat-handler.js';
+import type { ImageLocationStore } from './image-locations.js';
+import { FORWARD_TIMEOUT_MS } from './leader-route.js';
+import type { PeerLink } from './peer-link.js';
 
+/** What answers are made of. */
 export interface PeerHandlerDependencies {
   links: PeerLink[];
   election: LeaderElection;
@@ -35,70 +36,76 @@
 }
 
 /** Null: this controller can't say. */
-type Answer<K extends PeerKind> = PeerResponses[K] | null;
+type Response<K extends PeerKind> = PeerResponses[K] | null;
+type Handlers = { [K in PeerKind]: (request: RequestOf<K>) => Response<K> | Promise<Response<K>> };
 
+/** One method for each kind of request. */
 export class PeerHandler {
-  private readonly answers: { [K in PeerKind]: (q: RequestOf<K>) => Answer<K> | Promise<Answer<K>> } = {
-    heartbeat: (q) => this.heartbeat(q),
-    cancellations: (q) => this.cancelled(q),
-    'recent-heartbeats': (q) => ({
-      machines: this.dependencies.heartbeatHandler.recentlyReporting(q.machines),
-    }),
-    'forwarded-heartbeat': (q) => this.relay(q),
-    'unchanged-heartbeats': (q) => this.unchanged(q),
-    forward: (q) => this.forward(q),
-    'user-request': (q) => this.user(q),
-    'image-locations': (q) => this.imageLocations(q),
-    'task-counts': (q) => ({ counts: this.dependencies.taskCounts(q.job as JobId) }),
+  private readonly handlers: Handlers = {
+    heartbeat: (request) => this.onHeartbeat(request),
+    cancellations: (request) => this.onCancellations(request),
+    'recent-heartbeats': (request) => this.onRecentHeartbeats(request),
+    'forwarded-heartbeat': (request) => this.onForwardedHeartbeat(request),
+    'unchanged-heartbeats': (request) => this.onUnchangedHeartbeats(request),
+    forward: (request) => this.forward(request),
+    'user-request': (request) => this.onUserRequest(request),
+    'image-locations': (request) => this.onImageLocations(request),
+    'task-counts': (request) => this.onTaskCounts(request),
   };
 
   constructor(private readonly dependencies: PeerHandlerDependencies) {}
 
+  /** The response in its encoded form. */
   async answer(request: PeerRequest): Promise<unknown> {
-    const handle = this.answers[request.kind] as (q: PeerRequest) => unknown;
+    const handle = this.handlers[request.kind] as (request: PeerRequest) => unknown;
     return encodePeerResponse(request.kind, (await handle(request)) as never);
   }
 
-  private heartbeat({ status, logPosition }: RequestOf<'heartbeat'>): Answer<'heartbeat'> {
-    this.dependencies.onPeerStatus(status);
-    return {
-      status: this.dependencies.status(),
-      cancellationPage: this.dependencies.cancellations.pageAfter(parsePosition(logPosition)),
-    };
+  private onHeartbeat({ status, logPosition }: RequestOf<'heartbeat'>): Response<'heartbeat'> {
+    const { onPeerStatus, status: ownStatus, cancellations } = this.dependencies;
+    onPeerStatus(status);
+    return { status: ownStatus(), cancellationPage: cancellations.pageAfter(parsePosition(logPosition)) };
   }
 
-  private cancelled({ jobs }: RequestOf<'cancellations'>): Answer<'cancellations'> {
+  private onCancellations({ jobs }: RequestOf<'cancellations'>): Response<'cancellations'> {
     this.dependencies.cancellations.onPushed(jobs);
     return {};
   }
 
-  private async relay({
+  private onRecentHeartbeats({ machines }: RequestOf<'recent-heartbeats'>): Response<'recent-heartbeats'> {
+    return { machines: this.dependencies.heartbeatHandler.recentlyReporting(machines) };
+  }
+
+  private async onForwardedHeartbeat({
     heartbeat,
-  }: RequestOf<'forwarded-heartbeat'>): Promise<Answer<'forwarded-heartbeat'>> {
-    if (!this.dependencies.election.holdsLease) return null;
-    const { status, body, quiet } = await this.dependencies.heartbeatHandler.handleForwarded(
-      Buffer.from(heartbeat),
-    );
+  }: RequestOf<'forwarded-heartbeat'>): Promise<Response<'forwarded-heartbeat'>> {
+    const { election, heartbeatHandler } = this.dependencies;
+    if (!election.holdsLease) return null;
+    const { status, body, quiet } = await heartbeatHandler.handleForwarded(Buffer.from(heartbeat));
     return { status, body: body ?? Buffer.alloc(0), inSync: quiet };
   }
 
-  private unchanged({ term, heartbeats }: RequestOf<'unchanged-heartbeats'>): Answer<'unchanged-heartbeats'> {
-    const leads = this.dependencies.election.electionState.heldLease?.term === term;
-    return {
-      fullHeartbeatNeeded: leads
-        ? (this.dependencies.leaderLoop()?.onUnchangedHeartbeats(heartbeats) ?? null)
-        : null,
-    };
+  private onUnchangedHeartbeats({
+    term,
+    heartbeats,
+  }: RequestOf<'unchanged-heartbeats'>): Response<'unchanged-heartbeats'> {
+    const { election, leaderLoop } = this.dependencies;
+    const leads = election.electionState.heldLease?.term === term;
+    return { fullHeartbeatNeeded: leads ? (leaderLoop()?.onUnchangedHeartbeats(heartbeats) ?? null) : null };
   }
 
-  /** For a peer that cannot reach the leader. Only what goes to a leader, so nothing is passed on twice. */
+  /** For a peer that can't reach the leader. Only what goes to a leader, so nothing is forwarded twice. */
   private async forward({ to, request }: RequestOf<'forward'>): Promise<unknown> {
-    const link = this.dependencies.links.find((l) => l.name === to && l.isAlive(performance.now()));
-    const response = (await link?.ask(request, FORWARD_TIMEOUT_MS)) ?? null;
-    return encodePeerResponse(request.kind, response);
+    const now = performance.now();
+    const link = this.dependencies.links.find((peer) => peer.name === to && peer.isAlive(now));
+    return link ? encodePeerResponse(request.kind, await link.ask(request, FORWARD_TIMEOUT_MS)) : null;
   }
 
-  private async user({ method, target, body }: RequestOf<'user-request'>): Promise<Answer<'user-request'>> {
+  private async onUserRequest({
+    method,
+    target,
+    body,
+  }: RequestOf<'user-request'>): Promise<Response<'user-request'>> {
     const reply = await this.dependencies.users.handle({
       method,
       target,
@@ -110,8 +117,12 @@
     return { status: reply.status, body: reply.body ?? null, retryAfterS: reply.retryAfterS ?? null };
   }
 
-  private imageLocations({ locations }: RequestOf<'image-locations'>): Answer<'image-locations'> {
+  private onImageLocations({ locations }: RequestOf<'image-locations'>): Response<'image-locations'> {
     this.dependencies.imageLocations.merge(locations, performance.now());
     return {};
   }
+
+  private onTaskCounts({ job }: RequestOf<'task-counts'>): Response<'task-counts'> {
+    return { counts: this.dependencies.taskCounts(job as JobId) };
+  }
 }
--- /dev/null
+++ b/src/runtime/peers/peer-server.ts
@@ -0,0 +1,38 @@
+/** Answers what a peer asks on its connection. */
+import type { Socket } from 'node:net';
+import { parsePeerRequest, type PeerRequest } from '../../wire/peer-messages.js';
+import { encodeResponseFrame, FrameReader, type Frame } from './frame-codec.js';
+import { FrameWriter } from './frame-writer.js';
+import { MAX_OPEN_REQUESTS } from './pending-requests.js';
+
+/** Responses are given in their encoded form. */
+export const servePeer = (
+  socket: Socket,
+  handle: (request: PeerRequest) => Promise<unknown>,
+  onMalformed: (cause: string) => void,
+): void => {
+  const reader = new FrameReader();
+  const writer = new FrameWriter(socket);
+  let openRequests = 0;
+  const answer = ({ requestId, request: encoded }: Frame): void => {
+    const request = parsePeerRequest(encoded);
+    if (!request.ok) {
+      onMalformed(request.cause);
+      writer.push(encodeResponseFrame(requestId, null)); // at once, rather than let the peer wait
+      return;
+    }
+    // A peer that asks faster than it can be answered gets no response; its heartbeats pass.
+    if (openRequests >= MAX_OPEN_REQUESTS && request.value.kind !== 'heartbeat') return;
+    openRequests++;
+    void handle(request.value).then((response) => {
+      openRequests--;
+      writer.push(encodeResponseFrame(requestId, response));
+    });
+  };
+  socket.on('data', (chunk) => {
+    const frames = reader.push(chunk);
+    if (frames === null) socket.destroy();
+    else for (const frame of frames) answer(frame);
+  });
+  socket.on('error', () => socket.destroy());
+};
--- a/src/test/peer-messages.test.ts
+++ b/src/test/peer-messages.test.ts
@@ -1,10 +1,19 @@
-// Messages between controllers: what is malformed, unknown or oversized is dropped, and older versions are understood.
+/** Messages between controllers: what is malformed, unknown or oversized is dropped, and older versions are understood. */
 import assert from 'node:assert/strict';
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import { test, type TestContext } from 'node:test';
-import { servePeer } from '../runtime/peers/peer-link.js';
+import { servePeer } from '../runtime/peers/peer-server.js';
+import type { MachineId, NodeName, Term } from '../core/units.js';
 import { decode, encode } from '../wire/cbor.js';
-import { parsePeerRequest, parsePeerResponse } from '../wire/peer-messages.js';
+import {
+  encodePeerRequest,
+  encodePeerResponse,
+  encodePeerStatus,
+  parsePeerRequest,
+  parsePeerResponse,
+  type PeerRequest,
+  type PeerStatus,
+} from '../wire/peer-messages.js';
 
 const status = { node: 'stable-0', leading: true, term: 3, stateOk: true };
 
@@ -113,3 +122,113 @@
     await new Promise((resolve) => socket.once('close', resolve));
   }
 });
+
+const ownStatus: PeerStatus = {
+  node: 'stable-0' as NodeName,
+  leading: false,
+  holdsLease: true,
+  term: 3 as Term,
+  reachableLeader: { node: 'stable-1' as NodeName, term: 3 as Term, leading: true, holdsLease: false },
+  storeAvailable: true,
+  receivesHeartbeats: false,
+  leaderSeenAgoMs: 40,
+};
+const encodedStatus = {
+  node: 'stable-0',
+  leading: false,
+  holding: true,
+  term: 3,
+  reaches: { node: 'stable-1', term: 3, leading: true, holding: false },
+  stateOk: true,
+  hearing: false,
+  leaderSeenAgoMs: 40,
+};
+/** With the order of the keys, which the encoding keeps. */
+const assertEncoded = (encoded: unknown, form: unknown): void =>
+  assert.deepEqual(encode(encoded).toString('hex'), encode(form).toString('hex'));
+
+const machine = 'host-1' as MachineId;
+/** Each kind of request, and its encoded form. */
+const requestForms: [PeerRequest, unknown][] = [
+  [
+    { kind: 'heartbeat', status: ownStatus, logPosition: null },
+    { kind: 'heartbeat', from: encodedStatus, have: null },
+  ],
+  [
+    { kind: 'cancellations', jobs: ['wk-1'] },
+    { kind: 'cancelled', jobs: ['wk-1'] },
+  ],
+  [
+    { kind: 'recent-heartbeats', machines: ['host-1'] },
+    { kind: 'heard', machines: ['host-1'] },
+  ],
+  [
+    { kind: 'forwarded-heartbeat', heartbeat: Buffer.of(1) },
+    { kind: 'relay', report: Buffer.of(1) },
+  ],
+  [
+    {
+      kind: 'unchanged-heartbeats',
+      term: 3 as Term,
+      heartbeats: [{ machine, incarnation: 1, sequence: 9, baseSequence: 8 }],
+    },
+    { kind: 'vouch', term: 3, machines: [{ machine: 'host-1', session: 1, seq: 9, base: 8 }] },
+  ],
+  [
+    {
+      kind: 'forward',
+      to: 'stable-1' as NodeName,
+      request: { kind: 'forwarded-heartbeat', heartbeat: Buffer.of(1) },
+    },
+    { kind: 'forward', to: 'stable-1', request: { kind: 'relay', report: Buffer.of(1) } },
+  ],
+  [
+    { kind: 'user-request', method: 'GET', target: '/v1/jobs/wk-1', body: Buffer.of(1) },
+    { kind: 'user', method: 'GET', target: '/v1/jobs/wk-1', body: Buffer.of(1) },
+  ],
+  [
+    { kind: 'image-locations', locations: { 'host-1': [['img-1', 6.2]] } },
+    { kind: 'hints', images: { 'host-1': [['img-1', 6.2]] } },
+  ],
+  [
+    { kind: 'task-counts', job: 'wk-1' },
+    { kind: 'counts', job: 'wk-1' },
+  ],
+];
+
+test('encoded requests: each kind has the names and the form that other versions know, and is read back', () => {
+  for (const [request, form] of requestForms) {
+    assertEncoded(encodePeerRequest(request), form);
+    const read = parsePeerRequest(decode(encode(form)));
+    assert.deepEqual(read, { ok: true, value: request }, request.kind);
+  }
+});
+
+test('encoded responses: each kind has the names and the form that other versions know, and is read back', () => {
+  const machines = ['host-1' as MachineId];
+  assertEncoded(encodePeerStatus(ownStatus), encodedStatus);
+  const heartbeat = { status: ownStatus, cancellationPage: null };
+  assertEncoded(encodePeerResponse('heartbeat', heartbeat), { status: encodedStatus, cancelled: null });
+  assertEncoded(encodePeerResponse('recent-heartbeats', { machines }), { heard: machines });
+  const forwarded = { status: 200, body: Buffer.of(1), inSync: true };
+  const relayed = { status: 200, body: Buffer.of(1), quiet: true };
+  assertEncoded(encodePeerResponse('forwarded-heartbeat', forwarded), relayed);
+  const unchanged = { fullHeartbeatNeeded: machines };
+  assertEncoded(encodePeerResponse('unchanged-heartbeats', unchanged), { full: machines });
+  const user = { status: 503, body: null, retryAfterS: 1 };
+  assertEncoded(encodePeerResponse('user-request', user), user);
+  const counts = { counts: { done: 1, running: 2 } };
+  assertEncoded(encodePeerResponse('task-counts', counts), counts);
+  assertEncoded(encodePeerResponse('cancellations', {}), {});
+  assertEncoded(encodePeerResponse('image-locations', {}), {});
+  assertEncoded(encodePeerResponse('forward', relayed), relayed);
+  assertEncoded(encodePeerResponse('forwarded-heartbeat', null), null);
+  const read = [
+    parsePeerResponse('heartbeat', { status: encodedStatus, cancelled: null }),
+    parsePeerResponse('recent-heartbeats', { heard: machines }),
+    parsePeerResponse('forwarded-heartbeat', relayed),
+    parsePeerResponse('unchanged-heartbeats', { full: machines }),
+  ];
+  const expected = [heartbeat, { machines }, forwarded, unchanged].map((value) => ({ ok: true, value }));
+  assert.deepEqual(read, expected);
+});
--- a/src/wire/cancellation-pages.ts
+++ b/src/wire/cancellation-pages.ts
@@ -1,11 +1,11 @@
-// What controllers tell one another of cancellations. A frame of another shape is dropped: it proves nothing.
+/** What controllers tell one another of cancellations. What has another shape is dropped: it proves nothing. */
 import * as v from 'valibot';
-import { nonNegativeNumber, parseWith, safeInteger, boundedText } from './common.js';
 import type { CancellationLogPosition, CancellationLogPage } from '../core/cancellation-log.js';
 import type { JobId } from '../core/units.js';
+import { boundedText, nonNegativeNumber, parseWith, safeInteger } from './common.js';
 import { isJobId } from './users.js';
 
-const jobs = v.array(v.custom<JobId>((j) => typeof j === 'string' && isJobId(j)));
+const jobs = v.array(v.custom<JobId>((job) => typeof job === 'string' && isJobId(job)));
 const position = v.object({ incarnation: boundedText, position: safeInteger });
 const logPage = v.object({
   incarnation: boundedText,
@@ -15,24 +15,26 @@
   completeAgoMs: v.nullable(nonNegativeNumber),
 });
 
-export const parseLogPage = (
-  raw: unknown,
-): { ok: true; value: CancellationLogPage } | { ok: false; cause: string } => {
-  const r = parseWith(logPage, raw);
-  if (!r.ok) return r;
-  const s = r.value as CancellationLogPage;
-  return s.from + s.jobs.length > s.end
+type ParsedPage = { ok: true; value: CancellationLogPage } | { ok: false; cause: string };
+
+/** A page of a peer's log. */
+export const parseLogPage = (raw: unknown): ParsedPage => {
+  const parsed = parseWith(logPage, raw);
+  if (!parsed.ok) return parsed;
+  const page = parsed.value as CancellationLogPage;
+  return page.from + page.jobs.length > page.end
     ? { ok: false, cause: 'jobs beyond the end of the log' }
-    : (r as { ok: true; value: CancellationLogPage });
+    : { ok: true, value: page };
 };
 
-/** Null where the asker holds nothing, or says so in a shape that we don't know. */
+/** Null where the sender holds nothing, or says so in an unknown shape. */
 export const parsePosition = (raw: unknown): CancellationLogPosition | null => {
-  const r = parseWith(position, raw);
-  return r.ok ? (r.value as CancellationLogPosition) : null;
+  const parsed = parseWith(position, raw);
+  return parsed.ok ? (parsed.value as CancellationLogPosition) : null;
 };
 
+/** Null for what is not a list of job ids. */
 export const parseCancelledJobs = (raw: unknown): JobId[] | null => {
-  const r = parseWith(jobs, raw);
-  return r.ok ? r.value : null;
+  const parsed = parseWith(jobs, raw);
+  return parsed.ok ? parsed.value : null;
 };
--- a/src/wire/peer-messages.ts
+++ b/src/wire/peer-messages.ts
@@ -1,5 +1,9 @@
-// What controllers ask one another: one request and one response of each kind. What doesn't fit its schema is dropped,
-// and fields that an older version doesn't send have a value that claims nothing.
+/**
+ * Messages between controllers: one request and one response of each kind, in the field's terms.
+ *
+ * Their encoded names and forms are mapped here, and stay as they are: versions run side by side. What doesn't fit its
+ * schema is dropped, and fields that an older version doesn't send have a value that claims nothing.
+ */
 import * as v from 'valibot';
 import { nonNegativeNumber, parseWith, safeInteger, boundedText } from './common.js';
 import type { CancellationLogPosition } from '../core/cancellation-log.js';
@@ -7,6 +11,7 @@
 import type { UnchangedHeartbeat } from '../core/types.js';
 import type { Uint64, MachineId, NodeName, Term } from '../core/units.js';
 
+/** Who leads, as its peers are told. */
 export interface LeaderStatus {
   node: NodeName;
   term: Term;
@@ -15,6 +20,7 @@
   holdsLease: boolean;
 }
 
+/** What a controller says of itself with each heartbeat. */
 export interface PeerStatus extends LeaderStatus {
   /** The leader that it reaches directly, so that others may reach that leader over it. */
   reachableLeader: LeaderStatus | null;
@@ -30,6 +36,7 @@
   | { kind: 'forwarded-heartbeat'; heartbeat: Uint8Array }
   | { kind: 'unchanged-heartbeats'; term: Term; heartbeats: UnchangedHeartbeat[] };
 
+/** What a controller asks a peer. */
 export type PeerRequest =
   | LeaderRequest
   /** `logPosition`: how much of the answerer's log of cancellations the sender holds. */
@@ -43,6 +50,7 @@
   | { kind: 'image-locations'; locations: ImageLocations }
   | { kind: 'task-counts'; job: string };
 
+/** The leader's answer to a forwarded heartbeat. */
 export interface ForwardedHeartbeatReply {
   status: number;
   body: Uint8Array;
@@ -50,11 +58,13 @@
   inSync: boolean;
 }
 
+/** Of one job. */
 export interface TaskCounts {
   done: number;
   running: number;
 }
 
+/** The response to each kind of request. */
 export interface PeerResponses {
   /** `cancellationPage`: a page of the answerer's log of cancellations, checked where it is merged. */
   heartbeat: { status: PeerStatus; cancellationPage: unknown };
@@ -69,7 +79,11 @@
   'image-locations': object;
   'task-counts': { counts: TaskCounts | null };
 }
+
+/** The kinds of requests. */
 export type PeerKind = PeerRequest['kind'];
+
+/** A request of one kind. */
 export type RequestOf<K extends PeerKind> = Extract<PeerRequest, { kind: K }>;
 
 /** A leader's status as it is encoded. */
@@ -304,10 +318,13 @@
   response: PeerResponses[K] | null,
 ): unknown => (response === null ? null : responseEncoders[kind](response));
 
+/** What was received, or why it is malformed. */
 export type Parsed<T> = { ok: true; value: T } | { ok: false; cause: string };
 
+/** A request as it was received. */
 export const parsePeerRequest = (raw: unknown): Parsed<PeerRequest> =>
   parseWith(requestSchema, raw) as Parsed<PeerRequest>;
 
+/** The response to a request of this kind, as it was received. */
 export const parsePeerResponse = <K extends PeerKind>(kind: K, raw: unknown): Parsed<PeerResponses[K]> =>
   parseWith(responseSchemas[kind], raw) as Parsed<PeerResponses[K]>;
