--- a/src/wire/cbor.ts
+++ b/src/wire/cbor.ts
@@ -1,3 +1,4 @@
+/** CBOR, the encoding of every message and every stored value. */
 import { Decoder } from 'cbor-x/decode';
 import { Encoder } from 'cbor-x/encode';
 
@@ -5,6 +6,7 @@
 const encoder = new Encoder({ useRecords: false, tagUint8Array: false, variableMapSize: true });
 const decoder = new Decoder({ useRecords: false, mapsAsObjects: true });
 
+/** Encodes one value. */
 export const encode = (value: unknown): Buffer => Buffer.from(encoder.encode(value));
 
 /** Decodes exactly one value. Throws on malformed input and on trailing bytes. */
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,10 +1,10 @@
-// The cloud's side: machine types, rentals, lists.
+/** The cloud provider's protocol: machine types, scale-out and scale-in, lists of machines. */
 import * as v from 'valibot';
-import { nonNegativeNumber, parseWith, boundedText } from './common.js';
 import type { ListedMachine, MachineType } from '../core/types.js';
 import type { Endpoint, MachineId, MachineTypeName, Zone } from '../core/units.js';
+import { boundedText, nonNegativeNumber, parseWith } from './common.js';
 
-const types = v.object({
+const machineTypesAnswer = v.object({
   breeds: v.array(
     v.object({
       label: boundedText,
@@ -21,24 +21,7 @@
   ),
 });
 
-export const parseMachineTypes = (raw: unknown): MachineType[] | null => {
-  const r = parseWith(types, raw);
-  if (!r.ok) return null;
-  return r.value.breeds.map((b) => ({
-    name: b.label as MachineTypeName,
-    cpus: b.vcpus,
-    gpus: b.accelerators,
-    memoryGb: b.memGb,
-    cacheGb: b.cacheGb,
-    fetchGbPerS: b.fetchGbPerS,
-    price: b.price,
-    spotPrice: b.lowPrice,
-    bootS: b.startupS,
-    zones: b.pastures as Zone[],
-  }));
-};
-
-const list = v.object({
+const machinesAnswer = v.object({
   stalls: v.array(
     v.object({
       nameId: boundedText,
@@ -53,29 +36,15 @@
   more: v.boolean(),
 });
 
-export const parseMachines = (raw: unknown): { machines: ListedMachine[]; more: boolean } | null => {
-  const r = parseWith(list, raw);
-  if (!r.ok) return null;
-  return {
-    more: r.value.more,
-    machines: r.value.stalls.map((m) => ({
-      id: m.nameId as MachineId,
-      endpoint: m.endpoint as Endpoint,
-      type: m.breed as MachineTypeName,
-      zone: m.pasture as Zone,
-      spot: m.loaners,
-      status: m.status,
-      ageS: m.ageS,
-    })),
-  };
-};
+const createdMachinesAnswer = v.object({ stalls: v.array(boundedText) });
 
-const rented = v.object({ stalls: v.array(boundedText) });
-export const parseCreatedMachines = (raw: unknown): MachineId[] | null => {
-  const r = parseWith(rented, raw);
-  return r.ok ? (r.value.stalls as MachineId[]) : null;
-};
+/** One page of the list of machines; `more`: others follow it. */
+export interface MachineListPage {
+  machines: ListedMachine[];
+  more: boolean;
+}
 
+/** Machines to be created; a request that is repeated under the same name creates none twice. */
 export interface ScaleOutRequest {
   request: string;
   type: MachineTypeName;
@@ -84,15 +53,58 @@
   count: number;
 }
 
-export const createMachinesBody = (r: ScaleOutRequest) => ({
-  hire: r.request,
-  breed: r.type,
-  pasture: r.zone,
-  loaners: r.spot,
-  number: r.count,
+/** The offered machine types; null if malformed. */
+export const parseMachineTypes = (raw: unknown): MachineType[] | null => {
+  const parsed = parseWith(machineTypesAnswer, raw);
+  if (!parsed.ok) return null;
+  return parsed.value.breeds.map((breed) => ({
+    name: breed.label as MachineTypeName,
+    cpus: breed.vcpus,
+    gpus: breed.accelerators,
+    memoryGb: breed.memGb,
+    cacheGb: breed.cacheGb,
+    fetchGbPerS: breed.fetchGbPerS,
+    price: breed.price,
+    spotPrice: breed.lowPrice,
+    bootS: breed.startupS,
+    zones: breed.pastures as Zone[],
+  }));
+};
+
+/** A page of the list of machines; null if malformed. */
+export const parseMachines = (raw: unknown): MachineListPage | null => {
+  const parsed = parseWith(machinesAnswer, raw);
+  if (!parsed.ok) return null;
+  const machines = parsed.value.stalls.map((stall) => ({
+    id: stall.nameId as MachineId,
+    endpoint: stall.endpoint as Endpoint,
+    type: stall.breed as MachineTypeName,
+    zone: stall.pasture as Zone,
+    spot: stall.loaners,
+    status: stall.status,
+    ageS: stall.ageS,
+  }));
+  return { machines, more: parsed.value.more };
+};
+
+/** The machines that a scale-out request created; null if malformed. */
+export const parseCreatedMachines = (raw: unknown): MachineId[] | null => {
+  const parsed = parseWith(createdMachinesAnswer, raw);
+  return parsed.ok ? (parsed.value.stalls as MachineId[]) : null;
+};
+
+/** The body of a scale-out request. */
+export const createMachinesBody = ({ request, type, zone, spot, count }: ScaleOutRequest) => ({
+  hire: request,
+  breed: type,
+  pasture: zone,
+  loaners: spot,
+  number: count,
 });
 
+/** The body of a scale-in request. */
 export const deleteMachinesBody = (machines: MachineId[]) => ({ stalls: machines });
 
-export const listMachinesTarget = (since: MachineId | null, most: number) =>
-  since === null ? `/machines?most=${most}` : `/machines?since=${since}&most=${most}`;
+/** The path of the page of machines that follows the machine `since`. */
+export const listMachinesTarget = (since: MachineId | null, maxMachines: number) =>
+  since === null ? `/machines?most=${maxMachines}` : `/machines?since=${since}&most=${maxMachines}`;
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,14 +1,15 @@
-// Users' side: job submissions, status answers.
+/** The users' protocol: job submissions and status answers. */
 import * as v from 'valibot';
-import { nonNegativeNumber, parseWith, safeInteger, boundedText } from './common.js';
 import type { JobSpec, JobKind } from '../core/types.js';
 import type { JobId, Team, MachineTypeName, Zone } from '../core/units.js';
+import { boundedText, nonNegativeNumber, parseWith, safeInteger, type ParseResult } from './common.js';
 
 const MAX_TASKS = 100_000;
+const MAX_MACHINE_TYPES = 100;
 const JOB_ID = /^wk-\d{1,32}$/;
-const kinds: Record<string, JobKind> = { array: 'array', group: 'gang', service: 'service' };
+const JOB_KINDS: Record<string, JobKind> = { array: 'array', group: 'gang', service: 'service' };
 
-const schema = v.object({
+const jobSubmission = v.object({
   nameId: v.pipe(v.string(), v.regex(JOB_ID)),
   herd: boundedText,
   outfit: boundedText,
@@ -18,7 +19,7 @@
   vcpus: nonNegativeNumber,
   accelerators: nonNegativeNumber,
   memGb: nonNegativeNumber,
-  breeds: v.nullish(v.pipe(v.array(boundedText), v.maxLength(100))),
+  breeds: v.nullish(v.pipe(v.array(boundedText), v.maxLength(MAX_MACHINE_TYPES))),
   pasture: v.nullish(boundedText),
   oneZone: v.boolean(),
   spread: v.boolean(),
@@ -32,51 +33,67 @@
   awaits: v.nullish(v.array(v.pipe(v.string(), v.regex(JOB_ID)))),
 });
 
-export const isJobId = (s: string): s is JobId => JOB_ID.test(s);
+/** Whether a text has the form of a job's id. */
+export const isJobId = (text: string): text is JobId => JOB_ID.test(text);
 
-export const parseJob = (raw: unknown): { ok: true; value: JobSpec } | { ok: false; cause: string } => {
-  const r = parseWith(schema, raw);
-  if (!r.ok) return r;
-  const j = r.value;
+/** The job that a user submits. */
+export const parseJob = (raw: unknown): ParseResult<JobSpec> => {
+  const parsed = parseWith(jobSubmission, raw);
+  if (!parsed.ok) return parsed;
+  const job = parsed.value;
   return {
     ok: true,
     value: {
-      id: j.nameId as JobId,
-      class: j.herd,
-      team: j.outfit as Team,
-      kind: kinds[j.gait],
-      priority: j.rank,
-      tasks: j.hands,
-      cpus: j.vcpus,
-      gpus: j.accelerators,
-      memoryGb: j.memGb,
-      image: j.kit,
-      imageGb: j.sizeGb,
-      types: (j.breeds ?? null) as MachineTypeName[] | null,
-      zone: (j.pasture ?? null) as Zone | null,
-      oneZone: j.oneZone,
-      spread: j.spread,
-      spot: j.loaners,
-      estimateS: j.rideS,
-      checkpointS: j.waypointS,
-      saveS: j.stowS,
-      deadlineS: j.dueS ?? null,
-      dependsOn: [...new Set(j.awaits ?? [])] as JobId[],
+      id: job.nameId as JobId,
+      class: job.herd,
+      team: job.outfit as Team,
+      kind: JOB_KINDS[job.gait],
+      priority: job.rank,
+      tasks: job.hands,
+      cpus: job.vcpus,
+      gpus: job.accelerators,
+      memoryGb: job.memGb,
+      image: job.kit,
+      imageGb: job.sizeGb,
+      types: (job.breeds ?? null) as MachineTypeName[] | null,
+      zone: (job.pasture ?? null) as Zone | null,
+      oneZone: job.oneZone,
+      spread: job.spread,
+      spot: job.loaners,
+      estimateS: job.rideS,
+      checkpointS: job.waypointS,
+      saveS: job.stowS,
+      deadlineS: job.dueS ?? null,
+      dependsOn: [...new Set(job.awaits ?? [])] as JobId[],
     },
   };
 };
 
+/** The id in a submission that is refused, if it has one: the job may be known all the same. */
+export const submittedJobId = (raw: object): JobId | null => {
+  const { nameId } = raw as { nameId?: unknown };
+  return typeof nameId === 'string' && isJobId(nameId) ? nameId : null;
+};
+
+/** What a user is told of a job. */
 export type UserStatus = 'pending' | 'running' | 'done' | 'cancelled';
 
 /** The protocol's word for each status. */
-const statusWords: Record<UserStatus, string> = {
+const STATUS_WORDS: Record<UserStatus, string> = {
   pending: 'pending',
   running: 'running',
   done: 'done',
   cancelled: 'withdrawn',
 };
 
-export const statusBody = (id: JobId, status: UserStatus, counts?: { done: number; running: number }) =>
+/** The numbers of a job's tasks that a user is told. */
+export interface StatusCounts {
+  done: number;
+  running: number;
+}
+
+/** The body of an answer that tells a job's status. */
+export const statusBody = (id: JobId, status: UserStatus, counts?: StatusCounts) =>
   counts
-    ? { nameId: id, status: statusWords[status], done: counts.done, running: counts.running }
-    : { nameId: id, status: statusWords[status] };
+    ? { nameId: id, status: STATUS_WORDS[status], done: counts.done, running: counts.running }
+    : { nameId: id, status: STATUS_WORDS[status] };
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,6 +1,5 @@
-// Workers' side: reports and commands.
+/** The workers' protocol: heartbeats, and the commands in their replies. */
 import * as v from 'valibot';
-import { nonNegativeNumber, uint64, encodeUint64, parseWith, safeInteger, boundedText } from './common.js';
 import type { Command, Heartbeat, TaskStatus, TaskState } from '../core/types.js';
 import type {
   Attempt,
@@ -12,8 +11,17 @@
   MachineTypeName,
   Zone,
 } from '../core/units.js';
+import {
+  boundedText,
+  encodeUint64,
+  nonNegativeNumber,
+  parseWith,
+  safeInteger,
+  uint64,
+  type ParseResult,
+} from './common.js';
 
-const states: Record<string, TaskState> = {
+const TASK_STATES: Record<string, TaskState> = {
   pulling: 'fetching',
   waiting: 'waiting',
   running: 'running',
@@ -21,7 +29,10 @@
   exited: 'exited',
 };
 
-const schema = v.object({
+/** A job's id and the task's index in it. */
+const TASK_ID = /^[^\s/]+\/\d{1,6}$/;
+
+const heartbeatMessage = v.object({
   stall: boundedText,
   endpoint: boundedText,
   breed: boundedText,
@@ -33,7 +44,7 @@
   recallS: v.nullish(nonNegativeNumber),
   hands: v.array(
     v.object({
-      hand: v.pipe(v.string(), v.regex(/^[^\s/]+\/\d{1,6}$/)),
+      hand: v.pipe(v.string(), v.regex(TASK_ID)),
       try: safeInteger,
       status: v.picklist(['pulling', 'waiting', 'running', 'saving', 'exited']),
       cause: v.nullish(
@@ -44,62 +55,64 @@
   ),
 });
 
-const parseTask = (t: v.InferOutput<typeof schema>['hands'][number]): TaskStatus => {
-  const slash = t.hand.indexOf('/');
+const parseTask = (task: v.InferOutput<typeof heartbeatMessage>['hands'][number]): TaskStatus => {
+  const slash = task.hand.indexOf('/');
   return {
-    job: t.hand.slice(0, slash) as JobId,
-    index: Number(t.hand.slice(slash + 1)),
-    attempt: t.try as Attempt,
-    state: states[t.status],
-    cause: t.cause ?? null,
-    saved: t.stored ?? false,
+    job: task.hand.slice(0, slash) as JobId,
+    index: Number(task.hand.slice(slash + 1)),
+    attempt: task.try as Attempt,
+    state: TASK_STATES[task.status],
+    cause: task.cause ?? null,
+    saved: task.stored ?? false,
   };
 };
 
-export const parseHeartbeat = (
-  raw: unknown,
-): { ok: true; value: Heartbeat } | { ok: false; cause: string } => {
-  const r = parseWith(schema, raw);
-  if (!r.ok) return r;
-  const m = r.value;
+/** A worker's heartbeat. */
+export const parseHeartbeat = (raw: unknown): ParseResult<Heartbeat> => {
+  const parsed = parseWith(heartbeatMessage, raw);
+  if (!parsed.ok) return parsed;
+  const message = parsed.value;
   return {
     ok: true,
     value: {
-      id: m.stall as MachineId,
-      endpoint: m.endpoint as Endpoint,
-      type: m.breed as MachineTypeName,
-      zone: m.pasture as Zone,
-      spot: m.loaners,
-      incarnation: m.shift,
-      sequence: m.tally,
-      fencingToken: m.reins,
-      interruptionNoticeS: m.recallS ?? null,
-      tasks: m.hands.map(parseTask),
+      id: message.stall as MachineId,
+      endpoint: message.endpoint as Endpoint,
+      type: message.breed as MachineTypeName,
+      zone: message.pasture as Zone,
+      spot: message.loaners,
+      incarnation: message.shift,
+      sequence: message.tally,
+      fencingToken: message.reins,
+      interruptionNoticeS: message.recallS ?? null,
+      tasks: message.hands.map(parseTask),
     },
   };
 };
 
-const encodeCommand = (c: Command): Record<string, unknown> => {
-  const base = { hand: `${c.job}/${c.index}`, try: encodeUint64(c.attempt) };
-  switch (c.op) {
+const encodeCommand = (command: Command): Record<string, unknown> => {
+  const task = { hand: `${command.job}/${command.index}`, try: encodeUint64(command.attempt) };
+  switch (command.op) {
     case 'start':
-      return { call: 'run', ...base };
+      return { call: 'run', ...task };
     case 'stop':
-      return { call: 'kill', ...base, slackS: c.gracePeriodS };
+      return { call: 'kill', ...task, slackS: command.gracePeriodS };
     case 'forget':
-      return { call: 'reap', ...base };
+      return { call: 'reap', ...task };
   }
 };
 
-export const heartbeatReply = (token: Uint64, commands: Command[]) => ({
-  reins: encodeUint64(token),
+/** The reply to a heartbeat: it renews the worker's lease under this fencing token. */
+export const heartbeatReply = (fencingToken: Uint64, commands: Command[]) => ({
+  reins: encodeUint64(fencingToken),
   calls: commands.map(encodeCommand),
 });
 
-export const directCommandsBody = (token: Uint64, session: Uint64, commands: Command[]) => ({
-  reins: encodeUint64(token),
-  shift: encodeUint64(session),
+/** Commands that the leader sends without awaiting the next heartbeat, for this incarnation of the worker. */
+export const directCommandsBody = (fencingToken: Uint64, incarnation: Uint64, commands: Command[]) => ({
+  reins: encodeUint64(fencingToken),
+  shift: encodeUint64(incarnation),
   calls: commands.map(encodeCommand),
 });
 
+/** Sends a worker to another controller: to the named one, or to whichever it finds. */
 export const redirectBody = (leader: NodeName | null) => (leader === null ? {} : { foreman: leader });
