--- a/src/test/cancellations.test.ts
+++ b/src/test/cancellations.test.ts
@@ -5,7 +5,7 @@
 import { parseLogPage } from '../wire/cancellation-pages.js';
 
 const at = (ms: number): MonotonicTime => ms as MonotonicTime;
-const job = (n: number): JobId => `wk-${n}` as JobId;
+const job = (index: number): JobId => `wk-${index}` as JobId;
 const KEPT = 160_000;
 
 /** Controllers a, b and c; each asks and hears the others by hand. */
@@ -14,13 +14,13 @@
   const make = (name: string, run = 1): CancellationLog =>
     new CancellationLog(
       `${name}${run}` as Incarnation,
-      names.filter((n) => n !== name),
+      names.filter((other) => other !== name),
       KEPT,
     );
   const logs = { a: make('a'), b: make('b'), c: make('c') };
   const ask = (who: 'a' | 'b' | 'c', whom: 'a' | 'b' | 'c', ms: number): void => {
-    const s = logs[whom].pageAfter(logs[who].positionOf(whom as NodeName), at(ms + 1));
-    logs[who].mergePage(whom as NodeName, s, at(ms), at(ms + 2));
+    const page = logs[whom].pageAfter(logs[who].positionOf(whom as NodeName), at(ms + 1));
+    logs[who].mergePage(whom as NodeName, page, at(ms), at(ms + 2));
   };
   return { logs, ask, make };
 };
@@ -78,7 +78,7 @@
 
 test('part of a long log does not advance the coverage, the remainder does', () => {
   const { logs, ask } = cluster();
-  for (let n = 0; n < 2500; n++) logs.b.add(job(n), at(1));
+  for (let index = 0; index < 2500; index++) logs.b.add(job(index), at(1));
   logs.b.onStoreRead(at(100));
   ask('a', 'b', 200);
   assert.ok(logs.a.has(job(0)) && !logs.a.has(job(2400)));
--- a/src/test/cloud-request-budget.test.ts
+++ b/src/test/cloud-request-budget.test.ts
@@ -12,12 +12,12 @@
   const asked: string[] = [];
   const limits = { connections: 20, idleMs: 5000, bodyBytes: 10_000 };
   const server = createServer(
-    httpConnectionHandler(limits, new Logger('test', 'error'), (q, reply) => {
-      asked.push(`${q.method} ${q.target.split('?')[0]}`);
+    httpConnectionHandler(limits, new Logger('test', 'error'), (request, reply) => {
+      asked.push(`${request.method} ${request.target.split('?')[0]}`);
       reply({ status: 200, body: encode({ stalls: [], more: false }) });
     }),
   ).listen(0, '127.0.0.1');
-  await new Promise((r) => server.once('listening', r));
+  await new Promise((resolve) => server.once('listening', resolve));
   t.after(() => server.close());
   const { port } = server.address() as AddressInfo;
   const cloud = { host: '127.0.0.1', port };
--- a/src/test/decision-log.test.ts
+++ b/src/test/decision-log.test.ts
@@ -36,8 +36,8 @@
   const job = day.submit('wk-1', { kind: 'gang', tasks: 2, gpus: 8 });
   const effects = day.tick();
   const started = effects
-    .flatMap((e) => (e.kind === 'send-direct-commands' ? e.commands : []))
-    .map((c) => c.attempt);
+    .flatMap((effect) => (effect.kind === 'send-direct-commands' ? effect.commands : []))
+    .map((command) => command.attempt);
   const placed = day.logEntries.filter(({ text, fields }) => text === 'placed' && fields['job'] === job);
   assert.equal(new Set(started).size, 1);
   assert.deepEqual(
--- a/src/test/dependencies.test.ts
+++ b/src/test/dependencies.test.ts
@@ -14,7 +14,7 @@
 import type { JobId, MonotonicTime, Team, Term, WallTime } from '../core/units.js';
 
 const now = 0 as MonotonicTime;
-const idOf = (n: number): JobId => `wk-${n}` as JobId;
+const idOf = (index: number): JobId => `wk-${index}` as JobId;
 
 const setup = () => {
   const state = new LeaderState({ term: 1 as Term, keyRevision: 1 }, {} as LeaderSettings, now);
@@ -65,7 +65,7 @@
 
 test('many final records are read a few at a time', () => {
   const { dependencies, learn } = setup();
-  learn(idOf(0), { dependsOn: Array.from({ length: 100 }, (_, n) => idOf(n + 1)) });
+  learn(idOf(0), { dependsOn: Array.from({ length: 100 }, (_item, index) => idOf(index + 1)) });
   const asked = dependencies.takeDueLookups(now);
   assert.ok(asked.length > 1 && asked.length < 50);
   dependencies.onFinalRecordRead(asked[0], 'done', now);
@@ -108,7 +108,8 @@
 test('a chain of 20,000 jobs needs no recursion', () => {
   const { state, dependencies, learn } = setup();
   const first = learn(idOf(0), { priority: 'low' });
-  for (let n = 1; n < 20_000; n++) learn(idOf(n), { dependsOn: [idOf(n - 1)], priority: 'low' });
+  for (let index = 1; index < 20_000; index++)
+    learn(idOf(index), { dependsOn: [idOf(index - 1)], priority: 'low' });
   learn(idOf(20_000), { dependsOn: [idOf(19_999)], priority: 'high' });
   dependencies.propagateUrgency();
   assert.equal(first.priority, 'high');
@@ -129,7 +130,8 @@
 test('a pipeline that cannot meet its deadline is logged when that changes, and when it can again', () => {
   const { state, learn, finish } = setup();
   const lateness = new DeadlinePredictor(state);
-  const messages = (): string[] => state.takeEffects().flatMap((e) => (e.kind === 'log' ? [e.text] : []));
+  const messages = (): string[] =>
+    state.takeEffects().flatMap((effect) => (effect.kind === 'log' ? [effect.text] : []));
   const look = (atS: number): string[] => {
     lateness.update((atS * 1000) as MonotonicTime, (atS * 1000) as WallTime);
     return messages();
@@ -158,20 +160,22 @@
 const settle = (jobs: Model[]): void => {
   for (const job of jobs) {
     if (job.state === 'done' || job.state === 'cancelled') continue;
-    const needed = job.dependsOn.map((n) => jobs[n].state);
+    const needed = job.dependsOn.map((index) => jobs[index].state);
     if (needed.includes('cancelled')) job.state = 'cancelled';
     else job.state = needed.every((state) => state === 'done') ? 'ready' : 'waiting';
   }
 };
-const effectiveRank = (jobs: Model[], n: number): number => {
-  const after = jobs.flatMap((job, i) => (job.dependsOn.includes(n) && job.state !== 'cancelled' ? [i] : []));
-  return Math.max(priorityRank[jobs[n].priority], ...after.map((i) => effectiveRank(jobs, i)));
+const effectiveRank = (jobs: Model[], index: number): number => {
+  const after = jobs.flatMap((job, i) =>
+    job.dependsOn.includes(index) && job.state !== 'cancelled' ? [i] : [],
+  );
+  return Math.max(priorityRank[jobs[index].priority], ...after.map((i) => effectiveRank(jobs, i)));
 };
 
 test('random graphs: states, releases, cancellations and priorities match a reference model', () => {
   for (let seed = 1; seed <= 60; seed++) {
     const rng = xoroshiro128plus(seed);
-    const dice = (n: number): number => uniformInt(rng, 0, n - 1);
+    const dice = (bound: number): number => uniformInt(rng, 0, bound - 1);
     const { state, dependencies, learn, finish } = setup();
     const jobs: Model[] = [];
     for (let step = 0; step < 60; step++) {
@@ -182,27 +186,31 @@
         jobs.push({ dependsOn, priority, state: 'waiting' });
         learn(idOf(jobs.length - 1), { dependsOn: dependsOn.map(idOf), priority });
       } else {
-        const n = dice(jobs.length);
-        const job = state.jobs.get(idOf(n));
+        const picked = dice(jobs.length);
+        const job = state.jobs.get(idOf(picked));
         if (!job) continue;
-        if (dice(4) === 0 && jobs[n].state !== 'cancelled') {
-          jobs[n].state = 'cancelled';
+        if (dice(4) === 0 && jobs[picked].state !== 'cancelled') {
+          jobs[picked].state = 'cancelled';
           job.record = { ...job.record, cancelledAt: 1 as WallTime };
           dependencies.cancelDependents(job.id);
-        } else if (jobs[n].state === 'ready') {
-          jobs[n].state = 'done';
+        } else if (jobs[picked].state === 'ready') {
+          jobs[picked].state = 'done';
           finish(job.id, 'done');
-        } else if (jobs[n].state === 'cancelled') finish(job.id, 'cancelled');
+        } else if (jobs[picked].state === 'cancelled') finish(job.id, 'cancelled');
       }
       settle(jobs);
       dependencies.propagateUrgency();
-      for (const [n, model] of jobs.entries()) {
-        const job = state.jobs.get(idOf(n));
+      for (const [index, model] of jobs.entries()) {
+        const job = state.jobs.get(idOf(index));
         if (!job) continue;
         const actual = job.cancelled ? 'cancelled' : job.ready ? 'ready' : 'waiting';
-        assert.equal(actual, model.state, `seed ${seed}, step ${step}, job ${n}`);
+        assert.equal(actual, model.state, `seed ${seed}, step ${step}, job ${index}`);
         if (model.state !== 'cancelled')
-          assert.equal(priorityRank[job.priority], effectiveRank(jobs, n), `priority of ${n}, seed ${seed}`);
+          assert.equal(
+            priorityRank[job.priority],
+            effectiveRank(jobs, index),
+            `priority of ${index}, seed ${seed}`,
+          );
       }
     }
   }
--- a/src/test/fault-combinations-pipeline-cancellation.test.ts
+++ b/src/test/fault-combinations-pipeline-cancellation.test.ts
@@ -17,56 +17,56 @@
   assertScenarioPasses(times, cancelBeforeOutage(FAULTS_AT_MS, LONG_OUTAGE_MS)));
 
 test('the key-value store refuses the leader as a job is cancelled, the leader crashes, and users query all controllers', () =>
-  assertScenarioPasses(times, (m) => {
+  assertScenarioPasses(times, (scenario) => {
     let jobs: JobId[] = [];
-    m.cluster.at(WORK_STARTS_AT_MS, () => (jobs = submitDiamond(m, 60_000)));
-    m.cluster.at(FAULTS_AT_MS, () => {
-      m.cluster.refuseLeader(14_000);
-      m.cluster.cancel(jobs[0]);
+    scenario.cluster.at(WORK_STARTS_AT_MS, () => (jobs = submitDiamond(scenario, 60_000)));
+    scenario.cluster.at(FAULTS_AT_MS, () => {
+      scenario.cluster.refuseLeader(14_000);
+      scenario.cluster.cancel(jobs[0]);
     });
-    m.cluster.at(FAULTS_AT_MS + 3000, () => m.cluster.restart(m.cluster.leader!, 300));
+    scenario.cluster.at(FAULTS_AT_MS + 3000, () => scenario.cluster.restart(scenario.cluster.leader!, 300));
     for (let i = 0; i < 60; i++)
-      m.cluster.at(FAULTS_AT_MS + 200 * i, () => {
-        for (const id of jobs) m.cluster.users.get(id)!.queryAllControllers();
+      scenario.cluster.at(FAULTS_AT_MS + 200 * i, () => {
+        for (const id of jobs) scenario.cluster.users.get(id)!.queryAllControllers();
       });
   }));
 
 test('a controller without key-value store and peers, while dependencies are cancelled elsewhere', () =>
-  assertScenarioPasses(times, (m) => {
+  assertScenarioPasses(times, (scenario) => {
     let jobs: JobId[] = [];
-    m.cluster.at(
+    scenario.cluster.at(
       WORK_STARTS_AT_MS,
-      () => (jobs = [submitDiamond(m, 90_000), submitDiamond(m, 90_000)].flat()),
+      () => (jobs = [submitDiamond(scenario, 90_000), submitDiamond(scenario, 90_000)].flat()),
     );
-    m.cluster.at(FAULTS_AT_MS, () => {
-      const cut = m.cluster.controllers.find((p) => p !== m.cluster.leader)!;
-      m.cluster.isolateFromPeers(cut, 'hold', 50_000);
-      m.cluster.isolateFromKeyValueStore(cut, 50_000);
+    scenario.cluster.at(FAULTS_AT_MS, () => {
+      const cut = scenario.cluster.controllers.find((controller) => controller !== scenario.cluster.leader)!;
+      scenario.cluster.isolateFromPeers(cut, 'hold', 50_000);
+      scenario.cluster.isolateFromKeyValueStore(cut, 50_000);
     });
-    m.cluster.at(FAULTS_AT_MS + 1000, () => m.cluster.cancel(jobs[0]));
-    m.cluster.at(FAULTS_AT_MS + 52_000, () => m.cluster.cancel(jobs[4]));
+    scenario.cluster.at(FAULTS_AT_MS + 1000, () => scenario.cluster.cancel(jobs[0]));
+    scenario.cluster.at(FAULTS_AT_MS + 52_000, () => scenario.cluster.cancel(jobs[4]));
   }));
 
 test('a dependent job is submitted as its dependency is cancelled', () =>
-  assertScenarioPasses({ ...times, seeds: [1, 2, 3, 4, 5] }, (m) => {
+  assertScenarioPasses({ ...times, seeds: [1, 2, 3, 4, 5] }, (scenario) => {
     for (let i = 0; i < 12; i++)
-      m.cluster.at(WORK_STARTS_AT_MS + i * 4000, () => {
-        const first = m.submit({ tasks: 2 }, 30_000);
-        m.cluster.at(m.cluster.now + 3000, () => m.cluster.cancel(first));
-        m.cluster.at(m.cluster.now + 2990 + i * 4, () => {
-          const second = m.submitAfter([first], { tasks: 1 }, 5000);
-          m.submitAfter([second], { tasks: 1 }, 5000);
+      scenario.cluster.at(WORK_STARTS_AT_MS + i * 4000, () => {
+        const first = scenario.submit({ tasks: 2 }, 30_000);
+        scenario.cluster.at(scenario.cluster.now + 3000, () => scenario.cluster.cancel(first));
+        scenario.cluster.at(scenario.cluster.now + 2990 + i * 4, () => {
+          const second = scenario.submitAfter([first], { tasks: 1 }, 5000);
+          scenario.submitAfter([second], { tasks: 1 }, 5000);
         });
       });
   }));
 
-const cancelledAtTheEnd = (m: Scenario): void => {
-  m.cluster.checker.onJobCompleted = (id) =>
-    m.cluster.at(m.cluster.now + m.random() * 300, () => m.cluster.cancel(id));
+const cancelledAtTheEnd = (scenario: Scenario): void => {
+  scenario.cluster.checker.onJobCompleted = (id) =>
+    scenario.cluster.at(scenario.cluster.now + scenario.random() * 300, () => scenario.cluster.cancel(id));
   for (let i = 0; i < 8; i++)
-    m.cluster.at(WORK_STARTS_AT_MS + i * 3000, () => {
-      const first = m.submit({ tasks: 1 + (i % 2) }, 5000 + 500 * i);
-      m.submitAfter([first], { tasks: 2 }, 5000);
+    scenario.cluster.at(WORK_STARTS_AT_MS + i * 3000, () => {
+      const first = scenario.submit({ tasks: 1 + (i % 2) }, 5000 + 500 * i);
+      scenario.submitAfter([first], { tasks: 2 }, 5000);
     });
 };
 
--- a/src/test/fault-combinations-unreachable-workers.test.ts
+++ b/src/test/fault-combinations-unreachable-workers.test.ts
@@ -5,39 +5,40 @@
 const START = 10_000;
 
 test('workers cannot connect to a controller, or receive no response, while their jobs are cancelled', () =>
-  assertScenarioPasses({ faultsEndMs: 110_000, endMs: 330_000 }, (m) => {
-    const jobs = startMixedWork(m);
-    m.cluster.at(FAULTS_AT_MS, () => {
-      const deaf = m.cluster.machinesOf(jobs[0]);
-      const mute = m.cluster.machinesOf(jobs[3]);
-      for (const w of deaf) w.worker.inboundPartitioned = true;
-      for (const w of mute) w.heartbeatsDropped = true;
-      m.cluster.at(FAULTS_AT_MS + 45_000, () => {
-        for (const w of deaf) w.worker.inboundPartitioned = false;
-        for (const w of mute) w.heartbeatsDropped = false;
+  assertScenarioPasses({ faultsEndMs: 110_000, endMs: 330_000 }, (scenario) => {
+    const jobs = startMixedWork(scenario);
+    scenario.cluster.at(FAULTS_AT_MS, () => {
+      const deaf = scenario.cluster.machinesOf(jobs[0]);
+      const mute = scenario.cluster.machinesOf(jobs[3]);
+      for (const workerHost of deaf) workerHost.worker.inboundPartitioned = true;
+      for (const workerHost of mute) workerHost.heartbeatsDropped = true;
+      scenario.cluster.at(FAULTS_AT_MS + 45_000, () => {
+        for (const workerHost of deaf) workerHost.worker.inboundPartitioned = false;
+        for (const workerHost of mute) workerHost.heartbeatsDropped = false;
       });
     });
-    m.cluster.at(FAULTS_AT_MS + 1000, () => {
-      for (const id of [jobs[0], jobs[3]]) m.cluster.cancel(id);
+    scenario.cluster.at(FAULTS_AT_MS + 1000, () => {
+      for (const id of [jobs[0], jobs[3]]) scenario.cluster.cancel(id);
     });
-    m.cluster.at(FAULTS_AT_MS + 2000, () => m.cluster.restart(m.cluster.leader!, 400));
+    scenario.cluster.at(FAULTS_AT_MS + 2000, () => scenario.cluster.restart(scenario.cluster.leader!, 400));
   }));
 
 test('a team is at its limit during a failover with unreachable machines and a cancellation', () =>
-  assertScenarioPasses({ faultsEndMs: 110_000, endMs: 400_000 }, (m) => {
-    cancelAtTeamLimit(m);
-    m.cluster.at(FAULTS_AT_MS + 12_000, () => m.cluster.restart(m.cluster.leader!, 500));
+  assertScenarioPasses({ faultsEndMs: 110_000, endMs: 400_000 }, (scenario) => {
+    cancelAtTeamLimit(scenario);
+    scenario.cluster.at(FAULTS_AT_MS + 12_000, () => scenario.cluster.restart(scenario.cluster.leader!, 500));
   }));
 
 test('a cancellation, a query or a repeated submission coincides with the end of the last task', () =>
-  assertScenarioPasses({ faultsEndMs: 120_000, endMs: 160_000 }, (m) => {
+  assertScenarioPasses({ faultsEndMs: 120_000, endMs: 160_000 }, (scenario) => {
     for (let i = 0; i < 30; i++)
-      m.cluster.at(START + i * 2500, () => m.submit({ tasks: 1 + (i % 3) }, 6000 + 100 * i));
-    m.cluster.checker.onJobCompleted = (id) => {
-      const user = m.cluster.users.get(id)!;
-      const n = Number(id.slice(3));
-      const delayMs = 1 + ((n * 37) % 1200);
-      if (n % 3 === 0) m.cluster.at(m.cluster.now + delayMs, () => m.cluster.cancel(id));
-      else m.cluster.at(m.cluster.now + delayMs, () => user.queryAllControllers());
+      scenario.cluster.at(START + i * 2500, () => scenario.submit({ tasks: 1 + (i % 3) }, 6000 + 100 * i));
+    scenario.cluster.checker.onJobCompleted = (id) => {
+      const user = scenario.cluster.users.get(id)!;
+      const jobNumber = Number(id.slice(3));
+      const delayMs = 1 + ((jobNumber * 37) % 1200);
+      if (jobNumber % 3 === 0)
+        scenario.cluster.at(scenario.cluster.now + delayMs, () => scenario.cluster.cancel(id));
+      else scenario.cluster.at(scenario.cluster.now + delayMs, () => user.queryAllControllers());
     };
   }));
--- a/src/test/four-zones.test.ts
+++ b/src/test/four-zones.test.ts
@@ -21,10 +21,10 @@
   initialMachines: { type: 'small', perZone: 4 },
 };
 
-const work = (m: Scenario): JobId[] => [
-  ...[4, 6, 2].map((tasks) => m.submit({ tasks, priority: 'low', checkpointS: 10 })),
+const work = (scenario: Scenario): JobId[] => [
+  ...[4, 6, 2].map((tasks) => scenario.submit({ tasks, priority: 'low', checkpointS: 10 })),
   ...[1, 2, 4].map((tasks) =>
-    m.submit({ kind: 'gang', tasks, priority: 'high', team: 'blue' as Team, gpus: 2 }),
+    scenario.submit({ kind: 'gang', tasks, priority: 'high', team: 'blue' as Team, gpus: 2 }),
   ),
 ];
 
@@ -35,11 +35,11 @@
     const { sim, broken } = await runScenario(
       seed,
       { setup: { ...over, operator }, faultsEndMs: 30_000, endMs: 60_000 },
-      (m) => {
-        m.cluster.at(100, () => work(m));
+      (scenario) => {
+        scenario.cluster.at(100, () => work(scenario));
       },
     );
-    const running = [...sim.users.values()].filter((u) => u.status === 'running').length;
+    const running = [...sim.users.values()].filter((user) => user.status === 'running').length;
     const early = [...sim.cloudProvider.deletedAt].filter(([, at]) => at < 14_000).length;
     assert.deepEqual(
       { broken, running, early, rented: sim.cloudProvider.scaledOutCount },
@@ -49,37 +49,42 @@
 });
 
 test('the zone without a controller is partitioned from everything, and jobs are cancelled', () =>
-  assertScenarioPasses({ setup: over, faultsEndMs: 120_000, endMs: 400_000 }, (m) => {
+  assertScenarioPasses({ setup: over, faultsEndMs: 120_000, endMs: 400_000 }, (scenario) => {
     const jobs: JobId[] = [];
-    m.cluster.at(5000, () => jobs.push(...work(m)));
-    m.cluster.at(40_000, () => m.cluster.isolateZone('west', 'hold', 60_000));
-    m.cluster.at(42_000, () => jobs.slice(1, 5).forEach((id) => m.cluster.cancel(id)));
-    m.cluster.at(60_000, () => m.cluster.restart(m.cluster.leader!, 6000));
+    scenario.cluster.at(5000, () => jobs.push(...work(scenario)));
+    scenario.cluster.at(40_000, () => scenario.cluster.isolateZone('west', 'hold', 60_000));
+    scenario.cluster.at(42_000, () => jobs.slice(1, 5).forEach((id) => scenario.cluster.cancel(id)));
+    scenario.cluster.at(60_000, () => scenario.cluster.restart(scenario.cluster.leader!, 6000));
   }));
 
 test('two zones with controllers are partitioned from one another, then all controllers crash', () =>
-  assertScenarioPasses({ setup: over, faultsEndMs: 130_000, endMs: 400_000 }, (m) => {
+  assertScenarioPasses({ setup: over, faultsEndMs: 130_000, endMs: 400_000 }, (scenario) => {
     const jobs: JobId[] = [];
-    m.cluster.at(5000, () => jobs.push(...work(m)));
-    m.cluster.at(40_000, () => m.cluster.partitionZones('north', 'east', 'refuse', 55_000));
-    m.cluster.at(45_000, () => m.cluster.cancel(jobs[0]));
-    m.cluster.at(80_000, () => m.cluster.controllers.forEach((p, i) => m.cluster.restart(p, 6000 + 300 * i)));
-    m.cluster.at(81_000, () => m.cluster.keyValueStore.startOutage(5000));
+    scenario.cluster.at(5000, () => jobs.push(...work(scenario)));
+    scenario.cluster.at(40_000, () => scenario.cluster.partitionZones('north', 'east', 'refuse', 55_000));
+    scenario.cluster.at(45_000, () => scenario.cluster.cancel(jobs[0]));
+    scenario.cluster.at(80_000, () =>
+      scenario.cluster.controllers.forEach((controller, i) =>
+        scenario.cluster.restart(controller, 6000 + 300 * i),
+      ),
+    );
+    scenario.cluster.at(81_000, () => scenario.cluster.keyValueStore.startOutage(5000));
   }));
 
 test('teams at guarantee and limit, gangs and arrays, through failovers with unreachable machines', () =>
-  assertScenarioPasses({ setup: over, faultsEndMs: 130_000, endMs: 500_000 }, (m) => {
-    m.cluster.at(5000, () => {
-      for (let i = 0; i < 5; i++) m.submit({ tasks: 10, priority: 'low' }, 30_000);
+  assertScenarioPasses({ setup: over, faultsEndMs: 130_000, endMs: 500_000 }, (scenario) => {
+    scenario.cluster.at(5000, () => {
+      for (let i = 0; i < 5; i++) scenario.submit({ tasks: 10, priority: 'low' }, 30_000);
       for (let i = 0; i < 8; i++)
-        m.submit(
+        scenario.submit(
           { kind: 'gang', tasks: 2 + (i % 3), gpus: 2, priority: 'high', team: 'blue' as Team },
           25_000,
         );
     });
     for (const atMs of [30_000, 60_000])
-      m.cluster.at(atMs, () => {
-        for (const w of m.cluster.workers.values()) if (m.random() < 0.3) w.hang(9000);
-        m.cluster.restart(m.cluster.leader!, 6000);
+      scenario.cluster.at(atMs, () => {
+        for (const workerHost of scenario.cluster.workers.values())
+          if (scenario.random() < 0.3) workerHost.hang(9000);
+        scenario.cluster.restart(scenario.cluster.leader!, 6000);
       });
   }));
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -113,13 +113,13 @@
   const more = makeMachine('b', 'small', 'east');
   placeRunningTask(more, holder, 2);
   const larger = makeJob('wk-9', { team: gold, tasks: 3, estimateS: 500 });
-  for (const [m, indices] of [
+  for (const [machine, indices] of [
     [full, [0, 1]],
     [more, [2]],
   ] as const) {
-    m.unassign(holder.id, indices[0]);
-    if (indices[1] !== undefined) m.unassign(holder.id, indices[1]);
-    for (const index of indices) placeRunningTask(m, larger, index);
+    machine.unassign(holder.id, indices[0]);
+    if (indices[1] !== undefined) machine.unassign(holder.id, indices[1]);
+    for (const index of indices) placeRunningTask(machine, larger, index);
   }
   const filler = makeJob('wk-8', { team: none, priority: 'production', estimateS: 500, kind: 'gang' });
   placeRunningTask(more, filler, 0);
@@ -133,21 +133,21 @@
   const a = makeMachine('a', 'small', 'east');
   const b = makeMachine('b', 'small', 'east');
   const gang = makeJob('wk-9', { team: gold, kind: 'gang', tasks: 4, estimateS: 500 });
-  [a, a, b, b].forEach((m, index) => placeRunningTask(m, gang, index));
+  [a, a, b, b].forEach((machine, index) => placeRunningTask(machine, gang, index));
   assert.deepEqual(
     describeDecisions(runTestCycle([a, b], [makeJob('wk-1', { team: red })], teams)),
     ['wk-1 waits for 1'],
     'two of the four are guaranteed, and the gang ends whole',
   );
   const free = makeJob('wk-9', { team: none, kind: 'gang', tasks: 4, estimateS: 500 });
-  const [c, d] = [makeMachine('c', 'small', 'east'), makeMachine('d', 'small', 'east')];
-  [c, c, d, d].forEach((m, index) => placeRunningTask(m, free, index));
+  const [first, second] = [makeMachine('c', 'small', 'east'), makeMachine('d', 'small', 'east')];
+  [first, first, second, second].forEach((machine, index) => placeRunningTask(machine, free, index));
   assert.deepEqual(
-    describeDecisions(runTestCycle([c, d], [makeJob('wk-1', { team: red })], teams)).length,
+    describeDecisions(runTestCycle([first, second], [makeJob('wk-1', { team: red })], teams)).length,
     1,
   );
   const tooLarge = makeJob('wk-2', { team: red, kind: 'gang', tasks: 2, gpus: 1, cpus: 16 });
-  assert.deepEqual(describeDecisions(runTestCycle([c], [tooLarge], teams)), ['wk-2 waits for 2']);
+  assert.deepEqual(describeDecisions(runTestCycle([first], [tooLarge], teams)), ['wk-2 waits for 2']);
 });
 
 test('nothing is preempted for a guarantee where a machine is free as soon', () => {
@@ -182,7 +182,7 @@
 /** Jobs of three teams, of all kinds and priorities, more than there is room for. */
 const randomJobs = (random: () => number): Job[] => {
   const pick = <T>(of: readonly T[]): T => of[Math.floor(random() * of.length)];
-  return Array.from({ length: 14 }, (_, i) =>
+  return Array.from({ length: 14 }, (_item, i) =>
     submitted(`wk-${i}`, random() * 1000, {
       team: pick([red, gold, none]),
       kind: pick(['gang', 'array'] as const),
@@ -202,12 +202,12 @@
       priorityRank[b.spec.priority] - priorityRank[a.spec.priority],
   );
   const { placed, victims } = runTestCycle(machines, inOrder, limits);
-  for (const { job: j, index, machine: m } of placed) placeRunningTask(m, j, index);
+  for (const { job: j, index, machine: machine } of placed) placeRunningTask(machine, j, index);
   for (const { job: j, placement } of victims) {
     const gone = j.spec.kind === 'gang' ? [...j.placements.values()] : [placement];
-    for (const p of gone) {
-      machines.find((m) => m.id === p.machine)!.unassign(j.id, p.index);
-      j.removePlacement(p.index);
+    for (const placement of gone) {
+      machines.find((machine) => machine.id === placement.machine)!.unassign(j.id, placement.index);
+      j.removePlacement(placement.index);
     }
   }
   return placed.length + victims.length > 0;
@@ -230,7 +230,7 @@
     while (settleOnce(machines, jobs, limits)) {
       assert.ok(++rounds < MOST_ROUNDS, `seed ${seed} does not settle`);
       for (const { name, gpusMax } of limits) {
-        const used = jobs.filter((j) => j.spec.team === name).reduce((n, j) => n + j.placements.size, 0);
+        const used = jobs.filter((j) => j.spec.team === name).reduce((sum, j) => sum + j.placements.size, 0);
         assert.ok(used <= gpusMax, `seed ${seed}: ${name} uses ${used} of ${gpusMax}`);
       }
     }
@@ -262,21 +262,28 @@
 /** Everything is full of borrowed work; then a team asks for what it is guaranteed. */
 const playOwed = async (): Promise<{ broken: string[]; unfinished: string[]; running: number }> => {
   let running = 0;
-  const day = await runScenario(1, { setup: over, faultsEndMs: 60_000, endMs: 700_000 }, (m: Scenario) => {
-    let owed: JobId[] = [];
-    m.cluster.at(10_000, () => {
-      m.submit({ team: none, tasks: 16, priority: 'high', estimateS: 100 });
-      m.submit({ team: gold, tasks: 2, kind: 'gang', priority: 'high', estimateS: 100 });
-      for (let i = 0; i < 7; i++) m.submit({ team: gold, tasks: 2, kind: 'gang', estimateS: 100 });
-    });
-    m.cluster.at(OWED_MS, () => {
-      owed = [
-        m.submit({ team: red, tasks: 4, priority: 'low' }, 60_000),
-        m.submit({ team: red, tasks: 2, kind: 'gang', priority: 'normal' }, 60_000),
-      ];
-    });
-    m.cluster.at(STARTED_MS, () => (running = owed.flatMap((id) => m.cluster.checker.machinesOf(id)).length));
-  });
+  const day = await runScenario(
+    1,
+    { setup: over, faultsEndMs: 60_000, endMs: 700_000 },
+    (scenario: Scenario) => {
+      let owed: JobId[] = [];
+      scenario.cluster.at(10_000, () => {
+        scenario.submit({ team: none, tasks: 16, priority: 'high', estimateS: 100 });
+        scenario.submit({ team: gold, tasks: 2, kind: 'gang', priority: 'high', estimateS: 100 });
+        for (let i = 0; i < 7; i++) scenario.submit({ team: gold, tasks: 2, kind: 'gang', estimateS: 100 });
+      });
+      scenario.cluster.at(OWED_MS, () => {
+        owed = [
+          scenario.submit({ team: red, tasks: 4, priority: 'low' }, 60_000),
+          scenario.submit({ team: red, tasks: 2, kind: 'gang', priority: 'normal' }, 60_000),
+        ];
+      });
+      scenario.cluster.at(
+        STARTED_MS,
+        () => (running = owed.flatMap((id) => scenario.cluster.checker.machinesOf(id)).length),
+      );
+    },
+  );
   return { broken: day.broken, unfinished: day.unfinished, running };
 };
 
--- a/src/test/heartbeat-handler.test.ts
+++ b/src/test/heartbeat-handler.test.ts
@@ -73,8 +73,8 @@
       reins,
       hands,
     };
-    const r = await reportHandler.handle(encode(body));
-    return `${r.status} ${JSON.stringify(r.body ? decode(r.body) : null)}`;
+    const reply = await reportHandler.handle(encode(body));
+    return `${reply.status} ${JSON.stringify(reply.body ? decode(reply.body) : null)}`;
   };
   return { world, cancelled, reportHandler, report };
 };
@@ -200,17 +200,17 @@
     status: { node: 'stable-1', leading: true, term, storeAvailable: true, receivesHeartbeats: true },
     isAlive: () => true,
     refusesConnections: () => false,
-    ask: (q: PeerRequest) => {
-      asked.push(q.kind);
+    ask: (request: PeerRequest) => {
+      asked.push(request.kind);
       if (!world.linked) return Promise.resolve(null);
-      if (q.kind === 'unchanged-heartbeats') {
-        const full = q.heartbeats.filter(
+      if (request.kind === 'unchanged-heartbeats') {
+        const full = request.heartbeats.filter(
           (v) => !world.leader.onUnchangedHeartbeat(v, world.now as MonotonicTime),
         );
         return Promise.resolve({ fullHeartbeatNeeded: full.map((v) => v.machine) });
       }
-      assert.ok(q.kind === 'forwarded-heartbeat');
-      const parsed = parseHeartbeat(decode(Buffer.from(q.heartbeat)));
+      assert.ok(request.kind === 'forwarded-heartbeat');
+      const parsed = parseHeartbeat(decode(Buffer.from(request.heartbeat)));
       assert.ok(parsed.ok);
       const calls = world.leader.onHeartbeat(parsed.value, world.now as MonotonicTime);
       const body = encode({ reins: term, calls });
@@ -245,9 +245,9 @@
       ...over,
     };
     assert.equal((await reportHandler.handle(encode(body))).status, 200);
-    await new Promise((r) => setImmediate(r));
+    await new Promise((resolve) => setImmediate(resolve));
     mock.timers.tick(250);
-    await new Promise((r) => setImmediate(r));
+    await new Promise((resolve) => setImmediate(resolve));
     return asked.join(' ');
   };
   const seen = (): unknown => world.leader.machines.get('host-1' as MachineId)?.sequence;
--- a/src/test/http.test.ts
+++ b/src/test/http.test.ts
@@ -12,7 +12,7 @@
 const refuses = (text: string, status: number): void => {
   assert.throws(
     () => parse(text),
-    (e) => e instanceof HttpError && e.status === status,
+    (error) => error instanceof HttpError && error.status === status,
     JSON.stringify(text),
   );
 };
@@ -25,7 +25,7 @@
     for (let i = 0; i < text.length; i += size)
       got.push(...parser.push(Buffer.from(text.slice(i, i + size))));
     assert.deepEqual(
-      got.map((m) => [m.method, m.target, m.body.toString()]),
+      got.map((request) => [request.method, request.target, request.body.toString()]),
       [
         ['POST', '/checkin', 'hello'],
         ['GET', '/up', ''],
@@ -63,10 +63,10 @@
   const onConnection = httpConnectionHandler(
     { connections: 3, idleMs: 5000, bodyBytes: 100 },
     log,
-    (q, reply) => reply({ status: 200, body: Buffer.from(q.target) }),
+    (request, reply) => reply({ status: 200, body: Buffer.from(request.target) }),
   );
   const server = createServer(onConnection).listen(0, '127.0.0.1');
-  await new Promise((r) => server.once('listening', r));
+  await new Promise((resolve) => server.once('listening', resolve));
   const { port } = server.address() as AddressInfo;
   const client = new HttpClient({ host: '127.0.0.1', port }, 1);
   t.after(() => {
@@ -74,14 +74,14 @@
     server.close();
   });
   for (const path of ['/a', '/b']) {
-    const r = await client.request('GET', path, null, 2000);
-    assert.ok(r.ok && r.status === 200 && r.body.toString() === path);
+    const result = await client.request('GET', path, null, 2000);
+    assert.ok(result.ok && result.status === 200 && result.body.toString() === path);
   }
   const raw = (text: string): Promise<string> =>
     new Promise((resolve) => {
       const socket = connect(port, '127.0.0.1');
       let got = '';
-      socket.on('data', (d) => (got += d.toString()));
+      socket.on('data', (data) => (got += data.toString()));
       socket.on('error', () => undefined);
       socket.on('close', () => resolve(got));
       socket.write(text);
@@ -94,66 +94,67 @@
 });
 
 test('more peers than sockets: idle connections are closed, those of the larger group first, and busy ones are kept', async (t) => {
-  const open: ((r: { status: number }) => void)[] = [];
+  const open: ((response: { status: number }) => void)[] = [];
   const limits = {
     connections: 4,
     idleMs: 5000,
     bodyBytes: 100,
-    clientGroup: (q: { target: string }) => (q.target.startsWith('/w') ? 'workers' : 'users'),
+    clientGroup: (request: { target: string }) => (request.target.startsWith('/w') ? 'workers' : 'users'),
   };
   const log = new Logger('test', 'error');
   const server = createServer(
-    httpConnectionHandler(limits, log, (q, reply) => {
-      if (q.target.endsWith('hold')) open.push(reply);
+    httpConnectionHandler(limits, log, (request, reply) => {
+      if (request.target.endsWith('hold')) open.push(reply);
       else reply({ status: 200 });
     }),
   ).listen(0, '127.0.0.1');
-  await new Promise((r) => server.once('listening', r));
+  await new Promise((resolve) => server.once('listening', resolve));
   const { port } = server.address() as AddressInfo;
   const dial = async (path: string) => {
     const socket = connect(port, '127.0.0.1');
     const peer = { socket, got: '', closed: false };
-    socket.on('data', (d) => (peer.got += d.toString()));
+    socket.on('data', (data) => (peer.got += data.toString()));
     socket.on('error', () => undefined);
-    const closed = new Promise((r) => socket.on('close', r)).then(() => (peer.closed = true));
+    const closed = new Promise((resolve) => socket.on('close', resolve)).then(() => (peer.closed = true));
     socket.write(`GET ${path} HTTP/1.1\r\n\r\n`);
-    await Promise.race([new Promise((r) => socket.once('data', r)), closed]);
+    await Promise.race([new Promise((resolve) => socket.once('data', resolve)), closed]);
     return peer;
   };
   const peers: Awaited<ReturnType<typeof dial>>[] = [];
   t.after(() => {
-    peers.forEach((p) => p.socket.destroy());
+    peers.forEach((peer) => peer.socket.destroy());
     server.close();
   });
   for (const path of ['/user', '/w1', '/w2']) peers.push(await dial(path));
-  assert.ok(peers.every((p) => p.got.includes('200') && !p.got.includes('close')));
+  assert.ok(peers.every((peer) => peer.got.includes('200') && !peer.got.includes('close')));
   // Above four fifths: answered, and asked to come back on a new connection.
   const fourth = await dial('/w3');
   peers.push(fourth);
   assert.match(fourth.got, /200 OK[^]*Connection: close/);
   fourth.socket.destroy();
-  const count = (): Promise<number> => new Promise((r) => server.getConnections((_, n) => r(n)));
-  while ((await count()) > 3) await new Promise((r) => setImmediate(r));
+  const count = (): Promise<number> =>
+    new Promise((resolve) => server.getConnections((_error, connections) => resolve(connections)));
+  while ((await count()) > 3) await new Promise((resolve) => setImmediate(resolve));
   const held = [dial('/user-hold'), dial('/w-hold')];
-  while (open.length < 2) await new Promise((r) => setImmediate(r));
-  while (!peers[1].closed) await new Promise((r) => setImmediate(r));
+  while (open.length < 2) await new Promise((resolve) => setImmediate(resolve));
+  while (!peers[1].closed) await new Promise((resolve) => setImmediate(resolve));
   assert.deepEqual(
-    peers.map((p) => p.closed),
+    peers.map((peer) => peer.closed),
     [false, true, false, true],
     'the longest idle worker gave way, not the user',
   );
   for (const reply of open) reply({ status: 204 });
-  assert.ok((await Promise.all(held)).every((p) => p.got.includes('204')));
+  assert.ok((await Promise.all(held)).every((peer) => peer.got.includes('204')));
 });
 
 test('a client distinguishes requests never sent from those that may have been executed', async () => {
-  const silent = createServer((s) => s.resume()).listen(0, '127.0.0.1');
-  await new Promise((r) => silent.once('listening', r));
+  const silent = createServer((socket) => socket.resume()).listen(0, '127.0.0.1');
+  await new Promise((resolve) => silent.once('listening', resolve));
   const { port } = silent.address() as AddressInfo;
   const late = await new HttpClient({ host: '127.0.0.1', port }, 1).request('GET', '/', null, 50);
   assert.deepEqual(late.ok ? null : late.sent, true);
   silent.close();
-  await new Promise((r) => setImmediate(r));
+  await new Promise((resolve) => setImmediate(resolve));
   const refused = await new HttpClient({ host: '127.0.0.1', port }, 1).request('GET', '/', null, 500);
   assert.deepEqual(refused.ok ? null : refused.sent, false);
 });
--- a/src/test/invariant-checker.test.ts
+++ b/src/test/invariant-checker.test.ts
@@ -29,7 +29,7 @@
   const checker = new InvariantChecker(new Map([[spec.id, spec]]), teams, 40, () => world.now);
   return { checker, world, id: spec.id };
 };
-const rules = (c: InvariantChecker): string[] => c.violations.map((b) => b.split(' ')[0]);
+const rules = (checker: InvariantChecker): string[] => checker.violations.map((b) => b.split(' ')[0]);
 
 test('the invariant checker reports each violated rule, and none before', () => {
   const twice = checkerFor({});
@@ -53,9 +53,9 @@
     [{}, at('a', 'east', true)],
   ];
   for (const [over, machine] of wrong) {
-    const w = checkerFor(over);
-    w.checker.onTaskStarted(machine, w.id, 0);
-    assert.deepEqual(rules(w.checker), ['wrong_place'], JSON.stringify(over));
+    const setting = checkerFor(over);
+    setting.checker.onTaskStarted(machine, setting.id, 0);
+    assert.deepEqual(rules(setting.checker), ['wrong_place'], JSON.stringify(over));
   }
   const split = checkerFor({ oneZone: true });
   split.checker.onTaskStarted(at('a', 'east'), split.id, 0);
@@ -120,12 +120,16 @@
   // Broken on purpose: leaves out every stop.
   class Deaf extends Leader {
     override onHeartbeat(report: Heartbeat, now: MonotonicTime): Command[] {
-      return super.onHeartbeat(report, now).filter((c) => c.op !== 'stop');
+      return super.onHeartbeat(report, now).filter((command) => command.op !== 'stop');
     }
     override takeEffects() {
       return super
         .takeEffects()
-        .filter((e) => e.kind !== 'send-direct-commands' || e.commands.every((c) => c.op === 'start'));
+        .filter(
+          (effect) =>
+            effect.kind !== 'send-direct-commands' ||
+            effect.commands.every((command) => command.op === 'start'),
+        );
     }
   }
   const day = new LeaderSimulation(8, (...a) => new Deaf(...a));
--- a/src/test/key-value-store-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -53,7 +53,7 @@
   let time = 0;
   const flush = (): ProgressEffect[] => {
     completion.finishJobs((time += 2000) as MonotonicTime);
-    return state.takeEffects().filter((e): e is ProgressEffect => e.kind === 'write-progress');
+    return state.takeEffects().filter((effect): effect is ProgressEffect => effect.kind === 'write-progress');
   };
   return { job, completion, flush };
 };
@@ -83,14 +83,14 @@
   completion.onProgressWritten(job.id, first.segment, first.bytes, false);
   const again = flush();
   assert.deepEqual(
-    again.map((e) => [e.segment, e.bytes[0]]),
+    again.map((effect) => [effect.segment, effect.bytes[0]]),
     [[first.segment, 3]],
   );
   completion.onProgressWritten(job.id, first.segment, again[0].bytes, true);
   assert.deepEqual(flush(), []);
   job.markCompleted(29_999);
   assert.deepEqual(
-    flush().map((e) => e.segment),
+    flush().map((effect) => effect.segment),
     ['2x1527'],
   );
 });
@@ -102,7 +102,7 @@
   for (let seconds = 0; seconds < 3; seconds++) {
     const now = flush();
     assert.equal(now.length, 3);
-    written.push(...now.map((e) => e.segment));
+    written.push(...now.map((effect) => effect.segment));
   }
   assert.deepEqual(new Set(written).size, 9);
 });
@@ -121,43 +121,43 @@
   assert.equal(job.completedCount, 16_384);
   assert.ok(job.isDurable(16_384) && !job.isDurable(16_383));
   job.markCompleted(16_383);
-  for (const e of flush()) completion.onProgressWritten(job.id, e.segment, e.bytes, true);
+  for (const effect of flush()) completion.onProgressWritten(job.id, effect.segment, effect.bytes, true);
   assert.deepEqual([...job.persistedSegments], ['1', '1x1527']);
 });
 
-const machine = (n: number): MachineInfo => ({
+const machine = (index: number): MachineInfo => ({
   ...({ endpoint: '', type: 'coach', zone: 'regina', spot: false } as unknown as MachineInfo),
-  id: `host-${String(n).padStart(6, '0')}` as MachineId,
+  id: `host-${String(index).padStart(6, '0')}` as MachineId,
 });
 
 test('a registry page that is too large now is moved piece by piece, and names each machine until another page does', () => {
   const fits = (machines: MachineInfo[]): boolean => fitsRegistryPage(machines, 2);
   const roster = new MachineRegistry();
-  const all = Array.from({ length: 81 }, (_, n) => machine(n));
+  const all = Array.from({ length: 81 }, (_item, index) => machine(index));
   for (const info of all) roster.load('old', info);
   assert.ok(!fits(all));
   roster.remove('old', all[80].id);
   assert.equal(roster.nextPageToWrite('stale', fits), null, 'not written as it is');
-  const durable = new Map([['old', new Set(all.map((m) => m.id))]]);
+  const durable = new Map([['old', new Set(all.map((machine) => machine.id))]]);
   const named = (): number => new Set([...durable.values()].flatMap((page) => [...page])).size;
   for (let page = 1; roster.splitOversizedPage(fits).length > 0; page++) {
     const part = roster.splitOversizedPage(fits);
     assert.ok(fits(part) && part.length > 10);
     roster.openPage(`new-${page}`, part);
     assert.ok(named() >= 80, 'while the write is under way');
-    durable.set(`new-${page}`, new Set(part.map((m) => m.id)));
+    durable.set(`new-${page}`, new Set(part.map((machine) => machine.id)));
     for (const id of roster.onPageWritten(`new-${page}`, true)) roster.remove('old', id);
   }
   const rest = roster.nextPageToWrite('stale', fits)!;
   assert.ok(fitsValue(registryPageData(rest.machines), 2));
-  durable.set('old', new Set(rest.machines.map((m) => m.id)));
+  durable.set('old', new Set(rest.machines.map((machine) => machine.id)));
   assert.equal(named(), 80);
 });
 
 test('a long list of machine types is divided into values that fit', () => {
-  const many: MachineType[] = Array.from({ length: 60 }, (_, n) => ({
+  const many: MachineType[] = Array.from({ length: 60 }, (_item, index) => ({
     ...types[0],
-    name: `type-${n}` as MachineTypeName,
+    name: `type-${index}` as MachineTypeName,
   }));
   const pages = splitIntoPages(many, 2);
   assert.deepEqual(pages.flat(), many);
--- a/src/test/large-cluster.test.ts
+++ b/src/test/large-cluster.test.ts
@@ -46,13 +46,13 @@
 /** What a cycle costs where every machine is full and 300 jobs of a few kinds wait. */
 const costOfCycle = (count: number): number => {
   const full = makeJob('wk-0', { tasks: count * 8, priority: 'production', cpus: 8 });
-  const machines = Array.from({ length: count }, (_, i) =>
+  const machines = Array.from({ length: count }, (_item, i) =>
     makeMachine(`m${i}`, 'large', i % 2 ? 'east' : 'west'),
   );
-  machines.forEach((m, i) => {
-    for (let k = 0; k < 8; k++) placeRunningTask(m, full, i * 8 + k);
+  machines.forEach((machine, i) => {
+    for (let slot = 0; slot < 8; slot++) placeRunningTask(machine, full, i * 8 + slot);
   });
-  const waiting = Array.from({ length: 300 }, (_, i) =>
+  const waiting = Array.from({ length: 300 }, (_item, i) =>
     makeJob(`wk-${i + 1}`, { tasks: 40, cpus: 4 + (i % 5), kind: i % 2 ? 'gang' : 'array', oneZone: true }),
   );
   return runTestCycle(machines, waiting).machineEvaluations;
@@ -79,22 +79,22 @@
   state.machineTypes = types;
   state.machinesListed = true;
   const renting = new Autoscaler(state, new MachinePool(state));
-  const many = Array.from({ length: 8 }, (_, i) => makeJob(`wk-${i}`, { ...whole, tasks: 200 }));
+  const many = Array.from({ length: 8 }, (_item, i) => makeJob(`wk-${i}`, { ...whole, tasks: 200 }));
   const requests = (atS: number) => {
     renting.scale(many, (atS * 1000) as MonotonicTime);
-    return state.takeEffects().flatMap((e) => (e.kind === 'create-machines' ? [e] : []));
+    return state.takeEffects().flatMap((effect) => (effect.kind === 'create-machines' ? [effect] : []));
   };
   const first = requests(1);
   assert.equal(
-    first.reduce((sum, e) => sum + e.order.count, 0),
+    first.reduce((sum, effect) => sum + effect.order.count, 0),
     100,
     'a sixteenth of the tasks that wait',
   );
-  assert.ok(first.length > 1 && first.every((e) => e.order.count <= 50));
-  assert.equal(new Set(first.map((e) => e.request)).size, first.length);
-  for (const e of first) renting.onScaleOutResult(e.request, 'no-capacity', 1000 as MonotonicTime);
-  const kind = (e: (typeof first)[number]): string => `${e.order.type} ${e.order.zone}`;
-  assert.ok(!requests(10).some((e) => kind(e) === kind(first[0])), 'not before the rest is over');
+  assert.ok(first.length > 1 && first.every((effect) => effect.order.count <= 50));
+  assert.equal(new Set(first.map((effect) => effect.request)).size, first.length);
+  for (const effect of first) renting.onScaleOutResult(effect.request, 'no-capacity', 1000 as MonotonicTime);
+  const kind = (effect: (typeof first)[number]): string => `${effect.order.type} ${effect.order.zone}`;
+  assert.ok(!requests(10).some((effect) => kind(effect) === kind(first[0])), 'not before the rest is over');
   assert.ok(
     renting['refusedUntil'].get(capacityKey(first[0].order.type, first[0].order.zone, false))! <= 16_000,
   );
--- a/src/test/leader-changes.test.ts
+++ b/src/test/leader-changes.test.ts
@@ -11,9 +11,9 @@
 }
 
 test('a controller process pauses for seconds while its clocks continue', () =>
-  assertScenarioPasses({ faultsEndMs: 120_000, endMs: 330_000 }, (m) => {
-    const jobs = startMixedWork(m);
-    m.cluster.at(MEETING, () => m.cluster.leader!.host.freeze(12_000));
-    m.cluster.at(MEETING + 4500, () => m.cluster.cancel(jobs[1]));
-    m.cluster.at(MEETING + 30_000, () => m.cluster.controllers[1].host.freeze(20_000));
+  assertScenarioPasses({ faultsEndMs: 120_000, endMs: 330_000 }, (scenario) => {
+    const jobs = startMixedWork(scenario);
+    scenario.cluster.at(MEETING, () => scenario.cluster.leader!.host.freeze(12_000));
+    scenario.cluster.at(MEETING + 4500, () => scenario.cluster.cancel(jobs[1]));
+    scenario.cluster.at(MEETING + 30_000, () => scenario.cluster.controllers[1].host.freeze(20_000));
   }));
--- a/src/test/leader-simulation.test.ts
+++ b/src/test/leader-simulation.test.ts
@@ -6,7 +6,7 @@
 import { Leader } from '../core/leader/leader.js';
 import type { JobId, MachineId, MonotonicTime, Team, WallTime, Zone } from '../core/units.js';
 
-const minutes = (n: number): number => n * 60_000;
+const minutes = (count: number): number => count * 60_000;
 
 /** A busy day: every kind of job, arriving over eight minutes. */
 const busyDay = (seed: number): LeaderSimulation => {
@@ -39,7 +39,7 @@
 
 type Trouble = (day: LeaderSimulation) => void;
 const anyWorkers = (day: LeaderSimulation, share: number) =>
-  [...day.workers.values()].filter(() => day.random() < share).map((r) => r.worker);
+  [...day.workers.values()].filter(() => day.random() < share).map((running) => running.worker);
 
 const troubles: Record<string, Trouble> = {
   'leader crashes': (day) => day.crashLeader(3000),
@@ -54,10 +54,10 @@
   },
   'half the machines cut, orders held': (day) => {
     const cut = anyWorkers(day, 0.5);
-    for (const w of cut) w.unreachable = true;
+    for (const worker of cut) worker.unreachable = true;
     day.holdCommands = true;
     day.clock.after(20_000, () => {
-      for (const w of cut) w.unreachable = false;
+      for (const worker of cut) worker.unreachable = false;
       day.holdCommands = false;
     });
     day.clock.after(75_000, () => day.deliverHeldCommands());
@@ -68,19 +68,19 @@
     day.clock.after(90_000, () => day.deliverHeldCommands());
   },
   'machines taken': (day) => {
-    for (const w of anyWorkers(day, 0.4)) day.removeMachine(w.info.id);
+    for (const worker of anyWorkers(day, 0.4)) day.removeMachine(worker.info.id);
   },
   'spot notices': (day) => {
-    for (const w of anyWorkers(day, 0.5)) {
-      w.interruptionNoticeS = 10;
-      day.clock.after(10_000, () => day.removeMachine(w.info.id));
+    for (const worker of anyWorkers(day, 0.5)) {
+      worker.interruptionNoticeS = 10;
+      day.clock.after(10_000, () => day.removeMachine(worker.info.id));
     }
   },
   'machines are deaf': (day) => {
     const deaf = anyWorkers(day, 0.2);
-    for (const w of deaf) w.inboundPartitioned = true;
+    for (const worker of deaf) worker.inboundPartitioned = true;
     day.clock.after(60_000, () => {
-      for (const w of deaf) w.inboundPartitioned = false;
+      for (const worker of deaf) worker.inboundPartitioned = false;
     });
   },
   'late copies of reports and orders': (day) => {
@@ -91,7 +91,7 @@
     for (const ms of [0, 150, 400, 900, 4000]) day.clock.after(ms, () => day.crashLeader(60));
   },
   'a machine fails every task': (day) => {
-    for (const w of anyWorkers(day, 0.2)) w.failsTasks = true;
+    for (const worker of anyWorkers(day, 0.2)) worker.failsTasks = true;
   },
 };
 
@@ -137,7 +137,7 @@
     estimateS: 0,
     spread: true,
   } as const;
-  const lives = Array.from({ length: 50 }, (_, i) => `wk-${i}` as JobId);
+  const lives = Array.from({ length: 50 }, (_item, i) => `wk-${i}` as JobId);
   for (const [i, id] of lives.entries())
     day.submit(jobSpec(id, { ...live, tasks: 8, image: `live-${i % 9}`, checkpointS: 0 }));
   for (let i = 0; i < 40; i++)
@@ -145,12 +145,12 @@
       jobSpec(`wk-${100 + i}`, { class: 'batch', tasks: 80, image: `batch-${i % 4}`, estimateS: 200 }),
     );
   const running = (of: JobId[]): number =>
-    of.reduce((n, id) => n + (day.leader?.jobs.get(id)?.runningCount ?? 0), 0);
+    of.reduce((sum, id) => sum + (day.leader?.jobs.get(id)?.runningCount ?? 0), 0);
   day.clock.runUntil(70_000);
   assert.ok(day.workers.size > 900, `${day.workers.size} machines are up`);
   assert.equal(running(lives), 400);
   // Every sixth machine dies, with its tasks; the leader too, and another leads at once.
-  [...day.workers.keys()].filter((_, i) => i % 6 === 0).forEach((id) => day.removeMachine(id));
+  [...day.workers.keys()].filter((_item, i) => i % 6 === 0).forEach((id) => day.removeMachine(id));
   day.crashLeader(100);
   day.clock.runUntil(125_000);
   assert.deepEqual(day.checker.violations, []);
@@ -163,12 +163,12 @@
   const live = { kind: 'service', priority: 'production', estimateS: 0, imageGb: 1 } as const;
   for (let i = 0; i < 6; i++) day.submit(jobSpec(`wk-${i}`, { ...live, tasks: 8 }));
   day.clock.runUntil(90_000);
-  const busy = [...day.workers.values()].filter((r) => r.worker.nextHeartbeat().tasks.length > 0);
+  const busy = [...day.workers.values()].filter((running) => running.worker.nextHeartbeat().tasks.length > 0);
   // More than a tenth, but less than half of a zone: waited for, and not taken for a cut.
   for (const { worker } of busy.slice(0, Math.ceil(busy.length / 4))) worker.unreachable = true;
   const from = day.trace.length;
   day.clock.runUntil(130_000);
-  const at = (what: string): number => day.trace.slice(from).findIndex((l) => l.includes(what));
+  const at = (what: string): number => day.trace.slice(from).findIndex((line) => line.includes(what));
   assert.ok(at('rents') >= 0 && at('rents') < at('fenced'), day.trace.slice(from).join('\n'));
   assert.deepEqual(day.checker.violations, []);
 });
@@ -187,11 +187,11 @@
   // Broken on purpose: takes a machine's silence as proof that it holds nothing.
   class Hasty extends Leader {
     override tick(now: MonotonicTime, wall: WallTime): void {
-      for (const m of this.machines.values()) {
-        if (m.lastHeartbeatAt === null || now - m.lastHeartbeatAt < 5000) continue;
-        for (const { job, placement } of [...m.placements.values()]) {
+      for (const machine of this.machines.values()) {
+        if (machine.lastHeartbeatAt === null || now - machine.lastHeartbeatAt < 5000) continue;
+        for (const { job, placement } of [...machine.placements.values()]) {
           job.removePlacement(placement.index);
-          m.unassign(job.id, placement.index);
+          machine.unassign(job.id, placement.index);
         }
       }
       super.tick(now, wall);
@@ -201,8 +201,8 @@
   for (let i = 0; i < 6; i++) day.submit(jobSpec(`wk-${i}`, { tasks: 4, estimateS: 200, imageGb: 1 }));
   day.clock.after(minutes(2), () => {
     day.cancel('wk-0' as JobId); // leaves room, so that the hasty start happens at once
-    const [busy] = [...day.workers.values()].filter((r) =>
-      r.worker.nextHeartbeat().tasks.some((t) => t.job !== 'wk-0'),
+    const [busy] = [...day.workers.values()].filter((running) =>
+      running.worker.nextHeartbeat().tasks.some((t) => t.job !== 'wk-0'),
     );
     busy.worker.unreachable = true;
   });
@@ -218,11 +218,16 @@
   const day = new LeaderSimulation(11, make);
   day.capacity.set('large', 4);
   day.capacity.set('small', 0);
-  let n = 0;
+  let submitted = 0;
   day.clock.every(4000, () => {
     if (day.clock.now > minutes(7)) return;
     day.submit(
-      jobSpec(`wk-${1000 + n++}`, { class: 'small', tasks: n === 40 ? 5 : 4, priority: 'high', imageGb: 1 }),
+      jobSpec(`wk-${1000 + submitted++}`, {
+        class: 'small',
+        tasks: submitted === 40 ? 5 : 4,
+        priority: 'high',
+        imageGb: 1,
+      }),
     );
   });
   const whole = { kind: 'gang', tasks: 2, gpus: 8, cpus: 60, memoryGb: 400, oneZone: true } as const;
@@ -266,7 +271,8 @@
   // The checker must see it: this variant forgets attempts at once, as an earlier version did.
   class Reaping extends Leader {
     override tick(now: MonotonicTime, wall: WallTime): void {
-      for (const m of this.machines.values()) if (!m.directCommandInFlight) m.inFlightStarts.clear();
+      for (const machine of this.machines.values())
+        if (!machine.directCommandInFlight) machine.inFlightStarts.clear();
       super.tick(now, wall);
     }
   }
@@ -304,8 +310,10 @@
   );
   let deaf: MachineId | null = null;
   day.clock.after(60_000, () => {
-    const [id, r] = [...day.workers].find(([, w]) => w.worker.nextHeartbeat().tasks.length > 0)!;
-    r.worker.inboundPartitioned = true;
+    const [id, running] = [...day.workers].find(
+      ([, running]) => running.worker.nextHeartbeat().tasks.length > 0,
+    )!;
+    running.worker.inboundPartitioned = true;
     deaf = id;
   });
   day.clock.runUntil(150_000);
@@ -326,21 +334,24 @@
   const live = { kind: 'service', tasks: 12, estimateS: 0, priority: 'production', imageGb: 1 } as const;
   day.submit(jobSpec('wk-1', live));
   day.clock.runUntil(60_000);
-  const workers = [...day.workers.values()].map((r) => r.worker);
-  const busy = workers.filter((w) => day.leader!.machines.get(w.info.id)!.busy);
+  const workers = [...day.workers.values()].map((running) => running.worker);
+  const busy = workers.filter((worker) => day.leader!.machines.get(worker.info.id)!.busy);
   assert.ok(busy.length > 1);
-  const held = workers.map((w) => w.nextHeartbeat());
-  for (const w of workers) w.unreachable = true;
+  const held = workers.map((worker) => worker.nextHeartbeat());
+  for (const worker of workers) worker.unreachable = true;
   day.clock.runUntil(74_000);
   if (!lost) for (const report of held) day.leader!.onHeartbeat(report, day.clock.now as MonotonicTime);
-  for (const w of workers) w.unreachable = false;
+  for (const worker of workers) worker.unreachable = false;
   day.clock.runUntil(80_000);
   assert.ok(
-    busy.every((w) => w.incarnation === 2 && day.leader!.machines.get(w.info.id)?.decommissioning === null),
+    busy.every(
+      (worker) =>
+        worker.incarnation === 2 && day.leader!.machines.get(worker.info.id)?.decommissioning === null,
+    ),
   );
   // Nor is one fenced as the last that are silent, while the others are heard again.
   assert.deepEqual(
-    day.trace.filter((l) => l.includes('fenced')),
+    day.trace.filter((line) => line.includes('fenced')),
     [],
   );
 };
@@ -362,7 +373,7 @@
   day.submit(jobSpec('wk-2', { image: 'img-9', imageGb: 20, estimateS: 30 }));
   day.clock.runUntil(101_000);
   const placed = [...day.leader!.jobs.get('wk-2' as JobId)!.placements.values()].map(
-    (p) => p.machine as string,
+    (placement) => placement.machine as string,
   );
   assert.ok(placed.length === 1 && warm.includes(placed[0]), `${placed.join()} of ${warm.join()}`);
 });
@@ -392,7 +403,7 @@
   const day = new LeaderSimulation(4);
   day.submit(jobSpec('wk-1', { kind: 'service', tasks: 1, estimateS: 0, priority: 'production' }));
   day.clock.after(60_000, () => {
-    const [id] = [...day.workers].find(([, r]) => r.worker.nextHeartbeat().tasks.length > 0)!;
+    const [id] = [...day.workers].find(([, running]) => running.worker.nextHeartbeat().tasks.length > 0)!;
     day.workers.get(id)!.worker.unreachable = true;
   });
   day.clock.runUntil(130_000);
--- a/src/test/mutations-fault-combinations.test.ts
+++ b/src/test/mutations-fault-combinations.test.ts
@@ -15,7 +15,7 @@
 import { Snapshot } from '../core/scheduler/snapshot.js';
 
 /** What breaks on days with several seeds: the one that needs the safeguard may be any of them. */
-const found = async (script: (m: Scenario) => void, seeds = [1]): Promise<string> => {
+const found = async (script: (scenario: Scenario) => void, seeds = [1]): Promise<string> => {
   const broken: string[] = [];
   for (const seed of seeds)
     broken.push(...(await runScenario(seed, { faultsEndMs: 180_000, endMs: 400_000 }, script)).broken);
--- a/src/test/mutations-pipelines.test.ts
+++ b/src/test/mutations-pipelines.test.ts
@@ -10,12 +10,12 @@
 import { UserApi } from '../runtime/users/user-api.js';
 import type { JobId } from '../core/units.js';
 
-const broken = async (script: (m: Scenario) => void, seed = 1): Promise<string> =>
+const broken = async (script: (scenario: Scenario) => void, seed = 1): Promise<string> =>
   (await runScenario(seed, { faultsEndMs: 140_000, endMs: 330_000 }, script)).broken.join('; ');
 
 test('mutation: jobs are placed before their dependencies are done', async (t: TestContext) => {
   t.mock.getter(Job.prototype, 'ready', () => true);
-  assert.match(await broken((m) => submitPipelines(m, 3)), /too_early/);
+  assert.match(await broken((scenario) => submitPipelines(scenario, 3)), /too_early/);
 });
 
 test('mutation: the leader treats unknown dependencies as done', async (t: TestContext) => {
@@ -30,12 +30,14 @@
       onFinalRecordRead.call(this, id, 'done', now);
     },
   );
-  const script = (m: Scenario): void => {
-    m.cluster.at(WORK_STARTS_AT_MS, () => {
-      const first = m.submit({ tasks: 1 }, 60_000);
-      m.cluster.at(WORK_STARTS_AT_MS + 3000, () => m.cluster.cancel(first));
-      m.cluster.at(WORK_STARTS_AT_MS + 20_000, () => m.cluster.restart(m.cluster.leader!, 1000));
-      m.cluster.at(WORK_STARTS_AT_MS + 40_000, () => m.submitAfter([first], { tasks: 1 }));
+  const script = (scenario: Scenario): void => {
+    scenario.cluster.at(WORK_STARTS_AT_MS, () => {
+      const first = scenario.submit({ tasks: 1 }, 60_000);
+      scenario.cluster.at(WORK_STARTS_AT_MS + 3000, () => scenario.cluster.cancel(first));
+      scenario.cluster.at(WORK_STARTS_AT_MS + 20_000, () =>
+        scenario.cluster.restart(scenario.cluster.leader!, 1000),
+      );
+      scenario.cluster.at(WORK_STARTS_AT_MS + 40_000, () => scenario.submitAfter([first], { tasks: 1 }));
     });
   };
   assert.match(await broken(script), /too_early/);
--- a/src/test/mutations-safeguards.test.ts
+++ b/src/test/mutations-safeguards.test.ts
@@ -22,7 +22,7 @@
 
 const times = { faultsEndMs: 140_000, endMs: 260_000 };
 
-const breaks = async (rule: string, script: (m: Scenario) => void, seed = 1): Promise<void> => {
+const breaks = async (rule: string, script: (scenario: Scenario) => void, seed = 1): Promise<void> => {
   const { broken } = await runScenario(seed, times, script);
   assert.ok(
     broken.some((b) => b.startsWith(rule)),
@@ -39,8 +39,10 @@
   t.mock.method(LeaderlessFencing.prototype, 'check', () => Promise.resolve());
   await breaks(
     'ran_cancelled',
-    cancelWhileMachinesHang((m) =>
-      m.cluster.at(FAULTS_AT_MS + 4000, () => m.cluster.restart(m.cluster.leader!, 5000)),
+    cancelWhileMachinesHang((scenario) =>
+      scenario.cluster.at(FAULTS_AT_MS + 4000, () =>
+        scenario.cluster.restart(scenario.cluster.leader!, 5000),
+      ),
     ),
   );
 });
@@ -49,23 +51,26 @@
   t.mock.method(CancellationFeed.prototype, 'mayRenewLeases', () => true);
   t.mock.method(CancellationFeed.prototype, 'onPeerPage', () => undefined);
   t.mock.method(CancellationFeed.prototype, 'onPushed', () => undefined);
-  await breaks('ran_cancelled', (m) => {
-    const jobs = startMixedWork(m);
-    m.cluster.at(FAULTS_AT_MS, () => {
-      m.cluster.refuseLeader(14_000);
-      m.cluster.at(FAULTS_AT_MS + 150, () => jobs.slice(0, 5).forEach((id) => m.cluster.cancel(id)));
+  await breaks('ran_cancelled', (scenario) => {
+    const jobs = startMixedWork(scenario);
+    scenario.cluster.at(FAULTS_AT_MS, () => {
+      scenario.cluster.refuseLeader(14_000);
+      scenario.cluster.at(FAULTS_AT_MS + 150, () =>
+        jobs.slice(0, 5).forEach((id) => scenario.cluster.cancel(id)),
+      );
     });
-    m.cluster.at(FAULTS_AT_MS + 600, () => m.cluster.keyValueStore.startOutage(57_000));
+    scenario.cluster.at(FAULTS_AT_MS + 600, () => scenario.cluster.keyValueStore.startOutage(57_000));
   });
 });
 
 test('mutation: a new leader treats unreconciled machines as empty', async (t: TestContext) => {
   t.mock.method(LeaderState.prototype, 'mayRunOnUnreconciledMachine', () => false);
-  await breaks('ran_twice', (m) => {
-    const jobs = startMixedWork(m);
-    m.cluster.at(FAULTS_AT_MS, () => {
-      for (const id of jobs.slice(0, 4)) for (const w of m.cluster.machinesOf(id)) w.hang(9000);
-      m.cluster.restart(m.cluster.leader!, 5000);
+  await breaks('ran_twice', (scenario) => {
+    const jobs = startMixedWork(scenario);
+    scenario.cluster.at(FAULTS_AT_MS, () => {
+      for (const id of jobs.slice(0, 4))
+        for (const workerHost of scenario.cluster.machinesOf(id)) workerHost.hang(9000);
+      scenario.cluster.restart(scenario.cluster.leader!, 5000);
     });
   });
 });
@@ -82,8 +87,8 @@
 });
 
 test('mutation: controllers do not know finished jobs', async (t: TestContext) => {
-  t.mock.method(UserApi.prototype, 'handle', (q: { method: string }) =>
-    Promise.resolve(q.method === 'POST' ? { status: 201, body: Buffer.from([0xa0]) } : { status: 404 }),
+  t.mock.method(UserApi.prototype, 'handle', (request: { method: string }) =>
+    Promise.resolve(request.method === 'POST' ? { status: 201, body: Buffer.from([0xa0]) } : { status: 404 }),
   );
   await breaks('forgotten', startMixedWork);
 });
@@ -112,10 +117,12 @@
       this.onDeletionResult([machine.id], true, now);
     },
   );
-  await breaks('ran_twice', (m) => {
-    const jobs = startMixedWork(m);
+  await breaks('ran_twice', (scenario) => {
+    const jobs = startMixedWork(scenario);
     // Healthy, but not heard: their tasks go on.
-    m.cluster.at(FAULTS_AT_MS, () => m.cluster.machinesOf(jobs[2]).forEach((w) => w.hang(9500)));
+    scenario.cluster.at(FAULTS_AT_MS, () =>
+      scenario.cluster.machinesOf(jobs[2]).forEach((workerHost) => workerHost.hang(9500)),
+    );
   });
 });
 
@@ -124,21 +131,23 @@
   t.mock.method(
     KeyValueStoreClient.prototype,
     'transact',
-    function (this: KeyValueStoreClient, w: Transaction, reserve?: number) {
-      const own = w.conditions.filter((c) => c.key.startsWith('l/'));
-      return transact.call(this, { ...w, conditions: own }, reserve);
+    function (this: KeyValueStoreClient, transaction: Transaction, reserve?: number) {
+      const own = transaction.conditions.filter((condition) => condition.key.startsWith('l/'));
+      return transact.call(this, { ...transaction, conditions: own }, reserve);
     },
   );
-  await breaks('went_back', (m) => {
-    m.cluster.at(8000, () => m.cluster.keyValueStore.delayTransactions(0.3, 100_000));
-    m.cluster.checker.onJobCompleted = (id) => {
+  await breaks('went_back', (scenario) => {
+    scenario.cluster.at(8000, () => scenario.cluster.keyValueStore.delayTransactions(0.3, 100_000));
+    scenario.cluster.checker.onJobCompleted = (id) => {
       for (const ms of [5000, 9000, 13_000])
-        m.cluster.at(m.cluster.now + ms, () => m.cluster.users.get(id)!.queryAllControllers());
+        scenario.cluster.at(scenario.cluster.now + ms, () =>
+          scenario.cluster.users.get(id)!.queryAllControllers(),
+        );
     };
     for (let i = 0; i < 25; i++)
-      m.cluster.at(10_000 + i * 2500, () => {
-        const id = m.submit({ tasks: 1 + (i % 2) }, 6000 + 300 * i);
-        m.cluster.at(m.cluster.now + 12_000 + 300 * i, () => m.cluster.cancel(id));
+      scenario.cluster.at(10_000 + i * 2500, () => {
+        const id = scenario.submit({ tasks: 1 + (i % 2) }, 6000 + 300 * i);
+        scenario.cluster.at(scenario.cluster.now + 12_000 + 300 * i, () => scenario.cluster.cancel(id));
       });
   });
 });
--- a/src/test/production-size.test.ts
+++ b/src/test/production-size.test.ts
@@ -24,26 +24,27 @@
   keyValueStoreLimits: { rps: 400, writeRps: 100, valueKb: 16, txnOps: 16 },
 };
 
-const someMachines = (m: Scenario, share: number) => workerHosts(m).filter(() => m.random() < share);
+const someMachines = (scenario: Scenario, share: number) =>
+  workerHosts(scenario).filter(() => scenario.random() < share);
 
-const troubles = (m: Scenario, jobs: JobId[]): void => {
+const troubles = (scenario: Scenario, jobs: JobId[]): void => {
   const endLeader = (): void => {
-    if (m.cluster.leader) m.cluster.restart(m.cluster.leader, 4000);
+    if (scenario.cluster.leader) scenario.cluster.restart(scenario.cluster.leader, 4000);
   };
-  m.cluster.at(MEETING_MS, () => {
-    for (const worker of someMachines(m, 0.15)) worker.hang(50_000);
-    for (const id of jobs.slice(0, MACHINES / 50)) m.cluster.cancel(id);
+  scenario.cluster.at(MEETING_MS, () => {
+    for (const worker of someMachines(scenario, 0.15)) worker.hang(50_000);
+    for (const id of jobs.slice(0, MACHINES / 50)) scenario.cluster.cancel(id);
     endLeader();
   });
-  m.cluster.at(MEETING_MS + 12_000, () => {
-    for (const worker of someMachines(m, 0.05)) worker.terminate();
-    m.cluster.delayDirectCommands(0.3, 30_000);
-    m.cluster.duplicateHeartbeats(0.1, 30_000);
+  scenario.cluster.at(MEETING_MS + 12_000, () => {
+    for (const worker of someMachines(scenario, 0.05)) worker.terminate();
+    scenario.cluster.delayDirectCommands(0.3, 30_000);
+    scenario.cluster.duplicateHeartbeats(0.1, 30_000);
   });
-  m.cluster.at(MEETING_MS + 27_500, endLeader);
-  m.cluster.at(MEETING_MS + 31_500, endLeader);
-  m.cluster.at(MEETING_MS + 33_000, () =>
-    m.cluster.controllers.forEach((p, i) => m.cluster.restart(p, 300 * i)),
+  scenario.cluster.at(MEETING_MS + 27_500, endLeader);
+  scenario.cluster.at(MEETING_MS + 31_500, endLeader);
+  scenario.cluster.at(MEETING_MS + 33_000, () =>
+    scenario.cluster.controllers.forEach((controller, i) => scenario.cluster.restart(controller, 300 * i)),
   );
 };
 
@@ -51,15 +52,15 @@
   const { sim, broken, unfinished } = await runScenario(
     SEED,
     { setup: size, faultsEndMs: QUIET_MS, endMs: END_MS },
-    (m) => {
+    (scenario) => {
       const jobs: JobId[] = [];
-      m.cluster.at(SUBMIT_MS, () => {
+      scenario.cluster.at(SUBMIT_MS, () => {
         for (let i = 0; i < MACHINES / MACHINES_A_JOB; i++)
-          jobs.push(m.submit({ tasks: MACHINES_A_JOB }, 20_000 + m.random() * 60_000));
-        submitMixedWork(m);
+          jobs.push(scenario.submit({ tasks: MACHINES_A_JOB }, 20_000 + scenario.random() * 60_000));
+        submitMixedWork(scenario);
       });
-      submitPipelines(m, 8);
-      troubles(m, jobs);
+      submitPipelines(scenario, 8);
+      troubles(scenario, jobs);
     },
   );
   assert.deepEqual({ broken: broken.slice(0, 5), unfinished }, { broken: [], unfinished: [] });
--- a/src/test/progress-store.test.ts
+++ b/src/test/progress-store.test.ts
@@ -6,7 +6,7 @@
 
 const job = 'wk-1' as JobId;
 const first = '0' as SegmentName;
-const bits = (n: number): Uint8Array => Uint8Array.of(n);
+const bits = (byte: number): Uint8Array => Uint8Array.of(byte);
 
 /** A state service with one key, whose next answer may be lost while the request waits in the network. */
 const service = () => {
@@ -14,8 +14,8 @@
   let revision = 0;
   const world = { value: null as { data: unknown; revision: number } | null, loseNext: false };
   const apply = (then: Change[], conditions: Condition[]): boolean => {
-    if (conditions.some((c) => c.revision !== (world.value?.revision ?? 0))) return false;
-    for (const c of then) if ('put' in c) world.value = { data: c.data, revision: ++revision };
+    if (conditions.some((condition) => condition.revision !== (world.value?.revision ?? 0))) return false;
+    for (const change of then) if ('put' in change) world.value = { data: change.data, revision: ++revision };
     return true;
   };
   const store = new ProgressStore(
@@ -56,8 +56,8 @@
   world.loseNext = true;
   assert.equal((await store.save(job, first, bits(1))).kind, 'retry');
   arrive();
-  const r = await store.save(job, first, bits(2));
-  assert.deepEqual(r.kind === 'changed' ? [...r.bytes] : r, [1]);
+  const outcome = await store.save(job, first, bits(2));
+  assert.deepEqual(outcome.kind === 'changed' ? [...outcome.bytes] : outcome, [1]);
   assert.equal((await store.save(job, first, bits(3))).kind, 'ok');
   assert.equal(recorded(), 3);
 });
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -35,17 +35,17 @@
     ['wk-1 waits for 3'],
     'two places in each zone are not three in one',
   );
-  const r = runTestCycle([...split, makeMachine('c', 'small', 'west')], [gang]);
-  assert.deepEqual(new Set(r.placed.map((p) => p.machine.info.zone)), new Set(['west']));
-  assert.equal(r.placed.length, 3);
+  const result = runTestCycle([...split, makeMachine('c', 'small', 'west')], [gang]);
+  assert.deepEqual(new Set(result.placed.map((placed) => placed.machine.info.zone)), new Set(['west']));
+  assert.equal(result.placed.length, 3);
 });
 
 test('the capacity of a gang that does not fit stays free for the next group', () => {
-  const r = runTestCycle(
+  const result = runTestCycle(
     [makeMachine('a', 'small', 'east')],
     [makeJob('wk-1', { kind: 'gang', tasks: 3 }), makeJob('wk-2', { tasks: 2 })],
   );
-  assert.deepEqual(describeDecisions(r), ['wk-2/0 -> a', 'wk-2/1 -> a', 'wk-1 waits for 3']);
+  assert.deepEqual(describeDecisions(result), ['wk-2/0 -> a', 'wk-2/1 -> a', 'wk-1 waits for 3']);
 });
 
 test('victims are nominated only for a complete placement', () => {
@@ -124,11 +124,11 @@
 test('of equal victims, the one whose job has slack is preempted; a job that is late anyway goes first', () => {
   // Found on the bench: near the ends of arrays the same jobs were stopped again and again, and missed their deadlines.
   const on = (id: string, deadlineS: number): Machine => {
-    const m = makeMachine(`m-${id}`, 'small', 'east');
+    const machine = makeMachine(`m-${id}`, 'small', 'east');
     const array = makeJob(id, { tasks: 2, priority: 'low', saveS: 2, estimateS: 50, deadlineS });
-    placeRunningTask(m, array, 0);
-    placeRunningTask(m, array, 1);
-    return m;
+    placeRunningTask(machine, array, 0);
+    placeRunningTask(machine, array, 1);
+    return machine;
   };
   const urgent = on('wk-5', 55);
   const relaxed = on('wk-6', 500);
@@ -173,8 +173,8 @@
 
 test('spread: at most half of the tasks, rounded up, in a zone', () => {
   const service = makeJob('wk-1', { kind: 'service', tasks: 3, spread: true });
-  const r = runTestCycle([makeMachine('a', 'large', 'east')], [service]);
-  assert.deepEqual(describeDecisions(r), ['wk-1/0 -> a', 'wk-1/1 -> a', 'wk-1 waits for 1']);
+  const result = runTestCycle([makeMachine('a', 'large', 'east')], [service]);
+  assert.deepEqual(describeDecisions(result), ['wk-1/0 -> a', 'wk-1/1 -> a', 'wk-1 waits for 1']);
 });
 
 test('a gang that must be spread has at most half of its members, rounded up, in a zone', () => {
@@ -186,7 +186,7 @@
     'one zone has room for all, but may not take them',
   );
   const { placed } = runTestCycle([...east, makeMachine('c', 'large', 'west')], [gang()]);
-  assert.deepEqual(placed.map((p) => p.machine.info.zone).sort(), ['east', 'east', 'west', 'west']);
+  assert.deepEqual(placed.map((placed) => placed.machine.info.zone).sort(), ['east', 'east', 'west', 'west']);
   const full = makeMachine('d', 'small', 'west');
   const low = makeJob('wk-9', { tasks: 2, priority: 'low' });
   placeRunningTask(full, low, 0);
@@ -201,13 +201,13 @@
 test('the team quota counts every machine where a task still is', () => {
   const a = makeMachine('a', 'large', 'east');
   const b = makeMachine('b', 'large', 'east');
-  const c = makeMachine('c', 'large', 'west');
+  const machine = makeMachine('c', 'large', 'west');
   const team = 'blue' as Team;
   const first = makeJob('wk-1', { tasks: 2, gpus: 8, cpus: 8, team });
   placeRunningTask(a, first, 0).stop = { graceS: 5, since: now, reason: 'preempted' };
   placeRunningTask(b, first, 1);
   const next = makeJob('wk-2', { tasks: 3, gpus: 2, team });
-  assert.deepEqual(describeDecisions(runTestCycle([a, b, c], [next])), ['wk-2/0 -> c', 'wk-2/1 -> c']);
+  assert.deepEqual(describeDecisions(runTestCycle([a, b, machine], [next])), ['wk-2/0 -> c', 'wk-2/1 -> c']);
   assert.equal(next.waitReason.why, 'team limit');
 });
 
@@ -246,10 +246,12 @@
       capacities: [],
       demands: wants,
       types,
-      unavailableUntil: new Map(refused.map((r) => [r, (now + 1) as MonotonicTime])),
+      unavailableUntil: new Map(refused.map((capacityKey) => [capacityKey, (now + 1) as MonotonicTime])),
       now,
       maxNewMachines: 10,
-    }).requests.map((o) => `${o.count} ${o.type} ${o.zone}${o.spot ? ' spot' : ''}`);
+    }).requests.map(
+      (request) => `${request.count} ${request.type} ${request.zone}${request.spot ? ' spot' : ''}`,
+    );
   assert.deepEqual(plan([want({}, 1)]), ['1 small east']);
   assert.deepEqual(plan([want({ spot: true }, 1)]), ['1 small east spot']);
   assert.deepEqual(plan([want({ spot: true }, 1)], ['small|east|true']), ['1 small west spot']);
@@ -261,14 +263,14 @@
 });
 
 test('authority ends before the lease can, and a higher term ends it at once', () => {
-  const e = initialElectionState();
+  const election = initialElectionState();
   const held = { leaseId: 1, term: 3 as Term, keyRevision: 9 as Revision, renewedAt: 1000 as MonotonicTime };
-  e.heldLease = held;
+  election.heldLease = held;
   assert.ok(leaseExpiresAt(held, 3000) < 4000 * (1 - 0.0005));
-  assert.ok(hasAuthority(e, 3000, 3900 as MonotonicTime));
-  assert.ok(!hasAuthority(e, 3000, 3960 as MonotonicTime));
-  recordLeader(e, 'other' as NodeName, 4 as Term);
-  assert.ok(!hasAuthority(e, 3000, 1001 as MonotonicTime));
+  assert.ok(hasAuthority(election, 3000, 3900 as MonotonicTime));
+  assert.ok(!hasAuthority(election, 3000, 3960 as MonotonicTime));
+  recordLeader(election, 'other' as NodeName, 4 as Term);
+  assert.ok(!hasAuthority(election, 3000, 1001 as MonotonicTime));
 });
 
 test('an array of 100,000 tasks: completions in segments, requeued tasks first', () => {
@@ -278,8 +280,8 @@
   for (let i = 0; i < 6; i++) big.confirmCompletions(String(i) as SegmentName, i * bits.length, bits);
   assert.equal(big.completedCount, 98_304);
   assert.deepEqual(big.firstPending(1), [98_304]);
-  const m = makeMachine('a', 'small', 'east');
-  placeRunningTask(m, big, 98_304);
+  const machine = makeMachine('a', 'small', 'east');
+  placeRunningTask(machine, big, 98_304);
   assert.deepEqual(big.firstPending(1), [98_305]);
   big.removePlacement(98_304);
   assert.deepEqual(big.firstPending(2), [98_304, 98_305]);
@@ -290,14 +292,14 @@
 
 test('at 700 machines the cost of a cycle grows with its signatures, not with jobs times tasks', () => {
   const full = makeJob('wk-0', { tasks: 5600, priority: 'production', cpus: 8 });
-  const machines = Array.from({ length: 700 }, (_, i) =>
+  const machines = Array.from({ length: 700 }, (_item, i) =>
     makeMachine(`m${i}`, 'large', i % 2 ? 'east' : 'west'),
   );
-  machines.forEach((m, i) => {
-    for (let k = 0; k < 8; k++) placeRunningTask(m, full, i * 8 + k);
+  machines.forEach((machine, i) => {
+    for (let slot = 0; slot < 8; slot++) placeRunningTask(machine, full, i * 8 + slot);
   });
-  const waiting = (n: number): Job[] =>
-    Array.from({ length: n }, (_, i) =>
+  const waiting = (count: number): Job[] =>
+    Array.from({ length: count }, (_item, i) =>
       makeJob(`wk-${i + 1}`, { tasks: 40, cpus: 4 + (i % 5), kind: i % 2 ? 'gang' : 'array', oneZone: true }),
     );
   // Each with amounts of its own, so that no filter's answer serves another: full machines are still not asked one by one.
@@ -314,7 +316,9 @@
     `${few} machines looked at for 10 jobs, ${many} for 300 with the same signatures`,
   );
   // With room everywhere the bound holds, and what is left over goes on in the next cycle.
-  const empty = Array.from({ length: 700 }, (_, i) => makeMachine(`e${i}`, 'large', i % 2 ? 'east' : 'west'));
+  const empty = Array.from({ length: 700 }, (_item, i) =>
+    makeMachine(`e${i}`, 'large', i % 2 ? 'east' : 'west'),
+  );
   const busy = runTestCycle(empty, waiting(120));
   assert.ok(
     busy.unprocessed.length > 0 && busy.machineEvaluations < 200_000 + 40 * 4 * 700,
--- a/src/test/sim/cluster-simulation.ts
+++ b/src/test/sim/cluster-simulation.ts
@@ -114,7 +114,10 @@
       fetchMs: () => 1000 + this.random() * 3000,
     };
     this.controllers = setup.controllers.map((zone, i) => this.describe(i, zone));
-    const addresses = this.controllers.map((p) => ({ name: p.name, address: `${p.ip}:8080` }));
+    const addresses = this.controllers.map((controller) => ({
+      name: controller.name,
+      address: `${controller.ip}:8080`,
+    }));
     const up = (info: MachineInfo): void => {
       const host = this.runtime.createHost(parseAddress(info.endpoint).host);
       this.workers.set(info.id, new WorkerHost(host, info, view, addresses, this.random));
@@ -140,7 +143,7 @@
     for (const zone of first?.zones ?? [])
       for (let i = 0; i < (setup.initialMachines?.perZone ?? 0); i++)
         this.cloudProvider.addMachine(first!.name, zone, false, 0, -UP_SINCE_MS);
-    for (const p of this.controllers) this.boot(p);
+    for (const controller of this.controllers) this.boot(controller);
   }
 
   private describe(i: number, zone: string): ControllerProcess {
@@ -152,12 +155,12 @@
       publicAddress: { host: ip, port: 8080 },
       internalAddress: { host: ip, port: 8081 },
       peers: this.setup.controllers
-        .map((z, j) => ({
+        .map((peerZone, j) => ({
           name: `stable-${j}` as NodeName,
-          zone: z as Zone,
+          zone: peerZone as Zone,
           address: { host: `10.0.0.${j + 1}`, port: 8081 },
         }))
-        .filter((_, j) => j !== i),
+        .filter((_item, j) => j !== i),
       cloudProvider: { host: CLOUD, port: 8443 },
       keyValueStore: { host: STATE, port: 2379 },
       zones: this.setup.zones as Zone[],
@@ -172,26 +175,26 @@
     return { name, ip, platform, host: this.runtime.createHost(ip), version: this.setup.version ?? null };
   }
 
-  private boot(p: ControllerProcess): void {
+  private boot(controller: ControllerProcess): void {
     // Ended twice before it was back: there is still one process.
-    p.host.kill();
-    p.host = this.runtime.createHost(p.ip, (this.random() - 0.5) * 2 * CLOCK_ERROR_MS);
+    controller.host.kill();
+    controller.host = this.runtime.createHost(controller.ip, (this.random() - 0.5) * 2 * CLOCK_ERROR_MS);
     const operator = this.setup.operator ?? {};
-    const { version } = p;
+    const { version } = controller;
     if (version === null) {
       const { announcedKeyValueStoreLimits = {} } = this.setup;
       const platform = {
-        ...p.platform,
-        keyValueStoreLimits: { ...p.platform.keyValueStoreLimits, ...announcedKeyValueStoreLimits },
+        ...controller.platform,
+        keyValueStoreLimits: { ...controller.platform.keyValueStoreLimits, ...announcedKeyValueStoreLimits },
       };
-      p.host.run(() => new Controller(platform, parseOperatorSettings(operator)).start());
-    } else p.host.run(() => version.startController(p.platform, operator));
+      controller.host.run(() => new Controller(platform, parseOperatorSettings(operator)).start());
+    } else controller.host.run(() => version.startController(controller.platform, operator));
   }
 
   // ---- what happens ----------------------------------------------------------------------------------------
 
-  at(ms: number, f: () => void): void {
-    this.runtime.clock.after(ms - this.now, f);
+  at(ms: number, action: () => void): void {
+    this.runtime.clock.after(ms - this.now, action);
   }
 
   get now(): number {
@@ -200,7 +203,7 @@
 
   submit(spec: JobSpec): SimulatedUser {
     this.specs.set(spec.id, spec);
-    const addresses = this.controllers.map((p) => `${p.ip}:8080`);
+    const addresses = this.controllers.map((controller) => `${controller.ip}:8080`);
     const user = new SimulatedUser(this.usersHost, spec, addresses, this.checker, this.random);
     this.users.set(spec.id, user);
     user.start();
@@ -214,8 +217,12 @@
   /** Connections between machines and controllers of two zones. */
   partitionZones(one: string, other: string, trouble: LinkFault, forMs: number): void {
     const inside = (zone: string): string[] => [
-      ...[...this.workers.values()].filter((w) => w.info.zone === zone).map((w) => w.host.ip),
-      ...this.controllers.filter((p) => p.platform.zone === zone).map((p) => p.ip),
+      ...[...this.workers.values()]
+        .filter((workerHost) => workerHost.info.zone === zone)
+        .map((workerHost) => workerHost.host.ip),
+      ...this.controllers
+        .filter((controller) => controller.platform.zone === zone)
+        .map((controller) => controller.ip),
     ];
     this.network.cut(inside(one), inside(other), trouble, forMs);
   }
@@ -228,18 +235,18 @@
   /** Who the state service names as the leader. */
   get leader(): ControllerProcess | null {
     const node = (this.keyValueStore.items.get('l/leader')?.data as { node?: string } | undefined)?.node;
-    return this.controllers.find((p) => p.name === node) ?? null;
+    return this.controllers.find((controller) => controller.name === node) ?? null;
   }
 
-  restart(p: ControllerProcess, afterMs: number): void {
-    p.host.kill();
-    this.runtime.clock.after(afterMs, () => this.boot(p));
+  restart(controller: ControllerProcess, afterMs: number): void {
+    controller.host.kill();
+    this.runtime.clock.after(afterMs, () => this.boot(controller));
   }
 
   /** Killed, and back with the present version. */
-  upgrade(p: ControllerProcess, afterMs: number): void {
-    p.version = null;
-    this.restart(p, afterMs);
+  upgrade(controller: ControllerProcess, afterMs: number): void {
+    controller.version = null;
+    this.restart(controller, afterMs);
   }
 
   /** The state service takes no more than was announced, from now on and without notice. */
@@ -256,20 +263,26 @@
   }
 
   /** Cuts a controller from its peers. */
-  isolateFromPeers(p: ControllerProcess, trouble: LinkFault, forMs: number): void {
-    const others = this.controllers.filter((q) => q !== p).map((q) => q.ip);
-    this.network.cut([p.ip], others, trouble, forMs);
+  isolateFromPeers(controller: ControllerProcess, trouble: LinkFault, forMs: number): void {
+    const others = this.controllers.filter((peer) => peer !== controller).map((peer) => peer.ip);
+    this.network.cut([controller.ip], others, trouble, forMs);
   }
 
-  isolateFromKeyValueStore(p: ControllerProcess, forMs: number): void {
-    this.network.cut([p.ip], [STATE], 'hold', forMs);
+  isolateFromKeyValueStore(controller: ControllerProcess, forMs: number): void {
+    this.network.cut([controller.ip], [STATE], 'hold', forMs);
   }
 
   /** Machines and controllers of a zone from everything outside of it. */
   isolateZone(zone: string, trouble: LinkFault, forMs: number): void {
-    const inside = [...this.workers.values()].filter((w) => w.info.zone === zone).map((w) => w.host.ip);
-    const controllers = this.controllers.filter((p) => p.platform.zone === zone).map((p) => p.ip);
-    const outside = this.controllers.filter((p) => p.platform.zone !== zone).map((p) => p.ip);
+    const inside = [...this.workers.values()]
+      .filter((workerHost) => workerHost.info.zone === zone)
+      .map((workerHost) => workerHost.host.ip);
+    const controllers = this.controllers
+      .filter((controller) => controller.platform.zone === zone)
+      .map((controller) => controller.ip);
+    const outside = this.controllers
+      .filter((controller) => controller.platform.zone !== zone)
+      .map((controller) => controller.ip);
     this.network.cut(
       [...inside, ...controllers],
       [...outside, STATE, CLOUD, this.usersHost.ip],
@@ -282,9 +295,11 @@
   duplicateHeartbeats(share: number, forMs: number): void {
     const until = this.now + forMs;
     const copier = this.runtime.createHost('10.3.0.2');
-    const clients = this.controllers.map((p) => new HttpClient(p.platform.publicAddress, 8, 1000));
-    for (const w of this.workers.values()) {
-      w.onHeartbeatSent = (body) => {
+    const clients = this.controllers.map(
+      (controller) => new HttpClient(controller.platform.publicAddress, 8, 1000),
+    );
+    for (const workerHost of this.workers.values()) {
+      workerHost.onHeartbeatSent = (body) => {
         if (this.now > until || this.random() >= share) return;
         const bytes = Buffer.from(body);
         const to = clients[Math.floor(this.random() * clients.length)];
@@ -296,13 +311,14 @@
 
   /** That share of the commands sent straight to workers is carried out late and gets no answer. */
   delayDirectCommands(share: number, forMs: number): void {
-    for (const w of this.workers.values()) w.delayedCommands = { fraction: share, until: this.now + forMs };
+    for (const workerHost of this.workers.values())
+      workerHost.delayedCommands = { fraction: share, until: this.now + forMs };
   }
 
   /** Machines on which a task of this job is. */
   machinesOf(id: JobId): WorkerHost[] {
     const ids = new Set(this.checker.machinesOf(id));
-    return [...this.workers.values()].filter((w) => ids.has(w.info.id));
+    return [...this.workers.values()].filter((workerHost) => ids.has(workerHost.info.id));
   }
 
   async run(untilMs: number): Promise<void> {
@@ -311,22 +327,24 @@
 
   /** Tasks that wait, though a machine has room for them and their team is under its limit. */
   private waitsInVain({ spec }: SimulatedUser): boolean {
-    const workers = [...this.workers.values()].map((w) => w.worker);
-    const held = (id: JobId): number => workers.reduce((n, w) => n + w.activeTaskCount(id), 0);
+    const workers = [...this.workers.values()].map((workerHost) => workerHost.worker);
+    const held = (id: JobId): number => workers.reduce((sum, worker) => sum + worker.activeTaskCount(id), 0);
     if (held(spec.id) + this.checker.completedTaskCount(spec.id) >= spec.tasks) return false;
     const done = (id: JobId): boolean => this.checker.completedTaskCount(id) === this.specs.get(id)!.tasks;
     if (!spec.dependsOn.every(done)) return false;
     const tasks = spec.kind === 'array' ? 1 : spec.tasks;
     const max = this.setup.teams.find((t) => t.name === spec.team)!.gpusMax;
     const used = [...this.specs.values()]
-      .filter((s) => s.team === spec.team)
-      .reduce((n, s) => n + s.gpus * held(s.id), 0);
+      .filter((other) => other.team === spec.team)
+      .reduce((sum, other) => sum + other.gpus * held(other.id), 0);
     if (max > 0 && used + spec.gpus * tasks > max) return false;
     const fitting = workers.filter(
-      (w) => (spec.zone === null || w.info.zone === spec.zone) && w.hasCapacity(spec),
+      (worker) => (spec.zone === null || worker.info.zone === spec.zone) && worker.hasCapacity(spec),
     );
     if (!spec.oneZone && !spec.spread) return fitting.length >= tasks;
-    return this.setup.zones.some((z) => fitting.filter((w) => w.info.zone === z).length >= tasks);
+    return this.setup.zones.some(
+      (zone) => fitting.filter((worker) => worker.info.zone === zone).length >= tasks,
+    );
   }
 
   private watchWaiting(waitingSince: Map<JobId, number>): void {
@@ -348,15 +366,15 @@
     const waitingSince = new Map<JobId, number>();
     this.runtime.clock.every(WAITING_LOOK_MS, () => this.watchWaiting(waitingSince));
     await this.run(untilMs);
-    for (const [id, u] of this.users) {
-      if (!u.accepted || u.status === 'done' || u.status === 'cancelled') continue;
-      if (this.now - Math.max(from, u.lastResponseAt) > FORGOTTEN_MS)
+    for (const [id, user] of this.users) {
+      if (!user.accepted || user.status === 'done' || user.status === 'cancelled') continue;
+      if (this.now - Math.max(from, user.lastResponseAt) > FORGOTTEN_MS)
         this.checker.reportForgottenJob(id, 'no question answered');
     }
   }
 
   dispose(): void {
-    for (const p of this.controllers) p.host.kill();
+    for (const controller of this.controllers) controller.host.kill();
     this.restoreNodeGlobals();
   }
 }
--- a/src/test/sim/http-server.ts
+++ b/src/test/sim/http-server.ts
@@ -9,7 +9,11 @@
   status: number;
   body?: unknown;
 }
-export type RequestHandler = (q: HttpMessage, body: unknown, from: string) => Promise<HttpResponse | null>;
+export type RequestHandler = (
+  request: HttpMessage,
+  body: unknown,
+  from: string,
+) => Promise<HttpResponse | null>;
 
 const limits = { headerBytes: 8192, headerCount: 64, bodyBytes: 1 << 24 };
 
@@ -20,9 +24,9 @@
       const from = (socket as unknown as { other: string }).other;
       const parser = new HttpParser('request', limits);
       socket.on('data', (chunk) => {
-        for (const q of parser.push(chunk)) {
-          const body: unknown = q.body.length > 0 ? decode(q.body) : {};
-          void handle(q, body, from).then((a) => {
+        for (const request of parser.push(chunk)) {
+          const body: unknown = request.body.length > 0 ? decode(request.body) : {};
+          void handle(request, body, from).then((a) => {
             if (!a) return;
             const bytes = encode(a.body ?? {});
             const head = `HTTP/1.1 ${a.status} X\r\nContent-Length: ${bytes.length}\r\n\r\n`;
--- a/src/test/sim/hung-machine-scenarios.ts
+++ b/src/test/sim/hung-machine-scenarios.ts
@@ -11,13 +11,13 @@
 /** Reports, leases and cancellations as on a large cluster. */
 const slowReports = { workers: { heartbeatIntervalS: 3, leaseS: 17, cancelS: 42 } };
 
-export type HungMachineSelection = (m: Scenario, cancelled: JobId) => WorkerHost[];
+export type HungMachineSelection = (scenario: Scenario, cancelled: JobId) => WorkerHost[];
 
 /** So many at once that their silence alone is no reason to give them up, but less than half of a zone. */
-export const someMachinesOfEachZone: HungMachineSelection = (m, cancelled) => {
-  const hanging = new Set(m.cluster.machinesOf(cancelled));
+export const someMachinesOfEachZone: HungMachineSelection = (scenario, cancelled) => {
+  const hanging = new Set(scenario.cluster.machinesOf(cancelled));
   for (const zone of ['east', 'west']) {
-    const inZone = workerHosts(m).filter((worker) => worker.info.zone === zone);
+    const inZone = workerHosts(scenario).filter((worker) => worker.info.zone === zone);
     const left = HANGING_IN_ZONE - inZone.filter((worker) => hanging.has(worker)).length;
     for (const worker of inZone.filter((each) => !hanging.has(each)).slice(0, left)) hanging.add(worker);
   }
@@ -25,22 +25,22 @@
 };
 
 /** Half of a zone, as if it were cut off; the other half is heard. */
-export const halfOfOneZone: HungMachineSelection = (m, cancelled) => [
-  ...m.cluster.machinesOf(cancelled),
-  ...workerHosts(m).slice(0, HALF_OF_ZONE),
+export const halfOfOneZone: HungMachineSelection = (scenario, cancelled) => [
+  ...scenario.cluster.machinesOf(cancelled),
+  ...workerHosts(scenario).slice(0, HALF_OF_ZONE),
 ];
 
 /** Machines hang with a cancelled task; the leader ends, and its successor too before it has given them up. */
 const leadersEndWhileMachinesHang =
   (secondMs: number, hanging: HungMachineSelection) =>
-  (m: Scenario): void => {
-    const jobs = startMixedWork(m);
-    m.cluster.at(MEETING, () => {
-      for (const worker of hanging(m, jobs[1])) worker.hang(70_000);
-      m.cluster.restart(m.cluster.leader!, 4000);
-      m.cluster.cancel(jobs[1]);
+  (scenario: Scenario): void => {
+    const jobs = startMixedWork(scenario);
+    scenario.cluster.at(MEETING, () => {
+      for (const worker of hanging(scenario, jobs[1])) worker.hang(70_000);
+      scenario.cluster.restart(scenario.cluster.leader!, 4000);
+      scenario.cluster.cancel(jobs[1]);
     });
-    m.cluster.at(MEETING + secondMs, () => m.cluster.restart(m.cluster.leader!, 4000));
+    scenario.cluster.at(MEETING + secondMs, () => scenario.cluster.restart(scenario.cluster.leader!, 4000));
   };
 
 export const assertConsecutiveLeaderFailuresPass = async (hanging: HungMachineSelection): Promise<void> => {
--- a/src/test/sim/invariant-checker.ts
+++ b/src/test/sim/invariant-checker.ts
@@ -37,20 +37,21 @@
   onTaskStarted(machine: MachineInfo, job: JobId, index: number): Place {
     this.startCount++;
     const spec = this.specs.get(job)!;
-    const others = [...this.places].filter((p) => p.job === job);
-    if (others.some((p) => p.index === index)) this.report('ran_twice', `${job}/${index} on ${machine.id}`);
+    const others = [...this.places].filter((place) => place.job === job);
+    if (others.some((place) => place.index === index))
+      this.report('ran_twice', `${job}/${index} on ${machine.id}`);
     if (this.doneToldAt.has(job) || this.acknowledged.get(job)?.has(index))
       this.report('ran_twice', `${job}/${index} on ${machine.id} again after it was done`);
     if (spec.types !== null && !spec.types.includes(machine.type)) this.report('wrong_place', `${job} type`);
     if (spec.zone !== null && spec.zone !== machine.zone) this.report('wrong_place', `${job} zone`);
     if (!spec.spot && machine.spot) this.report('wrong_place', `${job} spot`);
-    if (spec.oneZone && others.some((p) => p.machine.zone !== machine.zone)) {
+    if (spec.oneZone && others.some((place) => place.machine.zone !== machine.zone)) {
       this.report('wrong_place', `${job} in two zones`);
     }
     for (const id of spec.dependsOn)
       if (this.completedTaskCount(id) < this.specs.get(id)!.tasks)
         this.report('too_early', `${job}/${index} before ${id} was done`);
-    const here = others.filter((p) => p.machine.zone === machine.zone).length + 1;
+    const here = others.filter((place) => place.machine.zone === machine.zone).length + 1;
     if (spec.spread && here > Math.ceil(spec.tasks / 2)) this.report('wrong_place', `${job} not spread`);
     const place = { machine, job, index };
     const ran = this.ran.get(job) ?? new Map<number, number>();
@@ -102,7 +103,7 @@
   }
 
   machinesOf(job: JobId): string[] {
-    return [...this.places].filter((p) => p.job === job).map((p) => p.machine.id);
+    return [...this.places].filter((place) => place.job === job).map((place) => place.machine.id);
   }
 
   reportForgottenJob(job: JobId, how: string): void {
@@ -176,30 +177,30 @@
       const ran = this.ran.get(id) ?? new Map<number, number>();
       if (ran.size === 0) this.report('forgotten', `${id} never ran`);
       for (const name of [`class ${spec.class}`, `team ${spec.team}`]) {
-        const g = groups.get(name) ?? { tasks: 0, started: 0 };
-        g.tasks += spec.tasks;
-        g.started += ran.size;
-        groups.set(name, g);
+        const group = groups.get(name) ?? { tasks: 0, started: 0 };
+        group.tasks += spec.tasks;
+        group.started += ran.size;
+        groups.set(name, group);
       }
       if (spec.tasks < largest.get(spec.class)!) continue;
       const began = Math.min(...ran.values());
       if (began - at > 240_000) this.report('starved', `${id}, one of the largest, began too late`);
     }
-    for (const [name, g] of groups) {
-      if (g.started < g.tasks / 2)
-        this.report('starved', `${name}: ${g.started} of ${g.tasks} tasks started`);
+    for (const [name, group] of groups) {
+      if (group.started < group.tasks / 2)
+        this.report('starved', `${name}: ${group.started} of ${group.tasks} tasks started`);
     }
   }
 
   /** To be called regularly: finds tasks of cancelled and of finished jobs that stay. */
   checkPeriodically(): void {
-    for (const p of this.places) {
-      const doneAt = this.doneToldAt.get(p.job);
+    for (const place of this.places) {
+      const doneAt = this.doneToldAt.get(place.job);
       if (doneAt !== undefined && this.now() - doneAt > this.cancelS * 1000)
-        this.report('orphaned', `${p.job}/${p.index} on ${p.machine.id} though its job is done`);
-      const at = this.cancelledAt.get(p.job);
+        this.report('orphaned', `${place.job}/${place.index} on ${place.machine.id} though its job is done`);
+      const at = this.cancelledAt.get(place.job);
       if (at !== undefined && this.now() - at > this.cancelS * 1000) {
-        this.report('ran_cancelled', `${p.job}/${p.index} on ${p.machine.id}`);
+        this.report('ran_cancelled', `${place.job}/${place.index} on ${place.machine.id}`);
       }
     }
   }
@@ -208,8 +209,8 @@
     const team = this.teams.find((t) => t.name === spec.team)!;
     let gpus = 0;
     let cpus = 0;
-    for (const p of this.places) {
-      const other = this.specs.get(p.job)!;
+    for (const place of this.places) {
+      const other = this.specs.get(place.job)!;
       if (other.team !== spec.team) continue;
       gpus += other.gpus;
       cpus += other.cpus;
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -57,7 +57,7 @@
       runMs: () => runMs,
       fetchMs: () => FETCH_MS,
     };
-    this.workers = Array.from({ length: machines }, (_, i) => {
+    this.workers = Array.from({ length: machines }, (_item, i) => {
       const endpoint = `10.1.0.${i}:9000` as Endpoint;
       const place = { type: 'large' as MachineTypeName, zone: 'east' as Zone, spot: true };
       return new SimulatedWorker({ id: `host-${i}` as MachineId, endpoint, ...place }, view);
@@ -132,7 +132,9 @@
 
   /** A tick that sends commands straight to this worker. */
   tickWithCommands(worker: SimulatedWorker): DirectCommands {
-    const sent = this.tick().find((e) => e.kind === 'send-direct-commands' && e.machine === worker.info.id);
+    const sent = this.tick().find(
+      (effect) => effect.kind === 'send-direct-commands' && effect.machine === worker.info.id,
+    );
     if (sent?.kind !== 'send-direct-commands') throw new Error(`no direct command to ${worker.info.id}`);
     return sent;
   }
--- a/src/test/sim/leader-simulation.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -73,7 +73,7 @@
       gangs: new Map(),
       capacity: (name) => types.find((t) => t.name === name)!,
       runMs: (job) => this.specs.get(job)!.estimateS * 1000 * (0.7 + 0.6 * this.random()),
-      fetchMs: (_, job) => this.specs.get(job)!.imageGb * 1000,
+      fetchMs: (_item, job) => this.specs.get(job)!.imageGb * 1000,
     };
     this.clock.every(1000, () => this.checker.checkPeriodically());
     this.electLeader();
@@ -153,12 +153,13 @@
     );
     leader.setMachineTypes(types);
     for (const [page, machines] of this.roster) {
-      for (const m of machines) leader.loadMachine(m, page, this.steady());
+      for (const machine of machines) leader.loadMachine(machine, page, this.steady());
     }
     for (const [id, { record, stamp }] of this.records) {
       leader.applyJobRecord(id, record, stamp, true, this.steady(), this.wall());
     }
-    for (const p of this.progress.values()) leader.loadProgress(p.job, p.segment, p.bytes);
+    for (const record of this.progress.values())
+      leader.loadProgress(record.job, record.segment, record.bytes);
     this.leader = leader;
     this.addTraceLine(`leader of term ${this.term} begins`);
   }
@@ -174,7 +175,7 @@
     if (!leader || this.keyValueStoreUnavailable) return;
     leader.tick(this.steady(), this.wall());
     this.maxCycleWork = Math.max(this.maxCycleWork, leader.lastCycleWork);
-    leader.takeEffects().forEach((e) => this.carryOut(leader, e));
+    leader.takeEffects().forEach((effect) => this.carryOut(leader, effect));
   }
 
   private later(leader: Leader, ms: number, run: () => void): void {
@@ -183,87 +184,103 @@
     });
   }
 
-  private carryOut(leader: Leader, e: Effect): void {
+  private carryOut(leader: Leader, effect: Effect): void {
     const now = (): MonotonicTime => this.steady();
     const ok = !this.keyValueStoreUnavailable;
-    switch (e.kind) {
+    switch (effect.kind) {
       case 'log':
-        if (e.level === 'info' && e.text !== 'fleet')
-          this.addTraceLine(`  ${e.text} ${JSON.stringify(e.fields)}`);
+        if (effect.level === 'info' && effect.text !== 'fleet')
+          this.addTraceLine(`  ${effect.text} ${JSON.stringify(effect.fields)}`);
         return;
       case 'write-registry-page':
-        if (e.machines.length === 0) this.roster.delete(e.page);
-        else this.roster.set(e.page, e.machines);
-        this.later(leader, NETWORK_MS, () => leader.onRegistryPageWritten(e.page, ok));
+        if (effect.machines.length === 0) this.roster.delete(effect.page);
+        else this.roster.set(effect.page, effect.machines);
+        this.later(leader, NETWORK_MS, () => leader.onRegistryPageWritten(effect.page, ok));
         return;
       case 'write-progress':
-        this.progress.set(`${e.job}/${e.segment}`, { job: e.job, segment: e.segment, bytes: e.bytes });
-        this.later(leader, NETWORK_MS, () => leader.onProgressWritten(e.job, e.segment, e.bytes, ok));
+        this.progress.set(`${effect.job}/${effect.segment}`, {
+          job: effect.job,
+          segment: effect.segment,
+          bytes: effect.bytes,
+        });
+        this.later(leader, NETWORK_MS, () =>
+          leader.onProgressWritten(effect.job, effect.segment, effect.bytes, ok),
+        );
         return;
       case 'write-final-record':
-        this.finish(leader, e);
+        this.finish(leader, effect);
         return;
       case 'read-final-record': {
-        const final = ok ? (this.finalStates.get(e.job) ?? null) : null;
-        this.later(leader, NETWORK_MS, () => leader.onFinalRecordRead(e.job, final, now()));
+        const final = ok ? (this.finalStates.get(effect.job) ?? null) : null;
+        this.later(leader, NETWORK_MS, () => leader.onFinalRecordRead(effect.job, final, now()));
         return;
       }
       case 'create-machines':
         this.later(leader, 100, () => {
-          if (this.cloudUnavailable) leader.onScaleOutResult(e.request, 'retry', now());
+          if (this.cloudUnavailable) leader.onScaleOutResult(effect.request, 'retry', now());
           else {
-            const machines = this.rent(e.request, e.order);
-            leader.onScaleOutResult(e.request, machines.length === 0 ? 'no-capacity' : { machines }, now());
+            const machines = this.rent(effect.request, effect.order);
+            leader.onScaleOutResult(
+              effect.request,
+              machines.length === 0 ? 'no-capacity' : { machines },
+              now(),
+            );
           }
         });
         return;
       case 'delete-machines': {
         const down = this.cloudUnavailable;
-        if (!down) for (const id of e.machines) this.removeMachine(id);
-        this.later(leader, 100, () => leader.onDeletionResult(e.machines, !down, now()));
+        if (!down) for (const id of effect.machines) this.removeMachine(id);
+        this.later(leader, 100, () => leader.onDeletionResult(effect.machines, !down, now()));
         return;
       }
       case 'send-direct-commands':
-        this.order(leader, e);
+        this.order(leader, effect);
         return;
     }
   }
 
-  private finish(leader: Leader, e: Extract<Effect, { kind: 'write-final-record' }>): void {
-    const known = this.records.get(e.job);
-    if (known && known.stamp !== e.revision) {
+  private finish(leader: Leader, effect: Extract<Effect, { kind: 'write-final-record' }>): void {
+    const known = this.records.get(effect.job);
+    if (known && known.stamp !== effect.revision) {
       this.later(leader, NETWORK_MS, () =>
         leader.onFinalRecordWritten(
-          e.job,
+          effect.job,
           { kind: 'changed', record: known.record, revision: known.stamp },
           this.steady(),
         ),
       );
       return;
     }
-    this.records.delete(e.job);
-    this.finalStates.set(e.job, e.state);
-    this.checker.onStatusReported(e.job, e.state);
-    this.addTraceLine(`${e.job} is ${e.state}`);
+    this.records.delete(effect.job);
+    this.finalStates.set(effect.job, effect.state);
+    this.checker.onStatusReported(effect.job, effect.state);
+    this.addTraceLine(`${effect.job} is ${effect.state}`);
     this.later(leader, NETWORK_MS, () =>
-      leader.onFinalRecordWritten(e.job, { kind: 'ok', state: e.state }, this.steady()),
+      leader.onFinalRecordWritten(effect.job, { kind: 'ok', state: effect.state }, this.steady()),
     );
   }
 
-  private order(leader: Leader, e: Extract<Effect, { kind: 'send-direct-commands' }>): void {
-    const worker = this.workers.get(e.machine)?.worker;
+  private order(leader: Leader, effect: Extract<Effect, { kind: 'send-direct-commands' }>): void {
+    const worker = this.workers.get(effect.machine)?.worker;
     const term = leader.leadership.term;
-    for (const c of e.commands) this.addTraceLine(`order to ${e.machine}: ${c.op} ${c.job}/${c.index}`);
+    for (const command of effect.commands)
+      this.addTraceLine(`order to ${effect.machine}: ${command.op} ${command.job}/${command.index}`);
     const arrive = (): void => {
       if (!worker?.alive) return;
       const run = (): ReturnType<SimulatedWorker['onDirectCommands']> =>
-        worker.onDirectCommands(term, Number(e.incarnation), e.commands);
-      const r = run();
+        worker.onDirectCommands(term, Number(effect.incarnation), effect.commands);
+      const result = run();
       if (this.duplicateFraction > 0 && this.random() < this.duplicateFraction)
         this.lateCopy(() => worker.alive && !worker.unreachable && run());
-      const kind = r.executed ? 'executed' : 'refused';
+      const kind = result.executed ? 'executed' : 'refused';
       this.later(leader, NETWORK_MS, () => {
-        leader.onDirectCommandResult(e.machine, e.commands, { kind, report: r.report }, this.steady());
+        leader.onDirectCommandResult(
+          effect.machine,
+          effect.commands,
+          { kind, report: result.report },
+          this.steady(),
+        );
       });
     };
     const silent =
@@ -278,14 +295,16 @@
     }
     if (worker?.inboundPartitioned) {
       this.later(leader, 2500, () => {
-        leader.onDirectCommandResult(e.machine, e.commands, { kind: 'unknown' }, this.steady());
+        leader.onDirectCommandResult(effect.machine, effect.commands, { kind: 'unknown' }, this.steady());
       });
       return;
     }
     // Held back by the network: given up here, and perhaps delivered minutes later.
-    this.held.push(() => worker?.alive && worker.onDirectCommands(term, Number(e.incarnation), e.commands));
+    this.held.push(
+      () => worker?.alive && worker.onDirectCommands(term, Number(effect.incarnation), effect.commands),
+    );
     this.later(leader, 2500, () => {
-      leader.onDirectCommandResult(e.machine, e.commands, { kind: 'unknown' }, this.steady());
+      leader.onDirectCommandResult(effect.machine, effect.commands, { kind: 'unknown' }, this.steady());
     });
   }
 
@@ -378,11 +397,11 @@
   private list(): void {
     if (!this.leader || this.cloudUnavailable) return;
     const listed = [...this.workers.values()]
-      .filter((r) => r.listedFrom <= this.clock.now)
-      .map((r) => ({
-        ...r.worker.info,
+      .filter((running) => running.listedFrom <= this.clock.now)
+      .map((running) => ({
+        ...running.worker.info,
         status: 'running' as const,
-        ageS: (this.clock.now - r.rentedAt) / 1000,
+        ageS: (this.clock.now - running.rentedAt) / 1000,
       }));
     this.leader.onMachineList(listed, this.steady());
   }
--- a/src/test/sim/scenario.ts
+++ b/src/test/sim/scenario.ts
@@ -24,11 +24,11 @@
 }
 
 /** Jobs that run for long: arrays, gangs and a service. */
-export const submitMixedWork = (m: Scenario): JobId[] => [
-  ...[1, 2, 3, 4].map((tasks) => m.submit({ tasks })),
-  m.submit({ kind: 'gang', tasks: 2, team: 'blue' as Team }),
-  m.submit({ kind: 'gang', tasks: 3, oneZone: true, team: 'blue' as Team, priority: 'high' }),
-  m.submit({ kind: 'service', tasks: 2, spread: true, estimateS: 0, priority: 'production' }),
+export const submitMixedWork = (scenario: Scenario): JobId[] => [
+  ...[1, 2, 3, 4].map((tasks) => scenario.submit({ tasks })),
+  scenario.submit({ kind: 'gang', tasks: 2, team: 'blue' as Team }),
+  scenario.submit({ kind: 'gang', tasks: 3, oneZone: true, team: 'blue' as Team, priority: 'high' }),
+  scenario.submit({ kind: 'service', tasks: 2, spread: true, estimateS: 0, priority: 'production' }),
 ];
 
 interface ScenarioOptions {
@@ -43,7 +43,7 @@
 export const runScenario = async (
   seed: number,
   { setup = {}, faultsEndMs, endMs }: ScenarioOptions,
-  script: (m: Scenario) => void,
+  script: (scenario: Scenario) => void,
 ): Promise<{ sim: ClusterSimulation; broken: string[]; unfinished: string[] }> => {
   const durations = new Map<JobId, number>();
   const sim = new ClusterSimulation({
@@ -84,9 +84,9 @@
     await sim.runUntilSettled(endMs);
     sim.checker.checkAtEnd();
     const unfinished = [...sim.users]
-      .filter(([, u]) => u.accepted && u.spec.kind !== 'service')
-      .filter(([, u]) => u.status !== 'done' && u.status !== 'cancelled')
-      .map(([id, u]) => `${id} ${u.status}`);
+      .filter(([, user]) => user.accepted && user.spec.kind !== 'service')
+      .filter(([, user]) => user.status !== 'done' && user.status !== 'cancelled')
+      .map(([id, user]) => `${id} ${user.status}`);
     return { sim, broken: sim.checker.violations, unfinished };
   } finally {
     sim.dispose();
@@ -96,7 +96,7 @@
 /** Plays the meeting with several seeds; no rule may break, and every job that is not cancelled must have ended. */
 export const assertScenarioPasses = async (
   options: ScenarioOptions,
-  script: (m: Scenario) => void,
+  script: (scenario: Scenario) => void,
 ): Promise<void> => {
   for (const seed of options.seeds ?? [1, 2, 3]) {
     const { sim, broken, unfinished } = await runScenario(seed, options, script);
@@ -112,52 +112,56 @@
 /** Longer than cancel_s of the stand-ins, which is 40 s. */
 export const LONG_OUTAGE_MS = 57_000;
 
-export const startMixedWork = (m: Scenario): JobId[] => {
+export const startMixedWork = (scenario: Scenario): JobId[] => {
   const jobs: JobId[] = [];
-  m.cluster.at(WORK_STARTS_AT_MS, () => jobs.push(...submitMixedWork(m)));
+  scenario.cluster.at(WORK_STARTS_AT_MS, () => jobs.push(...submitMixedWork(scenario)));
   return jobs;
 };
 
 /** Jobs are cancelled as the leader alone is refused, their machines hang, and a second later the service is out. */
 export const cancelWhileMachinesHang =
-  (then: (m: Scenario) => void = () => undefined) =>
-  (m: Scenario): void => {
-    const jobs = startMixedWork(m);
-    m.cluster.at(FAULTS_AT_MS, () => {
-      m.cluster.refuseLeader(14_000);
+  (then: (scenario: Scenario) => void = () => undefined) =>
+  (scenario: Scenario): void => {
+    const jobs = startMixedWork(scenario);
+    scenario.cluster.at(FAULTS_AT_MS, () => {
+      scenario.cluster.refuseLeader(14_000);
       for (const id of jobs.slice(0, 3)) {
-        for (const w of m.cluster.machinesOf(id)) w.hang(60_000);
-        m.cluster.cancel(id);
+        for (const workerHost of scenario.cluster.machinesOf(id)) workerHost.hang(60_000);
+        scenario.cluster.cancel(id);
       }
     });
-    m.cluster.at(FAULTS_AT_MS + 1000, () => m.cluster.keyValueStore.startOutage(LONG_OUTAGE_MS));
-    then(m);
+    scenario.cluster.at(FAULTS_AT_MS + 1000, () =>
+      scenario.cluster.keyValueStore.startOutage(LONG_OUTAGE_MS),
+    );
+    then(scenario);
   };
 
 /** A team at its limit, a change of leader, machines that can't be asked, a cancellation. */
-export const cancelAtTeamLimit = (m: Scenario): void => {
+export const cancelAtTeamLimit = (scenario: Scenario): void => {
   const jobs: JobId[] = [];
   const blue = { team: 'blue' as Team };
-  m.cluster.at(WORK_STARTS_AT_MS, () => {
-    for (let i = 0; i < 2; i++) jobs.push(m.submit({ ...blue, tasks: 4 }, 90_000));
+  scenario.cluster.at(WORK_STARTS_AT_MS, () => {
+    for (let i = 0; i < 2; i++) jobs.push(scenario.submit({ ...blue, tasks: 4 }, 90_000));
   });
-  m.cluster.at(FAULTS_AT_MS, () => {
+  scenario.cluster.at(FAULTS_AT_MS, () => {
     // With so many silent at once the leader waits before it fences them.
-    for (const w of m.cluster.machinesOf(jobs[0])) w.hang(25_000);
-    for (const w of [...m.cluster.workers.values()].slice(0, 4)) w.hang(25_000);
-    m.cluster.restart(m.cluster.leader!, 5000);
-    m.cluster.cancel(jobs[0]);
+    for (const workerHost of scenario.cluster.machinesOf(jobs[0])) workerHost.hang(25_000);
+    for (const workerHost of [...scenario.cluster.workers.values()].slice(0, 4)) workerHost.hang(25_000);
+    scenario.cluster.restart(scenario.cluster.leader!, 5000);
+    scenario.cluster.cancel(jobs[0]);
   });
-  m.cluster.at(FAULTS_AT_MS + 5000, () => m.submit({ ...blue, tasks: 6 }, 30_000));
+  scenario.cluster.at(FAULTS_AT_MS + 5000, () => scenario.submit({ ...blue, tasks: 6 }, 30_000));
 };
 
 /** The leader alone is refused, and that much later everybody, for longer than cancel_s; jobs are cancelled meanwhile. */
 export const leaderRefusedThenOutage =
   (gapMs: number) =>
-  (m: Scenario): void => {
-    const jobs = startMixedWork(m);
-    m.cluster.at(FAULTS_AT_MS, () => m.cluster.refuseLeader(14_000));
+  (scenario: Scenario): void => {
+    const jobs = startMixedWork(scenario);
+    scenario.cluster.at(FAULTS_AT_MS, () => scenario.cluster.refuseLeader(14_000));
     for (const atMs of [0, 200, 900])
-      m.cluster.at(FAULTS_AT_MS + atMs, () => m.cluster.cancel(jobs[atMs % 7]));
-    m.cluster.at(FAULTS_AT_MS + gapMs, () => m.cluster.keyValueStore.startOutage(LONG_OUTAGE_MS));
+      scenario.cluster.at(FAULTS_AT_MS + atMs, () => scenario.cluster.cancel(jobs[atMs % 7]));
+    scenario.cluster.at(FAULTS_AT_MS + gapMs, () =>
+      scenario.cluster.keyValueStore.startOutage(LONG_OUTAGE_MS),
+    );
   };
--- a/src/test/sim/scheduling-cycle-fixtures.ts
+++ b/src/test/sim/scheduling-cycle-fixtures.ts
@@ -29,13 +29,13 @@
     zone: zone as Zone,
     spot,
   };
-  const m = new Machine(
+  const machine = new Machine(
     info,
     types.find((t) => t.name === type),
     now,
   );
-  m.up = m.reconciled = true;
-  return m;
+  machine.up = machine.reconciled = true;
+  return machine;
 };
 
 export const makeJob = (id: string, over: Partial<JobSpec> = {}): Job => {
@@ -43,13 +43,13 @@
   return new Job(spec.id, { spec, submittedAt: 0 as WallTime, cancelledAt: null }, 1, false, now);
 };
 
-export const placeRunningTask = (m: Machine, j: Job, index: number): Placement => {
-  const p = newPlacement(index, m.id, (index + 1) as Attempt, now);
-  p.observed = p.running = true;
-  p.runningSince = now;
-  j.addPlacement(p);
-  m.assign(j, p);
-  return p;
+export const placeRunningTask = (machine: Machine, j: Job, index: number): Placement => {
+  const placement = newPlacement(index, machine.id, (index + 1) as Attempt, now);
+  placement.observed = placement.running = true;
+  placement.runningSince = now;
+  j.addPlacement(placement);
+  machine.assign(j, placement);
+  return placement;
 };
 
 export const runTestCycle = (
@@ -59,7 +59,7 @@
 ): CycleResult => {
   const teamLimits = new Map(teams.map((t) => [t.name, t]));
   const byId = new Map(jobs.map((j) => [j.id, j]));
-  for (const m of machines) for (const { job: j } of m.placements.values()) byId.set(j.id, j);
+  for (const machine of machines) for (const { job: j } of machine.placements.values()) byId.set(j.id, j);
   markWithinGuarantee(byId.values(), teamLimits);
   const usage = new Map<Team, Resources>();
   for (const j of byId.values()) {
@@ -68,7 +68,7 @@
     usage.set(j.spec.team, used);
   }
   return runSchedulingCycle({
-    machines: new Map(machines.map((m) => [m.id, m])),
+    machines: new Map(machines.map((machine) => [machine.id, machine])),
     queue: jobs.filter((j) => j.pendingCount > 0),
     jobs: byId.values(),
     resourcesOf: (id: JobId) => byId.get(id)?.spec ?? null,
@@ -83,8 +83,8 @@
   });
 };
 
-export const describeDecisions = (r: CycleResult): string[] => [
-  ...r.placed.map((p) => `${p.job.id}/${p.index} -> ${p.machine.id}`),
-  ...r.victims.map((v) => `stop ${v.job.id}/${v.placement.index}`),
-  ...r.unplaced.map((u) => `${u.job.id} waits for ${u.tasks}`),
+export const describeDecisions = (result: CycleResult): string[] => [
+  ...result.placed.map((placed) => `${placed.job.id}/${placed.index} -> ${placed.machine.id}`),
+  ...result.victims.map((v) => `stop ${v.job.id}/${v.placement.index}`),
+  ...result.unplaced.map((waiting) => `${waiting.job.id} waits for ${waiting.tasks}`),
 ];
--- a/src/test/sim/simulated-cloud-provider.ts
+++ b/src/test/sim/simulated-cloud-provider.ts
@@ -10,7 +10,7 @@
   up: boolean;
 }
 
-const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 const trouble: HttpResponse = { status: 503, body: { error: 'trouble' } };
 
 export class SimulatedCloudProvider {
@@ -31,11 +31,11 @@
     private readonly types: MachineType[],
     private readonly capacity: number,
     private readonly lagMs: number,
-    private readonly events: { up: (m: MachineInfo) => void; gone: (id: MachineId) => void },
+    private readonly events: { up: (machine: MachineInfo) => void; gone: (id: MachineId) => void },
   ) {
-    startHttpServer(host, address, async (q, body) => {
+    startHttpServer(host, address, async (request, body) => {
       if (this.responseDelayMs > 0) await sleep(this.responseDelayMs);
-      return this.unavailable ? trouble : this.answer(q.target, body);
+      return this.unavailable ? trouble : this.answer(request.target, body);
     });
   }
 
@@ -46,9 +46,9 @@
     bootMs: number,
     rentedAt = this.now,
   ): MachineId {
-    const n = ++this.count;
-    const id = `host-${String(n).padStart(6, '0')}` as MachineId;
-    const endpoint = `10.1.${n >> 8}.${n & 255}:9000` as Endpoint;
+    const ordinal = ++this.count;
+    const id = `host-${String(ordinal).padStart(6, '0')}` as MachineId;
+    const endpoint = `10.1.${ordinal >> 8}.${ordinal & 255}:9000` as Endpoint;
     const rented = { info: { id, endpoint, type, zone, spot }, rentedAt, up: false };
     this.machines.set(id, rented);
     this.host.runtime.clock.after(bootMs, () => {
@@ -91,35 +91,37 @@
     }
     if (path === '/machines' && body !== null && 'hire' in (body as object)) return this.rent(body);
     const stalls = [...this.machines.values()]
-      .filter((m) => this.now - m.rentedAt >= this.lagMs)
-      .map((m) => ({
-        nameId: m.info.id,
-        endpoint: m.info.endpoint,
-        breed: m.info.type,
-        pasture: m.info.zone,
-        loaners: m.info.spot,
-        status: m.up ? 'running' : 'starting',
-        ageS: (this.now - m.rentedAt) / 1000,
+      .filter((machine) => this.now - machine.rentedAt >= this.lagMs)
+      .map((machine) => ({
+        nameId: machine.info.id,
+        endpoint: machine.info.endpoint,
+        breed: machine.info.type,
+        pasture: machine.info.zone,
+        loaners: machine.info.spot,
+        status: machine.up ? 'running' : 'starting',
+        ageS: (this.now - machine.rentedAt) / 1000,
       }));
     return { status: 200, body: { stalls, more: false } };
   }
 
   private rent(body: unknown): HttpResponse {
-    const q = body as {
+    const request = body as {
       hire: string;
       breed: MachineTypeName;
       pasture: Zone;
       loaners: boolean;
       number: number;
     };
-    const known = this.hires.get(q.hire);
+    const known = this.hires.get(request.hire);
     if (known) return { status: 200, body: { stalls: known } };
-    const bootMs = (this.types.find((t) => t.name === q.breed)?.bootS ?? 30) * 1000;
-    const room = Math.min(q.number, this.capacity - this.machines.size);
+    const bootMs = (this.types.find((t) => t.name === request.breed)?.bootS ?? 30) * 1000;
+    const room = Math.min(request.number, this.capacity - this.machines.size);
     if (room <= 0) return { status: 503, body: { error: 'no capacity' } };
-    const stalls = Array.from({ length: room }, () => this.addMachine(q.breed, q.pasture, q.loaners, bootMs));
+    const stalls = Array.from({ length: room }, () =>
+      this.addMachine(request.breed, request.pasture, request.loaners, bootMs),
+    );
     this.scaledOutCount += room;
-    this.hires.set(q.hire, stalls);
+    this.hires.set(request.hire, stalls);
     return { status: 200, body: { stalls } };
   }
 }
--- a/src/test/sim/simulated-key-value-store.ts
+++ b/src/test/sim/simulated-key-value-store.ts
@@ -20,7 +20,7 @@
 }
 
 const SWEEP_MS = 50;
-const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 const trouble: HttpResponse = { status: 503, body: { error: 'trouble' } };
 
 export class SimulatedKeyValueStore {
@@ -53,11 +53,11 @@
     address: string,
     private readonly random: () => number,
   ) {
-    startHttpServer(host, address, async (q, body, from) => {
+    startHttpServer(host, address, async (request, body, from) => {
       const out = (): boolean => this.down || this.refused.has(from);
       if (this.responseDelayMs > 0) await sleep(this.responseDelayMs);
       if (out()) return trouble;
-      return this.answer(q.method, q.target, body, out);
+      return this.answer(request.method, request.target, body, out);
     });
     host.run(() => setInterval(() => this.sweep(), SWEEP_MS));
   }
@@ -66,7 +66,7 @@
     this.down = true;
     this.host.runtime.clock.after(forMs, () => {
       this.down = false;
-      for (const l of this.leases.values()) l.endsAt = this.now + l.ttlMs;
+      for (const lease of this.leases.values()) lease.endsAt = this.now + lease.ttlMs;
       this.wake();
     });
   }
@@ -95,28 +95,28 @@
   }
 
   private wake(): void {
-    for (const w of this.watchers.splice(0)) w();
+    for (const notify of this.watchers.splice(0)) notify();
   }
 
   private sweep(): void {
     if (this.down) return;
-    for (const [id, l] of this.leases) if (this.now > l.endsAt + SWEEP_MS) this.endLease(id);
+    for (const [id, lease] of this.leases) if (this.now > lease.endsAt + SWEEP_MS) this.endLease(id);
   }
 
   private endLease(id: number): void {
     if (!this.leases.delete(id)) return;
-    const keys = [...this.items].filter(([, i]) => i.permit === id).map(([k]) => k);
+    const keys = [...this.items].filter(([, i]) => i.permit === id).map(([key]) => key);
     if (keys.length > 0) this.apply(keys.map((key) => ({ delete: key })));
   }
 
   private apply(changes: Change[]): void {
     const stamp = ++this.ledger;
-    for (const c of changes) {
-      if ('put' in c) {
-        const permit = c.permit === undefined ? {} : { permit: Number(c.permit) };
-        this.items.set(c.put, { data: c.data, stamp, ...permit });
-        this.log.push({ put: c.put, data: c.data, stamp });
-      } else if (this.items.delete(c.delete)) this.log.push({ delete: c.delete, stamp });
+    for (const change of changes) {
+      if ('put' in change) {
+        const permit = change.permit === undefined ? {} : { permit: Number(change.permit) };
+        this.items.set(change.put, { data: change.data, stamp, ...permit });
+        this.log.push({ put: change.put, data: change.data, stamp });
+      } else if (this.items.delete(change.delete)) this.log.push({ delete: change.delete, stamp });
     }
     this.wake();
   }
@@ -124,8 +124,8 @@
   private refusal(t: Multi): HttpResponse | null {
     if (!this.limits) return null;
     const { writeRps, valueKb, txnOps } = this.limits;
-    const fits = (c: Change): boolean =>
-      !('put' in c) || Buffer.byteLength(JSON.stringify(c.data)) <= valueKb * 1024;
+    const fits = (change: Change): boolean =>
+      !('put' in change) || Buffer.byteLength(JSON.stringify(change.data)) <= valueKb * 1024;
     if (t.then.length > txnOps || t.if.length > 4 * txnOps || !t.then.every(fits)) {
       this.rejectedForSize++;
       return { status: 400, body: { error: 'too large' } };
@@ -140,11 +140,11 @@
     const refusal = this.refusal(t);
     if (refusal) return refusal;
     const failed = t.if
-      .filter((c) => (this.items.get(c.key)?.stamp ?? 0) !== Number(c.stamp))
-      .map((c) => c.key);
+      .filter((condition) => (this.items.get(condition.key)?.stamp ?? 0) !== Number(condition.stamp))
+      .map((condition) => condition.key);
     if (failed.length > 0) return { status: 409, body: { failed, ledger: this.ledger } };
-    for (const c of t.then) {
-      if ('put' in c && c.permit !== undefined && !this.leases.has(Number(c.permit)))
+    for (const change of t.then) {
+      if ('put' in change && change.permit !== undefined && !this.leases.has(Number(change.permit)))
         return { status: 400, body: { error: 'no such lease' } };
     }
     if (t.then.length > 0) this.apply(t.then);
@@ -196,7 +196,7 @@
     const since = query.get('since') ?? '';
     const most = Number(query.get('most') ?? 1000);
     const all = [...this.items]
-      .filter(([k]) => k.startsWith(under) && k > since)
+      .filter(([key]) => key.startsWith(under) && key > since)
       .sort(([a], [b]) => (a < b ? -1 : 1));
     const items = all.slice(0, most).map(([key, i]) => ({ key, ...i }));
     return { status: 200, body: { items, more: all.length > most, ledger: this.ledger } };
@@ -209,7 +209,7 @@
     const until = this.now + Number(query.get('blockMs') ?? 0);
     for (;;) {
       const log = this.log.filter(
-        (e) => e.stamp > since && ('put' in e ? e.put : e.delete).startsWith(under),
+        (entry) => entry.stamp > since && ('put' in entry ? entry.put : entry.delete).startsWith(under),
       );
       if (!out() && (log.length > 0 || this.now >= until))
         return { status: 200, body: { ledger: this.ledger, log } };
--- a/src/test/sim/simulated-network.ts
+++ b/src/test/sim/simulated-network.ts
@@ -114,7 +114,7 @@
 }
 
 export class SimulatedNetwork {
-  private readonly listeners = new Map<string, { host: SimulatedHost; accept: (s: Socket) => void }>();
+  private readonly listeners = new Map<string, { host: SimulatedHost; accept: (socket: Socket) => void }>();
   private readonly troubles = new Map<string, LinkFault>();
   private readonly held = new Map<string, (() => void)[]>();
   private readonly slowLinks = new Map<string, number>();
@@ -134,7 +134,8 @@
     this.runtime.clock.after(forMs, () => {
       for (const pair of pairs) {
         this.troubles.delete(pair);
-        for (const f of this.held.get(pair)?.splice(0) ?? []) this.runtime.clock.after(LATENCY_MS, f);
+        for (const action of this.held.get(pair)?.splice(0) ?? [])
+          this.runtime.clock.after(LATENCY_MS, action);
       }
     });
   }
@@ -148,23 +149,23 @@
     });
   }
 
-  private schedule(from: string, to: string, f: () => void): void {
+  private schedule(from: string, to: string, action: () => void): void {
     const { clock } = this.runtime;
     const latencyMs = this.slowLinks.get(this.key(from, to)) ?? LATENCY_MS;
     const direction = `${from}>${to}`;
     const arrival = Math.max(clock.now + latencyMs, this.lastArrival.get(direction) ?? 0);
     this.lastArrival.set(direction, arrival);
-    clock.after(arrival - clock.now, f);
+    clock.after(arrival - clock.now, action);
   }
 
-  deliver(from: string, to: string, f: () => void): void {
+  deliver(from: string, to: string, action: () => void): void {
     const pair = this.key(from, to);
     const trouble = this.troubles.get(pair);
     if (trouble === 'hold' || trouble === 'refuse') {
       const held = this.held.get(pair) ?? [];
-      held.push(f);
+      held.push(action);
       this.held.set(pair, held);
-    } else if (trouble !== 'lose') this.schedule(from, to, f);
+    } else if (trouble !== 'lose') this.schedule(from, to, action);
   }
 
   connect(host: SimulatedHost, { host: ip, port }: { host: string; port: number }): Socket {
@@ -196,11 +197,11 @@
     return here as unknown as Socket;
   }
 
-  createServer(host: SimulatedHost, accept: (s: Socket) => void) {
+  createServer(host: SimulatedHost, accept: (socket: Socket) => void) {
     const server = {
       on: () => server,
-      listen: (o: { host: string; port: number }) => {
-        this.listeners.set(`${o.host}:${o.port}`, { host, accept });
+      listen: (address: { host: string; port: number }) => {
+        this.listeners.set(`${address.host}:${address.port}`, { host, accept });
         return server;
       },
     };
--- a/src/test/sim/simulated-user.ts
+++ b/src/test/sim/simulated-user.ts
@@ -9,28 +9,28 @@
 const POLL_MS = 5000;
 const gaits = { array: 'array', gang: 'group', service: 'service' };
 
-export const jobBody = (s: JobSpec): Record<string, unknown> => ({
-  nameId: s.id,
-  herd: s.class,
-  outfit: s.team,
-  gait: gaits[s.kind],
-  rank: s.priority,
-  hands: s.tasks,
-  vcpus: s.cpus,
-  accelerators: s.gpus,
-  memGb: s.memoryGb,
-  kit: s.image,
-  sizeGb: s.imageGb,
-  breeds: s.types,
-  pasture: s.zone,
-  oneZone: s.oneZone,
-  spread: s.spread,
-  loaners: s.spot,
-  rideS: s.estimateS,
-  waypointS: s.checkpointS,
-  stowS: s.saveS,
-  dueS: s.deadlineS,
-  ...(s.dependsOn.length > 0 ? { awaits: s.dependsOn } : {}),
+export const jobBody = (spec: JobSpec): Record<string, unknown> => ({
+  nameId: spec.id,
+  herd: spec.class,
+  outfit: spec.team,
+  gait: gaits[spec.kind],
+  rank: spec.priority,
+  hands: spec.tasks,
+  vcpus: spec.cpus,
+  accelerators: spec.gpus,
+  memGb: spec.memoryGb,
+  kit: spec.image,
+  sizeGb: spec.imageGb,
+  breeds: spec.types,
+  pasture: spec.zone,
+  oneZone: spec.oneZone,
+  spread: spec.spread,
+  loaners: spec.spot,
+  rideS: spec.estimateS,
+  waypointS: spec.checkpointS,
+  stowS: spec.saveS,
+  dueS: spec.deadlineS,
+  ...(spec.dependsOn.length > 0 ? { awaits: spec.dependsOn } : {}),
 });
 
 export interface UserResponse {
@@ -73,17 +73,21 @@
   queryAllControllers(): void {
     for (const [at] of this.clients.entries()) {
       this.host.run(() => {
-        void this.sendRequest('POST', '/v1/jobs', jobBody(this.spec), 5000, at).then((r) => this.check(r));
-        void this.sendRequest('GET', `/v1/jobs/${this.spec.id}`, null, 2000, at).then((r) => this.check(r));
+        void this.sendRequest('POST', '/v1/jobs', jobBody(this.spec), 5000, at).then((response) =>
+          this.check(response),
+        );
+        void this.sendRequest('GET', `/v1/jobs/${this.spec.id}`, null, 2000, at).then((response) =>
+          this.check(response),
+        );
       });
     }
   }
 
-  private check(r: UserResponse | null): void {
-    if (!r || !this.accepted) return;
-    if (r.status === 404 || r.status === 400 || r.status === 422)
-      this.checker.reportForgottenJob(this.spec.id, String(r.status));
-    else if (r.status === 200) this.take(r);
+  private check(response: UserResponse | null): void {
+    if (!response || !this.accepted) return;
+    if (response.status === 404 || response.status === 400 || response.status === 422)
+      this.checker.reportForgottenJob(this.spec.id, String(response.status));
+    else if (response.status === 200) this.take(response);
   }
 
   /** Asks one controller, whichever state the job is in. */
@@ -96,34 +100,38 @@
   ): Promise<UserResponse | null> {
     const client = this.clients[at ?? Math.floor(this.random() * this.clients.length)];
     const askedAt = this.host.runtime.clock.now;
-    const r = await client.request(method, path, body === null ? null : encode(body), timeoutMs);
-    return r.ok
-      ? { status: r.status, body: r.body.length > 0 ? tryDecode(r.body) : {}, requestedAt: askedAt }
+    const result = await client.request(method, path, body === null ? null : encode(body), timeoutMs);
+    return result.ok
+      ? {
+          status: result.status,
+          body: result.body.length > 0 ? tryDecode(result.body) : {},
+          requestedAt: askedAt,
+        }
       : null;
   }
 
   private async submit(): Promise<void> {
     for (let tries = 0; tries < 60 && !this.accepted; tries++) {
-      const r = await this.sendRequest('POST', '/v1/jobs', jobBody(this.spec), 5000);
-      if (r && (r.status === 201 || r.status === 200)) {
+      const response = await this.sendRequest('POST', '/v1/jobs', jobBody(this.spec), 5000);
+      if (response && (response.status === 201 || response.status === 200)) {
         this.accepted = true;
         this.checker.onJobAccepted(this.spec.id);
-        this.take(r);
+        this.take(response);
         this.onAccepted();
-      } else if (r && (r.status === 400 || r.status === 422)) {
-        this.status = String(r.status);
+      } else if (response && (response.status === 400 || response.status === 422)) {
+        this.status = String(response.status);
         return;
-      } else await new Promise((go) => setTimeout(go, 1000));
+      } else await new Promise((resolve) => setTimeout(resolve, 1000));
     }
     void this.poll();
   }
 
   private async poll(): Promise<void> {
     while (this.status !== 'done' && this.status !== 'cancelled') {
-      await new Promise((go) => setTimeout(go, POLL_MS));
-      const r = await this.sendRequest('GET', `/v1/jobs/${this.spec.id}`, null, 2000);
-      if (r?.status === 404 && this.accepted) this.checker.reportForgottenJob(this.spec.id, '404');
-      else if (r?.status === 200) this.take(r);
+      await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+      const response = await this.sendRequest('GET', `/v1/jobs/${this.spec.id}`, null, 2000);
+      if (response?.status === 404 && this.accepted) this.checker.reportForgottenJob(this.spec.id, '404');
+      else if (response?.status === 200) this.take(response);
     }
   }
 
@@ -134,29 +142,29 @@
     for (let tries = 0; tries < 90; tries++) {
       // Only what was accepted before it was asked has to be known: an answer may be overtaken by the acceptance.
       const acceptedBefore = this.accepted;
-      const r = await this.sendRequest('POST', `/v1/jobs/${this.spec.id}/abort`, {}, 5000);
-      if (r?.status === 200) {
-        this.take(r);
+      const response = await this.sendRequest('POST', `/v1/jobs/${this.spec.id}/abort`, {}, 5000);
+      if (response?.status === 200) {
+        this.take(response);
         return;
       }
-      if (r?.status === 404 && acceptedBefore)
+      if (response?.status === 404 && acceptedBefore)
         this.checker.reportForgottenJob(this.spec.id, '404 to a cancellation');
-      await new Promise((go) => setTimeout(go, 1000));
+      await new Promise((resolve) => setTimeout(resolve, 1000));
     }
   }
 
-  private take(r: UserResponse): void {
+  private take(response: UserResponse): void {
     const { now } = this.host.runtime.clock;
     this.lastResponseAt = now;
     // Asked before a final answer came, and overtaken by it: older by right.
-    if (this.finalAt !== null && r.requestedAt <= this.finalAt) return;
-    const { status } = r.body as { status: string };
+    if (this.finalAt !== null && response.requestedAt <= this.finalAt) return;
+    const { status } = response.body as { status: string };
     this.status = status === 'withdrawn' ? 'cancelled' : status;
     if (this.status === 'cancelled' && this.cancellationRequested)
       this.checker.onCancellationReported(this.spec.id);
     else if (this.status === 'cancelled') this.checker.onUnrequestedCancellation(this.spec.id);
     // Asked before, and only answered now: what was true then is no older than it should be.
-    else if (this.status !== 'done') this.checker.onUnfinishedReported(this.spec.id, r.requestedAt);
+    else if (this.status !== 'done') this.checker.onUnfinishedReported(this.spec.id, response.requestedAt);
     else this.checker.onStatusReported(this.spec.id, this.status);
     if (this.status === 'done' || this.status === 'cancelled') this.finalAt ??= now;
   }
--- a/src/test/sim/simulated-worker.ts
+++ b/src/test/sim/simulated-worker.ts
@@ -138,15 +138,15 @@
   }
 
   private execute(commands: Command[]): void {
-    for (const c of commands) {
-      const key = `${c.job}/${c.index}#${c.attempt}`;
+    for (const command of commands) {
+      const key = `${command.job}/${command.index}#${command.attempt}`;
       const held = this.tasks.get(key);
-      if (c.op === 'forget') {
+      if (command.op === 'forget') {
         if (held?.state === 'exited') this.forget(key, held);
-      } else if (c.op === 'stop') {
-        if (held) this.stop(held, c.gracePeriodS);
+      } else if (command.op === 'stop') {
+        if (held) this.stop(held, command.gracePeriodS);
       } else if (!held) {
-        this.start(c.job, c.index, c.attempt, key);
+        this.start(command.job, command.index, command.attempt, key);
       }
     }
   }
@@ -214,15 +214,16 @@
     });
     if (gang.members.size < spec.tasks) return;
     gang.started = true;
-    for (const m of gang.members) m.state = 'running';
+    for (const task of gang.members) task.state = 'running';
     this.environment.clock.after(this.environment.runMs(held.job), () => this.completeGang(gang, spec));
   }
 
   private completeGang(gang: GangAttempt, spec: JobSpec): void {
-    const whole = gang.members.size === spec.tasks && [...gang.members].every((m) => m.state === 'running');
+    const whole =
+      gang.members.size === spec.tasks && [...gang.members].every((task) => task.state === 'running');
     if (!whole) return;
-    for (const m of gang.members) this.environment.checker.onTaskCompleted(m.job, m.index);
-    for (const m of [...gang.members]) this.exit(m, 'done');
+    for (const task of gang.members) this.environment.checker.onTaskCompleted(task.job, task.index);
+    for (const task of [...gang.members]) this.exit(task, 'done');
   }
 
   /** Out of its gang: of a running one, the others notice within gang_peer_s and exit. */
@@ -231,7 +232,7 @@
     held.gang = null;
     if (!gang?.members.delete(held) || !gang.started) return;
     this.environment.clock.after(this.environment.timings.gangPeerS * 1000, () => {
-      for (const m of [...gang.members]) if (m.state === 'running') this.exit(m, 'peers');
+      for (const task of [...gang.members]) if (task.state === 'running') this.exit(task, 'peers');
     });
   }
 
--- a/src/test/sim/simulation-runtime.ts
+++ b/src/test/sim/simulation-runtime.ts
@@ -30,16 +30,16 @@
     readonly wallClockOffsetMs: number,
   ) {}
 
-  run(f: () => void): void {
+  run(action: () => void): void {
     if (!this.alive) return;
-    if (this.frozen) this.deferred.push(f);
-    else this.runtime.currentHost.run(this, f);
+    if (this.frozen) this.deferred.push(action);
+    else this.runtime.currentHost.run(this, action);
   }
 
   kill(): void {
     this.alive = false;
     this.deferred = [];
-    for (const f of this.onKilled.splice(0)) f();
+    for (const action of this.onKilled.splice(0)) action();
   }
 
   /** Stands still while its clocks run on. */
@@ -47,7 +47,7 @@
     this.frozen = true;
     this.runtime.clock.after(ms, () => {
       this.frozen = false;
-      for (const f of this.deferred.splice(0)) this.run(f);
+      for (const action of this.deferred.splice(0)) this.run(action);
     });
   }
 }
@@ -79,24 +79,24 @@
       const t: Timer = { cancelled: false, unref: () => t, ref: () => t };
       return t;
     };
-    const after = (ms: number, t: Timer, f: () => void): void => {
+    const after = (ms: number, t: Timer, action: () => void): void => {
       const host = this.currentHost.getStore();
       this.clock.after(Number.isFinite(ms) ? ms : 0, () => {
         if (t.cancelled) return;
-        if (host) host.run(() => (t.cancelled ? undefined : f()));
-        else f();
+        if (host) host.run(() => (t.cancelled ? undefined : action()));
+        else action();
       });
     };
     const fakes = {
-      setTimeout: (f: () => void, ms = 0) => {
+      setTimeout: (callback: () => void, ms = 0) => {
         const t = timer();
-        after(ms, t, f);
+        after(ms, t, callback);
         return t;
       },
-      setInterval: (f: () => void, ms = 0) => {
+      setInterval: (callback: () => void, ms = 0) => {
         const t = timer();
         const again = (): void => {
-          f();
+          callback();
           if (!t.cancelled) after(ms, t, again);
         };
         after(ms, t, again);
@@ -113,8 +113,10 @@
     performance.now = () => this.clock.now + (this.currentHost.getStore()?.monotonicOffsetMs ?? 0);
     Date.now = () => EPOCH + this.clock.now + (this.currentHost.getStore()?.wallClockOffsetMs ?? 0);
     Object.assign(net, {
-      connect: (o: { host: string; port: number }) => network.connect(this.currentHost.getStore()!, o),
-      createServer: (f: (s: net.Socket) => void) => network.createServer(this.currentHost.getStore()!, f),
+      connect: (address: { host: string; port: number }) =>
+        network.connect(this.currentHost.getStore()!, address),
+      createServer: (accept: (socket: net.Socket) => void) =>
+        network.createServer(this.currentHost.getStore()!, accept),
     });
     syncBuiltinESMExports();
     return () => {
@@ -130,7 +132,7 @@
 
   /** Runs events in order, and after each one whatever promises it settled. */
   async runUntil(end: number): Promise<void> {
-    while (this.clock.step(end)) await new Promise((r) => drain(r));
+    while (this.clock.step(end)) await new Promise((resolve) => drain(resolve));
     this.clock.now = end;
   }
 }
--- a/src/test/sim/worker-host.ts
+++ b/src/test/sim/worker-host.ts
@@ -18,11 +18,13 @@
   slackS?: number;
 }
 
-const commandOf = (c: Call): Command => {
-  const [job = '', index = ''] = c.hand.split('/');
-  const ref = { job: job as JobId, index: Number(index), attempt: Number(c.try) as Attempt };
-  if (c.call === 'run') return { op: 'start', ...ref };
-  return c.call === 'reap' ? { op: 'forget', ...ref } : { op: 'stop', ...ref, gracePeriodS: c.slackS ?? 0 };
+const commandOf = (call: Call): Command => {
+  const [job = '', index = ''] = call.hand.split('/');
+  const ref = { job: job as JobId, index: Number(index), attempt: Number(call.try) as Attempt };
+  if (call.call === 'run') return { op: 'start', ...ref };
+  return call.call === 'reap'
+    ? { op: 'forget', ...ref }
+    : { op: 'stop', ...ref, gracePeriodS: call.slackS ?? 0 };
 };
 
 const stateNames = {
@@ -33,17 +35,17 @@
   exited: 'exited',
 };
 
-const reportBody = (r: Heartbeat) => ({
-  stall: r.id,
-  endpoint: r.endpoint,
-  breed: r.type,
-  pasture: r.zone,
-  loaners: r.spot,
-  shift: r.incarnation,
-  tally: r.sequence,
-  reins: r.fencingToken,
-  recallS: r.interruptionNoticeS,
-  hands: r.tasks.map((t) => ({
+const reportBody = (heartbeat: Heartbeat) => ({
+  stall: heartbeat.id,
+  endpoint: heartbeat.endpoint,
+  breed: heartbeat.type,
+  pasture: heartbeat.zone,
+  loaners: heartbeat.spot,
+  shift: heartbeat.incarnation,
+  tally: heartbeat.sequence,
+  reins: heartbeat.fencingToken,
+  recallS: heartbeat.interruptionNoticeS,
+  hands: heartbeat.tasks.map((t) => ({
     hand: `${t.job}/${t.index}`,
     try: BigInt(t.attempt),
     status: stateNames[t.state],
@@ -76,19 +78,20 @@
   ) {
     this.worker = new SimulatedWorker(info, view);
     this.at = Math.floor(random() * controllers.length);
-    startHttpServer(host, info.endpoint, async (_q, body) => {
-      if (this.worker.hung) await new Promise<void>((r) => this.held.push(r));
+    startHttpServer(host, info.endpoint, async (_request, body) => {
+      if (this.worker.hung) await new Promise<void>((resume) => this.held.push(resume));
       if (this.worker.inboundPartitioned) return null;
-      const o = body as { reins: number; shift: number; calls: Call[] };
-      const carryOut = () => this.worker.onDirectCommands(o.reins, o.shift, o.calls.map(commandOf));
+      const message = body as { reins: number; shift: number; calls: Call[] };
+      const carryOut = () =>
+        this.worker.onDirectCommands(message.reins, message.shift, message.calls.map(commandOf));
       if (this.now < this.delayedCommands.until && this.random() < this.delayedCommands.fraction) {
         this.host.runtime.clock.after(2000 + this.random() * 14_000, () =>
           this.host.run(() => void carryOut()),
         );
         return null;
       }
-      const r = carryOut();
-      return { status: r.executed ? 200 : 409, body: reportBody(r.report) };
+      const result = carryOut();
+      return { status: result.executed ? 200 : 409, body: reportBody(result.report) };
     });
     host.run(() => setInterval(() => this.look(), LOOK_MS));
   }
@@ -97,7 +100,7 @@
     this.worker.hung = true;
     this.host.runtime.clock.after(forMs, () => {
       this.worker.hung = false;
-      for (const go of this.held.splice(0)) this.host.run(go);
+      for (const resume of this.held.splice(0)) this.host.run(resume);
     });
   }
 
@@ -129,33 +132,33 @@
     const to = this.controllers[this.at];
     const client = this.clients.get(to.name) ?? new HttpClient(parseAddress(to.address), 1, 60_000);
     this.clients.set(to.name, client);
-    const r = this.heartbeatsDropped
+    const result = this.heartbeatsDropped
       ? ({ ok: false } as const)
       : await client.request('POST', '/checkin', body, ANSWER_LIMIT_MS);
-    if (this.worker.hung) await new Promise<void>((go) => this.held.push(go));
+    if (this.worker.hung) await new Promise<void>((resume) => this.held.push(resume));
     this.open = false;
     if (this.worker.inboundPartitioned) {
-      await new Promise((go) => setTimeout(go, ANSWER_LIMIT_MS));
+      await new Promise((resolve) => setTimeout(resolve, ANSWER_LIMIT_MS));
       this.next(null);
       return;
     }
-    if (!r.ok) {
+    if (!result.ok) {
       this.next(null);
       return;
     }
-    const answer = decode(r.body) as { reins?: number; calls?: Call[]; foreman?: string };
-    if (r.status === 200 && this.now - sentAt <= ANSWER_LIMIT_MS)
+    const answer = decode(result.body) as { reins?: number; calls?: Call[]; foreman?: string };
+    if (result.status === 200 && this.now - sentAt <= ANSWER_LIMIT_MS)
       this.worker.onHeartbeatResponse(
         Number(answer.reins),
         (answer.calls ?? []).map(commandOf),
         sentAt,
         incarnation,
       );
-    else if (r.status !== 200) this.next(r.status === 421 ? (answer.foreman ?? null) : null);
+    else if (result.status !== 200) this.next(result.status === 421 ? (answer.foreman ?? null) : null);
   }
 
   private next(named: string | null): void {
-    const there = this.controllers.findIndex((c) => c.name === named);
+    const there = this.controllers.findIndex((controller) => controller.name === named);
     if (there >= 0 && there !== this.at) {
       this.at = there;
       this.nextAt = this.now;
--- a/src/test/socket-limits.test.ts
+++ b/src/test/socket-limits.test.ts
@@ -24,40 +24,44 @@
 
 test('direct commands to more workers than connections: the longest unused is closed, none is sent when all are busy', async (t) => {
   // Found on the bench: a leader that kept a connection to each worker had none left to renew its lease on.
-  const open: ((r: { status: number }) => void)[] = [];
+  const open: ((response: { status: number }) => void)[] = [];
   const log = new Logger('test', 'error');
   const limits = { connections: 100, idleMs: 5000, bodyBytes: 100 };
   const server = createServer(
-    httpConnectionHandler(limits, log, (q, reply) => {
-      if (q.target === '/hold') open.push(reply);
+    httpConnectionHandler(limits, log, (request, reply) => {
+      if (request.target === '/hold') open.push(reply);
       else reply({ status: 200 });
     }),
   ).listen(0, '0.0.0.0');
-  await new Promise((r) => server.once('listening', r));
+  await new Promise((resolve) => server.once('listening', resolve));
   const { port } = server.address() as AddressInfo;
   const calls = new WorkerClient(3);
   t.after(() => {
     calls.close();
     server.close();
   });
-  const to = (n: number): Endpoint => `127.0.0.${n}:${port}` as Endpoint;
+  const to = (index: number): Endpoint => `127.0.0.${index}:${port}` as Endpoint;
   const body = encode({});
-  for (let n = 1; n <= 8; n++) {
-    const r = await calls.request(to(n), '/orders', body, 5000);
-    assert.ok(r.ok && r.status === 200);
+  for (let index = 1; index <= 8; index++) {
+    const result = await calls.request(to(index), '/orders', body, 5000);
+    assert.ok(result.ok && result.status === 200);
     assert.ok(calls.connectionCount <= 3);
   }
-  const held = [1, 2, 3].map((n) => calls.request(to(n), '/hold', body, 5000));
-  while (open.length < 3) await new Promise((r) => setImmediate(r));
-  const r = await calls.request(to(4), '/orders', body, 5000);
-  assert.deepEqual(r.ok ? null : r.sent, false, 'certainly not carried out: it goes with the next answer');
+  const held = [1, 2, 3].map((index) => calls.request(to(index), '/hold', body, 5000));
+  while (open.length < 3) await new Promise((resolve) => setImmediate(resolve));
+  const refused = await calls.request(to(4), '/orders', body, 5000);
+  assert.deepEqual(
+    refused.ok ? null : refused.sent,
+    false,
+    'certainly not carried out: it goes with the next answer',
+  );
   for (const reply of open) reply({ status: 200 });
-  assert.ok((await Promise.all(held)).every((h) => h.ok));
+  assert.ok((await Promise.all(held)).every((result) => result.ok));
 });
 
 test('image locations of 930 machines go in pages that fit a frame, and deleted machines are dropped', () => {
-  const images = Array.from({ length: 12 }, (_, i): [string, number] => [`img-${i}`, 6.25]);
-  const all = Object.fromEntries(Array.from({ length: 930 }, (_, i) => [`host-${100000 + i}`, images]));
+  const images = Array.from({ length: 12 }, (_item, i): [string, number] => [`img-${i}`, 6.25]);
+  const all = Object.fromEntries(Array.from({ length: 930 }, (_item, i) => [`host-${100000 + i}`, images]));
   const leader = new ImageLocationStore();
   const peer = new ImageLocationStore();
   for (let i = 0; i < 10; i++) {
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -51,23 +51,23 @@
 };
 
 /** Counts the users whose jobs the version in production has accepted. */
-const countAcceptedBeforeRoll = (m: Scenario): { accepted: number } => {
+const countAcceptedBeforeRoll = (scenario: Scenario): { accepted: number } => {
   const count = { accepted: 0 };
-  m.cluster.at(ROLL - 1, () => {
-    count.accepted = [...m.cluster.users.values()].filter((user) => user.accepted).length;
+  scenario.cluster.at(ROLL - 1, () => {
+    count.accepted = [...scenario.cluster.users.values()].filter((user) => user.accepted).length;
   });
   return count;
 };
 
 /** Controllers are killed one after the other and come back with the present version; then the limits fall. */
-const roll = (m: Scenario): void => {
-  for (const [i, p] of m.cluster.controllers.entries())
-    m.cluster.at(ROLL + i * EVERY_MS, () => m.cluster.upgrade(p, 4000));
-  m.cluster.at(LOWERED, () => m.cluster.lowerLimits());
-  m.cluster.at(LOWERED + 5000, () => submitPipelines(m, 3));
+const roll = (scenario: Scenario): void => {
+  for (const [i, controller] of scenario.cluster.controllers.entries())
+    scenario.cluster.at(ROLL + i * EVERY_MS, () => scenario.cluster.upgrade(controller, 4000));
+  scenario.cluster.at(LOWERED, () => scenario.cluster.lowerLimits());
+  scenario.cluster.at(LOWERED + 5000, () => submitPipelines(scenario, 3));
 };
 
-const playUpgrade = async (seed: number, script: (m: Scenario) => void, over = lowered) => {
+const playUpgrade = async (seed: number, script: (scenario: Scenario) => void, over = lowered) => {
   const { sim, broken, unfinished } = await runScenario(
     seed,
     { setup: over, faultsEndMs: 160_000, endMs: 380_000 },
@@ -78,22 +78,22 @@
 };
 
 /** Short jobs all the while, so that each version finishes what the other took in. */
-const steadyWork = (m: Scenario): void => {
-  startMixedWork(m);
+const steadyWork = (scenario: Scenario): void => {
+  startMixedWork(scenario);
   for (let i = 0; i < 40; i++)
-    m.cluster.at(12_000 + i * 3000, () => {
-      const id = m.submit({ tasks: 1 + (i % 3) }, 6000);
-      if (i % 5 === 0) m.cluster.at(m.cluster.now + 2500, () => m.cluster.cancel(id));
+    scenario.cluster.at(12_000 + i * 3000, () => {
+      const id = scenario.submit({ tasks: 1 + (i % 3) }, 6000);
+      if (i % 5 === 0) scenario.cluster.at(scenario.cluster.now + 2500, () => scenario.cluster.cancel(id));
     });
 };
 
 test('an upgrade under load; then the limits fall, and pipelines are submitted', async () => {
   for (const seed of [1, 2]) {
     let before = { accepted: 0 };
-    const sim = await playUpgrade(seed, (m) => {
-      before = countAcceptedBeforeRoll(m);
-      steadyWork(m);
-      roll(m);
+    const sim = await playUpgrade(seed, (scenario) => {
+      before = countAcceptedBeforeRoll(scenario);
+      steadyWork(scenario);
+      roll(scenario);
     });
     assert.ok(before.accepted > 0, 'the version in production takes jobs');
     assert.equal(
@@ -105,28 +105,30 @@
 });
 
 test('in an upgrade an old controller crashes early and restarts with the old version, and the key-value store has an outage', async () => {
-  await playUpgrade(1, (m) => {
-    steadyWork(m);
-    roll(m);
-    m.cluster.at(ROLL + 5000, () => m.cluster.restart(m.cluster.controllers[2], 300));
-    m.cluster.at(ROLL + 13_000, () => m.cluster.keyValueStore.startOutage(6000));
-    m.cluster.at(ROLL + 12_000, () => m.cluster.keyValueStore.delayTransactions(0.2, 40_000));
+  await playUpgrade(1, (scenario) => {
+    steadyWork(scenario);
+    roll(scenario);
+    scenario.cluster.at(ROLL + 5000, () => scenario.cluster.restart(scenario.cluster.controllers[2], 300));
+    scenario.cluster.at(ROLL + 13_000, () => scenario.cluster.keyValueStore.startOutage(6000));
+    scenario.cluster.at(ROLL + 12_000, () => scenario.cluster.keyValueStore.delayTransactions(0.2, 40_000));
   });
 });
 
 test('leadership passes between the versions, both ways', async () => {
   const leaders: boolean[] = [];
-  await playUpgrade(2, (m) => {
-    steadyWork(m);
+  await playUpgrade(2, (scenario) => {
+    steadyWork(scenario);
     for (let i = 0; i < 8; i++)
-      m.cluster.at(ROLL + i * 6000, () => {
-        const { leader } = m.cluster;
+      scenario.cluster.at(ROLL + i * 6000, () => {
+        const { leader } = scenario.cluster;
         if (!leader) return;
         leaders.push(leader.version === null);
-        m.cluster.restart(leader, 1000);
-        if (i === 0) m.cluster.upgrade(m.cluster.controllers[0], 1000);
+        scenario.cluster.restart(leader, 1000);
+        if (i === 0) scenario.cluster.upgrade(scenario.cluster.controllers[0], 1000);
       });
-    m.cluster.at(ROLL + 50_000, () => m.cluster.controllers.forEach((p) => m.cluster.upgrade(p, 1500)));
+    scenario.cluster.at(ROLL + 50_000, () =>
+      scenario.cluster.controllers.forEach((controller) => scenario.cluster.upgrade(controller, 1500)),
+    );
   });
   assert.ok(leaders.includes(true) && leaders.includes(false), 'both versions have led');
 });
@@ -134,18 +136,23 @@
 /** A job whose record is larger than the service will take later is accepted, runs, and is cancelled after that. */
 const cancelLargeRecord = async (nextLimits: Partial<KeyValueStoreLimits>) => {
   let id = 'wk-0' as JobId;
-  const others = Array.from({ length: 99 }, (_, i) => `another-type-${i}` as MachineTypeName);
+  const others = Array.from({ length: 99 }, (_item, i) => `another-type-${i}` as MachineTypeName);
   const { sim, broken } = await runScenario(
     1,
     { setup: { ...lowered, announcedKeyValueStoreLimits: nextLimits }, faultsEndMs: 120_000, endMs: 200_000 },
-    (m) => {
-      m.cluster.at(8000, () => (id = m.submit({ tasks: 2, types: [...others, types[0].name] })));
-      m.cluster.at(30_000, () => m.cluster.controllers.forEach((p) => m.cluster.upgrade(p, 2000)));
-      m.cluster.at(
+    (scenario) => {
+      scenario.cluster.at(
+        8000,
+        () => (id = scenario.submit({ tasks: 2, types: [...others, types[0].name] })),
+      );
+      scenario.cluster.at(30_000, () =>
+        scenario.cluster.controllers.forEach((controller) => scenario.cluster.upgrade(controller, 2000)),
+      );
+      scenario.cluster.at(
         60_000,
-        () => (m.cluster.keyValueStore.limits = { rps: 200, writeRps: 25, valueKb: 2, txnOps: 5 }),
+        () => (scenario.cluster.keyValueStore.limits = { rps: 200, writeRps: 25, valueKb: 2, txnOps: 5 }),
       );
-      m.cluster.at(70_000, () => m.cluster.cancel(id));
+      scenario.cluster.at(70_000, () => scenario.cluster.cancel(id));
     },
   );
   return { status: sim.users.get(id)!.status, broken, tooLarge: sim.keyValueStore.rejectedForSize };
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -30,12 +30,14 @@
     if (this.mode === 'down') return Promise.resolve({ kind: 'refused' as const });
     if (this.mode === 'late') return Promise.resolve({ kind: 'unknown' as const });
     const revisionOf = (key: string): Uint64 => this.items.get(key)?.revision ?? 0;
-    const failed = t.conditions.filter((c) => revisionOf(c.key) !== c.revision).map((c) => c.key);
+    const failed = t.conditions
+      .filter((condition) => revisionOf(condition.key) !== condition.revision)
+      .map((condition) => condition.key);
     if (failed.length > 0) return Promise.resolve({ kind: 'conflict' as const, failed });
     const revision = ++this.revision;
-    for (const c of t.changes) {
-      if ('put' in c) this.items.set(c.put, { data: decode(encode(c.data)), revision });
-      else this.items.delete(c.delete);
+    for (const change of t.changes) {
+      if ('put' in change) this.items.set(change.put, { data: decode(encode(change.data)), revision });
+      else this.items.delete(change.delete);
     }
     if (this.mode === 'answer lost') return Promise.resolve({ kind: 'unknown' as const });
     return Promise.resolve({ kind: 'ok' as const, revision });
@@ -95,9 +97,9 @@
     );
   const call = async (api: UserApi, method: string, target: string, body?: unknown): Promise<string> => {
     const bytes = body === undefined ? Buffer.alloc(0) : encode(body);
-    const r = await api.handle({ method, target, body: bytes } as HttpMessage);
-    const answer = r.body ? (decode(r.body) as { status?: string }) : {};
-    return `${r.status}${answer.status ? ` ${answer.status}` : ''}${r.retryAfterS ? ` after ${r.retryAfterS}` : ''}`;
+    const reply = await api.handle({ method, target, body: bytes } as HttpMessage);
+    const answer = reply.body ? (decode(reply.body) as { status?: string }) : {};
+    return `${reply.status}${answer.status ? ` ${answer.status}` : ''}${reply.retryAfterS ? ` after ${reply.retryAfterS}` : ''}`;
   };
   return { store, make, call, confirmed };
 };
@@ -190,14 +192,14 @@
 
 test('a controller that reports a job as cancelled knows it before: on its own cancellation, on a query, on a repeat', async () => {
   const { store, make, call, confirmed } = setup();
-  const [a, b, c] = [make(), make(), make()];
+  const [a, b, third] = [make(), make(), make()];
   await call(a, 'POST', '/v1/jobs', job);
   store.mode = 'answer lost';
   assert.equal(await call(a, 'POST', '/v1/jobs/wk-1/abort'), '200 withdrawn', 'what is recorded decides');
   assert.deepEqual(confirmed, ['wk-1']);
   store.mode = 'up';
   assert.equal(await call(b, 'GET', '/v1/jobs/wk-1'), '200 withdrawn');
-  assert.equal(await call(c, 'POST', '/v1/jobs', job), '200 withdrawn');
+  assert.equal(await call(third, 'POST', '/v1/jobs', job), '200 withdrawn');
   assert.deepEqual(confirmed, ['wk-1', 'wk-1', 'wk-1']);
 });
 
--- a/src/test/wire.test.ts
+++ b/src/test/wire.test.ts
@@ -39,8 +39,10 @@
 test('a job submission is translated; null fields may be omitted, unknown ones are ignored', () => {
   const whole = parseJob(decode(encode({ ...job, color: 'red' })));
   assert.ok(whole.ok && whole.value.kind === 'gang' && whole.value.tasks === 16 && whole.value.spot);
-  const r = parseJob(without('breeds', 'pasture', 'dueS'));
-  assert.ok(r.ok && r.value.types === null && r.value.zone === null && r.value.deadlineS === null);
+  const parsed = parseJob(without('breeds', 'pasture', 'dueS'));
+  assert.ok(
+    parsed.ok && parsed.value.types === null && parsed.value.zone === null && parsed.value.deadlineS === null,
+  );
 });
 
 test('every missing or wrong field of a submission is refused', () => {
@@ -82,8 +84,8 @@
     reins: 1,
     hands: [{ hand: 'wk-1/0', try: 1, status: 'running' }],
   };
-  const r = parseHeartbeat(decode(encode(report)));
-  assert.ok(r.ok && r.value.sequence === huge && r.value.tasks[0].job === 'wk-1');
+  const parsed = parseHeartbeat(decode(encode(report)));
+  assert.ok(parsed.ok && parsed.value.sequence === huge && parsed.value.tasks[0].job === 'wk-1');
   assert.equal(
     parseHeartbeat({ ...report, hands: [{ hand: 'wk-1/0', try: huge, status: 'running' }] }).ok,
     false,
@@ -109,15 +111,19 @@
 
 test('settings: a zone without a controller, a team without guarantee or limit, a guarantee above the limit', () => {
   const source = `${platform}\n[[settings.teams]]\nname = "red"\ngpus = 9.0\ngpus_max = 4.0\nweight = 2\n`;
-  const p = parsePlatformSettings(source.replace(/zones = \[[^\]]*\]/, 'zones = ["east", "west", "south"]'));
-  assert.equal(p.zones.length, 3);
-  const red = p.teams.find((t) => (t.name as string) === 'red')!;
+  const threeZones = parsePlatformSettings(
+    source.replace(/zones = \[[^\]]*\]/, 'zones = ["east", "west", "south"]'),
+  );
+  assert.equal(threeZones.zones.length, 3);
+  const red = threeZones.teams.find((t) => (t.name as string) === 'red')!;
   assert.deepEqual(
     [red.cpus, red.cpusMax, red.gpus, red.gpusMax],
     [0, 0, 9, 4],
     'the limit holds, whatever is guaranteed',
   );
-  assert.deepEqual(platformWarnings(p), ['team red: 9 gpus guaranteed, served up to the limit of 4']);
+  assert.deepEqual(platformWarnings(threeZones), [
+    'team red: 9 gpus guaranteed, served up to the limit of 4',
+  ]);
   assert.throws(
     () => parsePlatformSettings(`${source}\n[[settings.teams]]\nname = "red"\n`),
     /settings\.teams\.\d\.name: "red" stands twice; expected one team of each name/,
--- a/src/test/zone-partition.test.ts
+++ b/src/test/zone-partition.test.ts
@@ -37,17 +37,17 @@
 const part = async (trouble: LinkFault, seed: number): Promise<Seen> => {
   let fenced = 0;
   let running = 0;
-  const script = (m: Scenario): void => {
-    const { cluster } = m;
+  const script = (scenario: Scenario): void => {
+    const { cluster } = scenario;
     let bound: JobId;
-    cluster.at(10_000, () => [2, 4, 6].forEach((tasks) => m.submit({ tasks }, 120_000)));
+    cluster.at(10_000, () => [2, 4, 6].forEach((tasks) => scenario.submit({ tasks }, 120_000)));
     let far: string;
     cluster.at(PARTED_MS, () => {
       const near = cluster.leader!.platform.zone;
-      far = zones.find((z) => z !== near)!;
+      far = zones.find((zone) => zone !== near)!;
       cluster.partitionZones(near, far, trouble, FOR_MS);
     });
-    cluster.at(SUBMITTED_MS, () => (bound = m.submit({ tasks: 4, zone: far as Zone }, 120_000)));
+    cluster.at(SUBMITTED_MS, () => (bound = scenario.submit({ tasks: 4, zone: far as Zone }, 120_000)));
     cluster.at(RUNNING_MS, () => (running = cluster.checker.machinesOf(bound).length));
     cluster.at(FENCED_MS, () => {
       fenced = [...cluster.cloudProvider.deletedAt.values()].filter((at) => at > PARTED_MS).length;
