--- a/src/core/job.ts
+++ b/src/core/job.ts
@@ -33,7 +33,7 @@
   unpreemptible: boolean;
 }
 
-/** The placement of a task that its worker was not told of yet. */
+/** The placement of a task whose start has not been sent. */
 export const newPlacement = (
   index: number,
   machine: MachineId,
--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -60,24 +60,24 @@
   ) {}
 
   /** The cloud provider's answer to a request for machines. */
-  onScaleOutResult(request: string, outcome: ScaleOutOutcome, now: MonotonicTime): void {
-    const order = this.openRequests.get(request);
-    if (!order) return;
+  onScaleOutResult(requestId: string, outcome: ScaleOutOutcome, now: MonotonicTime): void {
+    const request = this.openRequests.get(requestId);
+    if (!request) return;
     if (outcome === 'retry') {
       // The name is kept: a repeat of a request that was carried out gives the same machines.
-      this.state.effects.push({ kind: 'create-machines', request, order });
+      this.state.effects.push({ kind: 'create-machines', request: requestId, order: request });
       return;
     }
-    this.openRequests.delete(request);
-    const { type, zone, spot } = order;
+    this.openRequests.delete(requestId);
+    const { type, zone, spot } = request;
     const created = outcome === 'no-capacity' ? [] : outcome.machines;
     for (const id of created)
       if (!this.state.machines.has(id))
         this.state.addMachine({ id, endpoint: '' as Endpoint, type, zone, spot }, now);
     const key = capacityKey(type, zone, spot);
-    if (created.length < order.count) this.recordRefusal(key, now);
+    if (created.length < request.count) this.recordRefusal(key, now);
     else this.refusals.delete(key);
-    this.state.log('info', { request, ...order, got: created.length }, 'scale-out answered');
+    this.state.log('info', { request: requestId, ...request, created: created.length }, 'scale-out answered');
     this.state.needsScheduling = true;
   }
 
@@ -107,7 +107,7 @@
       maxNewMachines: maxNewMachines(demands),
     });
     if (this.openRequests.size === 0 && !this.awaitsFirstList(now))
-      for (const order of plan.requests) this.requestMachines(order);
+      for (const request of plan.requests) this.requestMachines(request);
     this.scaleIn(plan.neededMachines, now);
   }
 
@@ -160,12 +160,12 @@
   }
 
   /** In requests of the size that the cloud provider takes; each has a name of its own, which a repeat keeps. */
-  private requestMachines(order: ScaleOutRequest): void {
-    for (let left = order.count; left > 0; left -= MAX_MACHINES_PER_REQUEST) {
-      const request = `t${this.state.leadership.term}-${++this.requestCount}`;
-      const part = { ...order, count: Math.min(left, MAX_MACHINES_PER_REQUEST) };
-      this.openRequests.set(request, part);
-      this.state.effects.push({ kind: 'create-machines', request, order: part });
+  private requestMachines(request: ScaleOutRequest): void {
+    for (let left = request.count; left > 0; left -= MAX_MACHINES_PER_REQUEST) {
+      const requestId = `t${this.state.leadership.term}-${++this.requestCount}`;
+      const part = { ...request, count: Math.min(left, MAX_MACHINES_PER_REQUEST) };
+      this.openRequests.set(requestId, part);
+      this.state.effects.push({ kind: 'create-machines', request: requestId, order: part });
     }
   }
 
--- a/src/core/leader/decision-log.ts
+++ b/src/core/leader/decision-log.ts
@@ -13,7 +13,7 @@
 
 /** Why the leader no longer counts a task as being on a machine. */
 export type ReleaseCause =
-  | 'never told to its worker'
+  | 'start never sent'
   | 'stopped, and not started by a later heartbeat'
   | 'not started by a worker that acknowledges no command'
   | 'exited'
--- a/src/core/leader/effects.ts
+++ b/src/core/leader/effects.ts
@@ -1,4 +1,4 @@
-/** What the leader asks the runtime to do, what it is told of the results, and its settings. */
+/** What the leader asks the runtime to do, the results that it gets, and its settings. */
 import type { ScaleOutRequest } from '../scaling/scale-out-plan.js';
 import type {
   Command,
@@ -28,6 +28,7 @@
   | { kind: 'read-final-record'; job: JobId }
   | { kind: 'write-progress'; job: JobId; segment: SegmentName; bytes: Uint8Array }
   | { kind: 'write-registry-page'; page: string; machines: MachineInfo[] }
+  /** `request` names the order: a repeat under the same name creates no further machines. */
   | { kind: 'create-machines'; request: string; order: ScaleOutRequest }
   | { kind: 'delete-machines'; machines: MachineId[] }
   | {
@@ -58,7 +59,7 @@
 /** The images in each machine's cache, with their sizes. */
 export type ImageLocations = Record<string, [string, number][]>;
 
-/** What a leader is told at its start. */
+/** The settings of a leader, the same as long as it leads. */
 export interface LeaderSettings {
   workers: WorkerTimings;
   teams: TeamQuota[];
--- a/src/core/leader/failure-detector.ts
+++ b/src/core/leader/failure-detector.ts
@@ -45,7 +45,7 @@
   detectFailures(now: MonotonicTime, wall: WallTime): void {
     const reachability = this.measureReachability(now);
     this.updatePartitionedZones(reachability, now);
-    const isMassFailure = this.isDuringMassFailure(reachability, now);
+    const isMassFailure = this.updateMassFailure(reachability, now);
     const { suspected } = reachability;
     const unlocated = suspected.length > 0 ? this.unlocatedOverdueJobs(now, wall) : [];
     for (const machine of suspected) {
@@ -77,10 +77,10 @@
   }
 
   /**
-   * Many machines unreachable at once, as after a failover: it is the network or we that keep their heartbeats away.
+   * Returns whether there is a mass failure, or was a moment ago: many machines unreachable at once, as after a failover: it is the network or we that keep their heartbeats away.
    * Fencing them all would destroy a healthy cluster; those that are really gone are soon missing from the cloud's list.
    */
-  private isDuringMassFailure(reachability: Reachability, now: MonotonicTime): boolean {
+  private updateMassFailure(reachability: Reachability, now: MonotonicTime): boolean {
     if (reachability.isMassFailure) this.lastMassFailureAt = now;
     return now - this.lastMassFailureAt <= this.timeouts.recoveryMs;
   }
@@ -128,7 +128,7 @@
   }
 
   /**
-   * Their tasks may hang on machines not reconciled since this leadership began, where no heartbeat has told of them.
+   * Their tasks may hang on machines not reconciled since this leadership began, where no heartbeat has shown them.
    * They are waited for longer: of many such machines most are whole, and end the tasks or lose their lease themselves.
    */
   private unlocatedOverdueJobs(now: MonotonicTime, wall: WallTime): Job[] {
--- a/src/core/leader/heartbeat-reconciler.ts
+++ b/src/core/leader/heartbeat-reconciler.ts
@@ -11,7 +11,7 @@
 import { mayBeKnownToWorker } from './placement-lifecycle.js';
 import { TaskReconciler, type HeartbeatSource } from './task-reconciler.js';
 
-/** Squares what workers report with what the leader wants of them. */
+/** Reconciles what workers report with what the leader wants of them. */
 export class HeartbeatReconciler {
   private readonly tasks: TaskReconciler;
   private readonly oneWayPartitions: OneWayPartitionDetector;
@@ -58,7 +58,7 @@
     // Overtaken by a newer one: it says nothing, not even that the machine is alive now.
     if (!(unchanged.sequence > last.sequence)) return machine.inSync;
     last.receivedAt = now;
-    // A direct command's answer may have told of other tasks since: then the machine's base is another one.
+    // A direct command's answer may have reported other tasks since: then the machine's base is another one.
     const isSameBase =
       last.processedSequence !== null && equalUint64(unchanged.baseSequence, last.processedSequence);
     if (!machine.reconciled || !machine.inSync || !isSameBase) return false;
--- a/src/core/leader/job-dependencies.ts
+++ b/src/core/leader/job-dependencies.ts
@@ -2,10 +2,11 @@
  * DAG dependencies: jobs are held until all that they depend on is done, cancelled with what they depend on, and treated
  * as urgent as the most urgent job that depends on them.
  */
-import type { InheritedUrgency, Job } from '../job.js';
-import { priorityRank, type FinalState, type Priority } from '../types.js';
-import type { JobId, MonotonicTime, WallTime } from '../units.js';
+import type { Job } from '../job.js';
+import type { FinalState } from '../types.js';
+import type { JobId, MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
+import { propagateUrgency } from './urgency-inheritance.js';
 
 /** Final states kept for jobs that are submitted only after those that they depend on. */
 const FINAL_STATES_KEPT = 20_000;
@@ -141,44 +142,9 @@
   propagateUrgency(): void {
     if (!this.urgencyChanged) return;
     this.urgencyChanged = false;
-    const visited = new Map<JobId, InheritedUrgency | null>();
-    for (const id of this.dependents.keys()) {
-      const job = this.state.jobs.get(id);
-      if (job) this.inherit(job, visited);
-    }
-  }
-
-  /** The job's inherited urgency. Dependencies were accepted before, so there are no cycles; long chains need no recursion. */
-  private inherit(job: Job, visited: Map<JobId, InheritedUrgency | null>): void {
-    const stack = [job];
-    while (stack.length > 0) {
-      const top = stack.at(-1)!;
-      const waiting = [...(this.dependents.get(top.id) ?? [])];
-      const first = waiting.find((other) => !visited.has(other.id));
-      if (first) {
-        stack.push(first);
-        continue;
-      }
-      stack.pop();
-      if (visited.has(top.id)) continue;
-      this.setInherited(top, waiting);
-      visited.set(top.id, top.inheritedUrgency);
-    }
-  }
-
-  private setInherited(job: Job, dependents: Job[]): void {
-    const before = job.priority;
-    let priority: Priority = 'low';
-    let dueAt = Infinity;
-    for (const other of dependents) {
-      if (other.cancelled) continue;
-      if (priorityRank[other.priority] > priorityRank[priority]) priority = other.priority;
-      // The job has to be over when those after it must begin, by their owners' estimates.
-      if (other.dueAt !== null) dueAt = Math.min(dueAt, other.dueAt - other.spec.estimateS * 1000);
-    }
-    job.inheritedUrgency =
-      dependents.length === 0 ? null : { priority, dueAt: dueAt < Infinity ? (dueAt as WallTime) : null };
-    if (job.priority === before) return;
-    for (const placement of job.placements.values()) this.state.machines.get(placement.machine)?.invalidate();
+    const { machines, jobs } = this.state;
+    propagateUrgency(this.dependents, jobs, (job) => {
+      for (const placement of job.placements.values()) machines.get(placement.machine)?.invalidate();
+    });
   }
 }
--- a/src/core/leader/leader.ts
+++ b/src/core/leader/leader.ts
@@ -1,6 +1,6 @@
 /**
  * The leader: what it knows of machines and jobs, and what it wants of them. Events go in, effects come out; it does no
- * I/O and has no clock and no randomness of its own. This is its interface and its order of work; its parts are beside it.
+ * I/O and has no clock and no randomness of its own. This is its interface and the order in which its parts work.
  */
 import type { Machine } from '../machine.js';
 import type { Job } from '../job.js';
@@ -193,8 +193,8 @@
   }
 
   /** The cloud provider's answer to a request for machines. */
-  onScaleOutResult(request: string, outcome: ScaleOutOutcome, now: MonotonicTime): void {
-    this.autoscaler.onScaleOutResult(request, outcome, now);
+  onScaleOutResult(requestId: string, outcome: ScaleOutOutcome, now: MonotonicTime): void {
+    this.autoscaler.onScaleOutResult(requestId, outcome, now);
   }
 
   /** The cloud provider's list of machines. */
--- a/src/core/leader/machine-pool.ts
+++ b/src/core/leader/machine-pool.ts
@@ -137,18 +137,19 @@
   deleteDecommissioned(now: MonotonicTime): void {
     const deletable = this.deletableMachines(now, () => true);
     const overdue = deletable.filter((machine) => machine.decommissioning?.mayHoldOverdueTask);
-    if (overdue.length > 0) this.requestAllDeletions(overdue);
-    else if (deletable.length > 0) this.requestDeletion(deletable.slice(0, MAX_DELETIONS_PER_REQUEST));
+    if (overdue.length > 0) this.requestAllDeletions(overdue, now);
+    else if (deletable.length > 0) this.requestDeletion(deletable.slice(0, MAX_DELETIONS_PER_REQUEST), now);
   }
 
   /** Requests only the deletion of machines that may hold an overdue cancelled task: that needs no authority. */
   deleteOverdue(now: MonotonicTime): void {
     this.requestAllDeletions(
       this.deletableMachines(now, (machine) => machine.decommissioning?.mayHoldOverdueTask === true),
+      now,
     );
   }
 
-  /** Machines that can be deleted now, if a request is due; finding some counts as the request. */
+  /** Machines that can be deleted now, if a request is due. */
   private deletableMachines(now: MonotonicTime, isWanted: (machine: Machine) => boolean): Machine[] {
     if (now - this.lastDeletionAt < DELETE_INTERVAL_MS) return [];
     const deletable: Machine[] = [];
@@ -157,16 +158,16 @@
       if (!decommissioning || decommissioning.deletionRequested || !isWanted(machine)) continue;
       if (decommissioning.mode === 'fence' || !machine.busy) deletable.push(machine);
     }
-    if (deletable.length > 0) this.lastDeletionAt = now;
     return deletable;
   }
 
-  private requestAllDeletions(machines: Machine[]): void {
+  private requestAllDeletions(machines: Machine[], now: MonotonicTime): void {
     for (let i = 0; i < machines.length; i += MAX_DELETIONS_PER_REQUEST)
-      this.requestDeletion(machines.slice(i, i + MAX_DELETIONS_PER_REQUEST));
+      this.requestDeletion(machines.slice(i, i + MAX_DELETIONS_PER_REQUEST), now);
   }
 
-  private requestDeletion(machines: Machine[]): void {
+  private requestDeletion(machines: Machine[], now: MonotonicTime): void {
+    this.lastDeletionAt = now;
     for (const { decommissioning } of machines) decommissioning!.deletionRequested = true;
     this.state.effects.push({ kind: 'delete-machines', machines: machines.map(({ id }) => id) });
   }
--- a/src/core/leader/machine-registration.ts
+++ b/src/core/leader/machine-registration.ts
@@ -7,7 +7,7 @@
 
 /** Between two pages with new machines: machines that come up together share a page. */
 const REGISTER_INTERVAL_MS = 300;
-/** Between two rounds of tidying, and pages rewritten in one. */
+/** Between two rounds of tidying, and the most pages rewritten in one. */
 const TIDY_INTERVAL_MS = 500;
 const TIDY_PAGES_PER_ROUND = 3;
 
--- a/src/core/leader/placement-lifecycle.ts
+++ b/src/core/leader/placement-lifecycle.ts
@@ -32,7 +32,7 @@
       this.stop(job, placement, 0, `gang broken: ${cause}`, now);
   }
 
-  /** The task is to end. One that its worker was never told of is released at once. */
+  /** The task is to end. One whose start was never sent is released at once. */
   stop(job: Job, placement: Placement, graceS: number, reason: string, now: MonotonicTime): void {
     const machine = this.state.machines.get(placement.machine);
     if (placement.stop) {
@@ -44,17 +44,17 @@
     this.state.changedSinceTick = true;
     machine?.invalidate();
     if (!mayBeKnownToWorker(placement)) {
-      this.release(job, placement, 'never told to its worker', now);
+      this.release(job, placement, 'start never sent', now);
       return;
     }
     if (machine) this.state.machinesWithPendingCommands.add(machine);
   }
 
-  /** Evicts a task gracefully for a reason of ours; a gang goes as a whole, all members told at once. */
+  /** Evicts a task gracefully for a reason of ours; a gang goes as a whole, all members at once. */
   evict(job: Job, placement: Placement, reason: string, now: MonotonicTime): void {
     const graceS = job.spec.checkpointS > 0 ? job.spec.saveS : 0;
-    const group = job.spec.kind === 'gang' ? [...job.placements.values()] : [placement];
-    for (const each of group) this.stop(job, each, graceS, reason, now);
+    const evicted = job.spec.kind === 'gang' ? [...job.placements.values()] : [placement];
+    for (const each of evicted) this.stop(job, each, graceS, reason, now);
   }
 
   /** The job is cancelled: its tasks end at once. */
--- a/src/core/leader/task-reconciler.ts
+++ b/src/core/leader/task-reconciler.ts
@@ -1,4 +1,4 @@
-/** Squares the tasks that a worker reports with those that the leader has placed on its machine. */
+/** Reconciles the tasks that a worker reports with those that the leader has placed on its machine. */
 import { newPlacement, type Job, type Placement } from '../job.js';
 import type { Machine } from '../machine.js';
 import { attemptKey } from '../task-status.js';
@@ -9,7 +9,7 @@
 import type { MachinePool } from './machine-pool.js';
 import { TaskFailureHandler } from './task-failure-handler.js';
 
-/** How long, about, a job waits after a worker found no room for a task of it. */
+/** How long, about, a job waits after a worker had too little free for a task of it. */
 const NO_ROOM_BACKOFF_MS = 1000;
 
 /**
@@ -95,7 +95,7 @@
       'task ended without completing',
     );
     if (job.spec.kind === 'gang')
-      this.state.placements.stopBrokenGang(job, `member ${index}: ${cause ?? 'no cause told'}`, now);
+      this.state.placements.stopBrokenGang(job, `member ${index}: ${cause ?? 'no cause reported'}`, now);
   }
 
   /** The tasks of a gang complete together. */
--- a/src/core/machine.ts
+++ b/src/core/machine.ts
@@ -40,7 +40,7 @@
 export type Registration =
   { state: 'unregistered' } | { state: 'writing'; page: string } | { state: 'durable'; page: string };
 
-/** How a machine is given up: drained, or fenced with whatever it holds. */
+/** How a machine leaves the cluster: drained, or fenced with whatever it holds. */
 export interface Decommissioning {
   mode: 'drain' | 'fence';
   since: MonotonicTime;
@@ -73,7 +73,7 @@
   readonly replies = new ReplyTracker();
   /** When the cloud provider's notice came that the spot instance will be interrupted. */
   interruptionNoticedAt: MonotonicTime | null = null;
-  /** Being given up: nothing is placed here any more. */
+  /** Leaving the cluster: nothing is placed here any more. */
   decommissioning: Decommissioning | null = null;
   idleSince: MonotonicTime | null = null;
   /** Jobs of which a task failed here since the last one completed here. */
