--- a/src/core/scaling/arrival-rates.ts
+++ b/src/core/scaling/arrival-rates.ts
@@ -1,47 +1,71 @@
-// What has arrived lately, by class: the base for room that is kept ready for work still to come.
+/** How much work has arrived lately, by class: the forecast that capacity is kept ready for. */
 import type { JobRecord, JobSpec, MachineType } from '../types.js';
 import type { MonotonicTime, WallTime } from '../units.js';
 
 const WINDOW_MS = 150_000;
+const WINDOW_S = WINDOW_MS / 1000;
+/** Allowance for machines that boot more slowly than their nominal time. */
+const BOOT_TIME_FACTOR = 1.2;
+/** Tasks counted of each job at the most. */
+const MAX_FORECAST_TASKS_PER_JOB = 8;
+
+interface Arrival {
+  at: MonotonicTime;
+  tasks: number;
+}
 
 interface ClassHistory {
+  /** The newest job of the class stands for all of them. */
   spec: JobSpec;
-  arrivals: { at: MonotonicTime; tasks: number }[];
+  arrivals: Arrival[];
 }
 
+/** The expected seconds until a new machine of the fastest usable type could start a task; null if none is usable. */
+const provisioningS = (spec: JobSpec, types: MachineType[]): number | null => {
+  const usable = types.filter((type) => spec.types === null || spec.types.includes(type.name));
+  if (usable.length === 0) return null;
+  return Math.min(...usable.map((type) => type.bootS * BOOT_TIME_FACTOR + spec.imageGb / type.fetchGbPerS));
+};
+
+/** Arrival rates by class of jobs, over a sliding window. */
 export class ArrivalRates {
   private readonly classes = new Map<string, ClassHistory>();
 
-  recordArrival(record: JobRecord, now: MonotonicTime, wall: WallTime): void {
-    const at = (now - Math.max(0, wall - record.submittedAt)) as MonotonicTime;
+  /** A job was submitted, possibly some time ago. */
+  recordArrival(record: JobRecord, now: MonotonicTime, wallTime: WallTime): void {
+    const at = (now - Math.max(0, wallTime - record.submittedAt)) as MonotonicTime;
     this.recordTasks(record.spec, at);
   }
 
-  /** Work that began to need room then. */
+  /** Work that began to need capacity then. */
   recordTasks(spec: JobSpec, at: MonotonicTime): void {
-    const h = this.classes.get(spec.class) ?? { spec, arrivals: [] };
-    h.spec = spec;
-    h.arrivals.push({ at, tasks: spec.tasks });
-    this.classes.set(spec.class, h);
+    const history = this.classes.get(spec.class) ?? { spec, arrivals: [] };
+    history.spec = spec;
+    history.arrivals.push({ at, tasks: spec.tasks });
+    this.classes.set(spec.class, history);
   }
 
-  /** Room for the fluctuation of arrivals (so many standard deviations) over the time that a new machine takes. */
+  /**
+   * The tasks of each class to keep capacity ready for: `headroom` standard deviations of the arrivals in the time that
+   * a new machine takes.
+   */
   forecastTasks(
     types: MachineType[],
     headroom: number,
     now: MonotonicTime,
   ): { spec: JobSpec; tasks: number }[] {
-    const out: { spec: JobSpec; tasks: number }[] = [];
-    for (const h of this.classes.values()) {
-      h.arrivals = h.arrivals.filter((a) => now - a.at < WINDOW_MS);
-      if (h.arrivals.length === 0) continue;
-      const usable = types.filter((t) => h.spec.types === null || h.spec.types.includes(t.name));
-      if (usable.length === 0) continue;
-      const bootS = Math.min(...usable.map((t) => t.bootS * 1.2 + h.spec.imageGb / t.fetchGbPerS));
-      const jobs = (h.arrivals.length / (WINDOW_MS / 1000)) * bootS;
-      const perJob = h.arrivals.reduce((sum, a) => sum + a.tasks, 0) / h.arrivals.length;
-      out.push({ spec: h.spec, tasks: Math.ceil(headroom * Math.sqrt(jobs) * Math.min(perJob, 8)) });
+    const forecast: { spec: JobSpec; tasks: number }[] = [];
+    for (const history of this.classes.values()) {
+      history.arrivals = history.arrivals.filter((arrival) => now - arrival.at < WINDOW_MS);
+      const { spec, arrivals } = history;
+      if (arrivals.length === 0) continue;
+      const leadTimeS = provisioningS(spec, types);
+      if (leadTimeS === null) continue;
+      const jobs = (arrivals.length / WINDOW_S) * leadTimeS;
+      const tasksPerJob = arrivals.reduce((sum, arrival) => sum + arrival.tasks, 0) / arrivals.length;
+      const tasks = headroom * Math.sqrt(jobs) * Math.min(tasksPerJob, MAX_FORECAST_TASKS_PER_JOB);
+      forecast.push({ spec, tasks: Math.ceil(tasks) });
     }
-    return out;
+    return forecast;
   }
 }
--- a/src/core/scaling/scale-out-plan.ts
+++ b/src/core/scaling/scale-out-plan.ts
@@ -1,201 +1,208 @@
-// How many machines of which type, zone and kind the waiting and the expected work needs.
-import { addResources, fits } from '../resources.js';
-import { type Machine } from '../machine.js';
-import { mayRunOn } from '../scheduler/placement-constraints.js';
+/** How many machines of which type, zone and kind the waiting and the forecast work needs. */
+import { addResources, copyResources, fits, tasksPerMachine } from '../resources.js';
+import type { Machine } from '../machine.js';
+import { mayRunOn, zoneAllowsOneMore, type ZoneCounts } from '../scheduler/placement-constraints.js';
 import type { Resources, JobSpec, MachineType } from '../types.js';
 import type { MachineId, MonotonicTime, MachineTypeName, Zone } from '../units.js';
 
+/** Tasks that need capacity. */
 export interface CapacityDemand {
   spec: JobSpec;
   tasks: number;
   /** Zones already used by the job's tasks, for spread and one-zone jobs. */
-  zones: Map<Zone, number>;
+  zones: ZoneCounts;
+  /** Forecast work is that of many jobs, none of which has been submitted. */
   isForecast: boolean;
 }
 
-export interface ScaleOutRequest {
+/** Machines of one type, zone and kind that the cloud can be asked for. */
+interface InstancePool {
   type: MachineTypeName;
   zone: Zone;
   spot: boolean;
-  count: number;
 }
 
-interface Capacity {
-  free: Resources;
-  type: MachineTypeName;
-  zone: Zone;
-  spot: boolean;
-  machine: MachineId | null;
-  busy: boolean;
-  /** An hour of one accelerator, or of one CPU where there are none. */
-  price: number;
+/** A request for new machines. */
+export interface ScaleOutRequest extends InstancePool {
+  count: number;
 }
 
+/** What a plan is made from. */
 export interface ScaleOutInput {
   /** Schedulable machines with what is free on them, and machines still booting. */
   capacities: { machine: Machine; free: Resources }[];
+  /** In the order in which they are served. */
   demands: CapacityDemand[];
   types: MachineType[];
+  /** By `capacityKey`: until when the cloud isn't asked again for what it refused. */
   unavailableUntil: Map<string, MonotonicTime>;
   now: MonotonicTime;
   maxNewMachines: number;
 }
 
+/** What to request, and what to keep. */
 export interface ScaleOutPlan {
   requests: ScaleOutRequest[];
-  /** Machines that waiting or expected work would use: not idle, whatever they do now. */
+  /** Machines that waiting or forecast work would use: not idle, whatever they do now. */
   neededMachines: Set<MachineId>;
 }
 
+/** Free capacity of a machine, existing or to be requested. */
+interface Capacity extends InstancePool {
+  free: Resources;
+  /** Null for a machine to be requested. */
+  machine: MachineId | null;
+  busy: boolean;
+  /** Hourly price of one accelerator, or of one CPU where there are none. */
+  unitPrice: number;
+}
+
+/** A machine to be requested, with its price for each task, weighed by how much of it is used. */
+interface Offer {
+  type: MachineType;
+  zone: Zone;
+  spot: boolean;
+  cost: number;
+}
+
+/** Value of capacity beyond a job's tasks, as others will use it, as a share of that of used capacity. */
+const SPARE_CAPACITY_VALUE_FRACTION = 0.35;
+
+/** Names a pool of instances of one type, zone and kind. */
 export const capacityKey = (type: MachineTypeName, zone: Zone, spot: boolean): string =>
   `${type}|${zone}|${spot}`;
 
-/** How many tasks of this kind an empty machine of the type takes. */
-export const tasksPerMachine = (spec: Resources, type: MachineType): number => {
-  let n = 100_000;
-  if (spec.cpus > 0) n = Math.min(n, Math.floor(type.cpus / spec.cpus + 1e-6));
-  if (spec.gpus > 0) n = Math.min(n, Math.floor(type.gpus / spec.gpus + 1e-6));
-  if (spec.memoryGb > 0) n = Math.min(n, Math.floor(type.memoryGb / spec.memoryGb + 1e-6));
-  return n;
-};
+const priceOf = (type: MachineType, spot: boolean): number => (spot ? type.spotPrice : type.price);
 
-export const fitsSomeType = (spec: JobSpec, types: MachineType[]): boolean =>
-  types.some((t) => t.zones.some((z) => mayRunOn(spec, t.name, z, false)) && fits(spec, t));
+const unitPriceOf = (type: MachineType, spot: boolean): number =>
+  priceOf(type, spot) / (type.gpus > 0 ? type.gpus : type.cpus);
 
-/** Groups whose tasks run at the same time, spread over zones, need more than one zone as soon as they are two. */
-export const canBeSpread = (spec: JobSpec, types: MachineType[]): boolean => {
-  if (!spec.spread || spec.kind === 'array' || spec.tasks < 2) return true;
-  if (spec.oneZone) return false;
-  const fitting = types.filter((t) => fits(spec, t));
-  const zones = fitting.flatMap((t) => t.zones.filter((z) => mayRunOn(spec, t.name, z, false)));
-  return new Set(zones).size > 1;
+/** Machines in use first, then cheap ones, then full ones: the expensive and empty ones are free for scale-in. */
+const packingOrder = (a: Capacity, b: Capacity): number => {
+  if (a.busy !== b.busy) return a.busy ? -1 : 1;
+  return a.unitPrice - b.unitPrice || a.free.gpus - b.free.gpus;
 };
 
-const unitPrice = (t: MachineType, spot: boolean): number =>
-  (spot ? t.spotPrice : t.price) / (t.gpus > 0 ? t.gpus : t.cpus);
+/** Plans the capacity for the demands. */
+export const planScaleOut = (input: ScaleOutInput): ScaleOutPlan => new Planner(input).run();
 
-class Plan {
-  private readonly rooms: Capacity[] = [];
-  private readonly orders = new Map<string, ScaleOutRequest>();
-  readonly needed = new Set<MachineId>();
-  private fresh = 0;
+class Planner {
+  private readonly capacities: Capacity[] = [];
+  private readonly requests = new Map<string, ScaleOutRequest>();
+  private readonly neededMachines = new Set<MachineId>();
+  private newMachines = 0;
 
   constructor(private readonly input: ScaleOutInput) {
     for (const { machine, free } of input.capacities) {
       const { type, zone, spot } = machine.info;
-      const price = machine.type ? unitPrice(machine.type, spot) : 0;
-      this.rooms.push({
+      this.capacities.push({
         free: { ...free },
         type,
         zone,
         spot,
         machine: machine.id,
         busy: machine.busy,
-        price,
+        unitPrice: machine.type ? unitPriceOf(machine.type, spot) : 0,
       });
     }
   }
 
+  /** Serves the demands in their order. */
   run(): ScaleOutPlan {
-    this.rooms.sort((a, b) => this.order(a, b));
-    for (const want of this.input.demands) this.satisfy(want);
-    return { requests: [...this.orders.values()], neededMachines: this.needed };
+    this.capacities.sort(packingOrder);
+    for (const demand of this.input.demands) this.serve(demand);
+    return { requests: [...this.requests.values()], neededMachines: this.neededMachines };
   }
 
-  private satisfy(want: CapacityDemand): void {
-    let left = want.tasks;
-    // Expected work is many jobs: spread and one-zone hold within each of them, not over all.
-    const each = want.isForecast ? Math.max(1, want.spec.tasks) : left;
+  private serve(demand: CapacityDemand): void {
+    let left = demand.tasks;
+    // Spread and one-zone hold within each of the forecast jobs, not over all of them.
+    const groupSize = demand.isForecast ? Math.max(1, demand.spec.tasks) : left;
     while (left > 0) {
-      const group = Math.min(each, left);
-      if (!this.place(want, new Map(want.zones), group)) return; // nothing rentable can take it at present
+      const group = Math.min(groupSize, left);
+      if (!this.placeGroup(demand.spec, new Map(demand.zones), group)) return;
       left -= group;
     }
   }
 
-  /** One pass over the rooms in their order, then machines to be rented. */
-  private place(want: CapacityDemand, zones: Map<Zone, number>, tasks: number): boolean {
-    const { spec } = want;
+  /** One pass over the machines in their order, then new ones; false if nothing available can take all tasks. */
+  private placeGroup(spec: JobSpec, zones: ZoneCounts, tasks: number): boolean {
     let left = tasks;
-    for (const r of this.rooms) {
+    for (const capacity of this.capacities) {
       if (left === 0) return true;
-      if (!fits(spec, r.free) || !mayRunOn(spec, r.type, r.zone, r.spot)) continue;
-      left -= this.fill(spec, r, zones, left);
+      if (!fits(spec, capacity.free) || !mayRunOn(spec, capacity.type, capacity.zone, capacity.spot))
+        continue;
+      left -= this.fill(spec, capacity, zones, left);
     }
     while (left > 0) {
-      const room = this.newRoom(want, zones, left);
-      if (!room) return false;
-      left -= this.fill(spec, room, zones, left);
+      const capacity = this.requestMachine(spec, zones, left);
+      if (!capacity) return false;
+      left -= this.fill(spec, capacity, zones, left);
     }
     return true;
   }
 
-  private fill(spec: JobSpec, room: Capacity, zones: Map<Zone, number>, most: number): number {
-    let n = 0;
-    while (n < most && fits(spec, room.free) && this.zoneAllowed(spec, room.zone, zones)) {
-      addResources(room.free, spec, -1);
-      zones.set(room.zone, (zones.get(room.zone) ?? 0) + 1);
-      n++;
+  /** Places up to `limit` tasks on the machine and returns their number. */
+  private fill(spec: JobSpec, capacity: Capacity, zones: ZoneCounts, limit: number): number {
+    let placed = 0;
+    while (placed < limit && fits(spec, capacity.free) && zoneAllowsOneMore(spec, capacity.zone, zones)) {
+      addResources(capacity.free, spec, -1);
+      zones.set(capacity.zone, (zones.get(capacity.zone) ?? 0) + 1);
+      placed++;
     }
-    if (n > 0 && room.machine !== null) this.needed.add(room.machine);
-    return n;
-  }
-
-  private zoneAllowed(spec: JobSpec, zone: Zone, zones: Map<Zone, number>): boolean {
-    if (spec.oneZone && zones.size > 0 && !zones.has(zone)) return false;
-    return !spec.spread || (zones.get(zone) ?? 0) < Math.ceil(spec.tasks / 2);
+    if (placed > 0 && capacity.machine !== null) this.neededMachines.add(capacity.machine);
+    return placed;
   }
 
-  /** Machines in use first, then cheap ones, then full ones: the dear and empty ones are free to go back. */
-  private order(a: Capacity, b: Capacity): number {
-    if (a.busy !== b.busy) return a.busy ? -1 : 1;
-    return a.price - b.price || a.free.gpus - b.free.gpus;
+  private requestMachine(spec: JobSpec, zones: ZoneCounts, tasks: number): Capacity | null {
+    if (this.newMachines >= this.input.maxNewMachines) return null;
+    const offer = this.cheapestOffer(spec, zones, tasks);
+    if (!offer) return null;
+    this.newMachines++;
+    const { type, zone, spot } = offer;
+    this.addRequest({ type: type.name, zone, spot });
+    const capacity: Capacity = {
+      free: copyResources(type),
+      type: type.name,
+      zone,
+      spot,
+      machine: null,
+      // Requested for this work: as good as in use.
+      busy: true,
+      unitPrice: unitPriceOf(type, spot),
+    };
+    this.capacities.push(capacity);
+    return capacity;
   }
 
-  private newRoom(want: CapacityDemand, zones: Map<Zone, number>, left: number): Capacity | null {
-    if (this.fresh >= this.input.maxNewMachines) return null;
-    const spec = want.spec;
-    let best: { type: MachineType; zone: Zone; spot: boolean; cost: number } | null = null;
+  private cheapestOffer(spec: JobSpec, zones: ZoneCounts, tasks: number): Offer | null {
+    let best: Offer | null = null;
     for (const type of this.input.types) {
-      const fit = tasksPerMachine(spec, type);
-      if (fit === 0) continue;
-      const used = Math.min(left, fit);
-      // Room beyond this job's tasks is worth something, as others will use it, but less.
-      const share = (used + 0.35 * (fit - used)) / fit;
+      const capacity = tasksPerMachine(spec, type);
+      if (capacity === 0) continue;
+      const used = Math.min(tasks, capacity);
+      const usedFraction = (used + SPARE_CAPACITY_VALUE_FRACTION * (capacity - used)) / capacity;
       for (const zone of type.zones) {
-        if (!this.zoneAllowed(spec, zone, zones)) continue;
+        if (!zoneAllowsOneMore(spec, zone, zones)) continue;
         for (const spot of spec.spot ? [true, false] : [false]) {
-          if (!mayRunOn(spec, type.name, zone, spot)) continue;
-          if (
-            (this.input.unavailableUntil.get(capacityKey(type.name, zone, spot)) ?? -Infinity) >
-            this.input.now
-          )
-            continue;
-          const cost = (spot ? type.spotPrice : type.price) / (fit * share);
+          if (!mayRunOn(spec, type.name, zone, spot) || this.isUnavailable(type.name, zone, spot)) continue;
+          const cost = priceOf(type, spot) / (capacity * usedFraction);
           if (best === null || cost < best.cost) best = { type, zone, spot, cost };
         }
       }
     }
-    if (!best) return null;
-    this.fresh++;
-    const key = capacityKey(best.type.name, best.zone, best.spot);
-    const order = this.orders.get(key) ?? {
-      type: best.type.name,
-      zone: best.zone,
-      spot: best.spot,
-      count: 0,
-    };
-    order.count++;
-    this.orders.set(key, order);
-    const { cpus, gpus, memoryGb } = best.type;
-    const free = { cpus, gpus, memoryGb };
-    const { zone, spot } = best;
-    const price = unitPrice(best.type, spot);
-    // Rented for this work: as good as in use.
-    const room: Capacity = { free, type: best.type.name, zone, spot, machine: null, busy: true, price };
-    this.rooms.push(room);
-    return room;
+    return best;
   }
-}
 
-export const planScaleOut = (input: ScaleOutInput): ScaleOutPlan => new Plan(input).run();
+  private isUnavailable(type: MachineTypeName, zone: Zone, spot: boolean): boolean {
+    const until = this.input.unavailableUntil.get(capacityKey(type, zone, spot)) ?? -Infinity;
+    return until > this.input.now;
+  }
+
+  private addRequest({ type, zone, spot }: InstancePool): void {
+    const key = capacityKey(type, zone, spot);
+    const request = this.requests.get(key) ?? { type, zone, spot, count: 0 };
+    request.count++;
+    this.requests.set(key, request);
+  }
+}
--- a/src/core/scheduler/capacity-reservations.ts
+++ b/src/core/scheduler/capacity-reservations.ts
@@ -1,62 +1,67 @@
-// Room for a group that has waited long: the machines that will have it soonest are kept free of others, since small
-// groups would otherwise take each piece as it appears and the whole would never come together. Nobody is stopped.
+/**
+ * Capacity reservations for gangs that have waited long: the machines that will have capacity soonest are kept free of
+ * other jobs. Guards against starvation: small groups would otherwise take each piece as it appears and the whole would
+ * never come together. No task is stopped.
+ */
 import type { Job } from '../job.js';
 import type { Zone } from '../units.js';
 import { estimatedFreeInS, type CandidateMachine } from './candidate-machine.js';
 import type { Snapshot } from './snapshot.js';
 
-/** Groups for which room is held at once. */
-const MAX_HOLDS = 8;
+/** Gangs that capacity is reserved for at the same time. */
+const MAX_RESERVATIONS = 8;
 
-interface Holding {
-  slots: CandidateMachine[];
-  /** Of these, held in the cycle before. */
-  kept: number;
-  /** Expected seconds until all of them have room. */
-  readyInS: number;
+interface Reservation {
+  candidates: CandidateMachine[];
+  /** How many of them were reserved in the cycle before. */
+  keptCount: number;
+  /** Expected seconds until all of them have capacity. */
+  freeInS: number;
 }
 
-const isBetter = (a: Holding, b: Holding | null): boolean =>
-  b === null || a.kept > b.kept || (a.kept === b.kept && a.readyInS < b.readyInS);
+const isBetter = (a: Reservation, b: Reservation | null): boolean =>
+  b === null || a.keptCount > b.keptCount || (a.keptCount === b.keptCount && a.freeInS < b.freeInS);
 
+/** The reservations made in one cycle. */
 export class CapacityReservations {
-  private holds = 0;
+  private count = 0;
 
   constructor(private readonly snapshot: Snapshot) {}
 
+  /** Reserves machines for all of the gang's tasks, or drops what was reserved for it. */
   reserveFor(job: Job, tasks: number, zones: (Zone | null)[]): void {
-    if (this.holds >= MAX_HOLDS) return;
-    let best: Holding | null = null;
+    if (this.count >= MAX_RESERVATIONS) return;
+    let best: Reservation | null = null;
     for (const zone of zones) {
-      const holding = this.soonestIn(job, tasks, zone);
-      if (holding && isBetter(holding, best)) best = holding;
+      const reservation = this.soonestIn(job, tasks, zone);
+      if (reservation && isBetter(reservation, best)) best = reservation;
     }
     job.reservedMachines.clear();
     if (!best) return;
-    this.holds++;
-    for (const slot of best.slots) {
-      job.reservedMachines.add(slot.machine.id);
-      slot.reservedFor = job;
+    this.count++;
+    for (const candidate of best.candidates) {
+      job.reservedMachines.add(candidate.machine.id);
+      candidate.reservedFor = job;
     }
   }
 
-  private soonestIn(job: Job, tasks: number, zone: Zone | null): Holding | null {
-    const ends = this.snapshot.candidates
-      .filter((slot) => this.snapshot.allows(job, slot, new Map(), zone))
-      .map((slot) => ({
-        slot,
-        kept: job.reservedMachines.has(slot.machine.id),
-        readyInS: estimatedFreeInS(job.spec, slot, this.snapshot.time.now),
+  private soonestIn(job: Job, tasks: number, zone: Zone | null): Reservation | null {
+    const chosen = this.snapshot.candidates
+      .filter((candidate) => this.snapshot.allows(job, candidate, new Map(), zone))
+      .map((candidate) => ({
+        candidate,
+        isKept: job.reservedMachines.has(candidate.machine.id),
+        freeInS: estimatedFreeInS(job.spec, candidate, this.snapshot.time.now),
       }))
-      .filter((end) => end.readyInS < Infinity)
-      // Those held already first: expectations change, and what is half drained must not be given up for others.
-      .sort((a, b) => Number(b.kept) - Number(a.kept) || a.readyInS - b.readyInS)
+      .filter((option) => option.freeInS < Infinity)
+      // Those reserved already first: estimates change, and what is half drained must not be given up for others.
+      .sort((a, b) => Number(b.isKept) - Number(a.isKept) || a.freeInS - b.freeInS)
       .slice(0, tasks);
-    if (ends.length < tasks) return null;
+    if (chosen.length < tasks) return null;
     return {
-      slots: ends.map((end) => end.slot),
-      kept: ends.filter((end) => end.kept).length,
-      readyInS: Math.max(...ends.map((end) => end.readyInS)),
+      candidates: chosen.map((option) => option.candidate),
+      keptCount: chosen.filter((option) => option.isKept).length,
+      freeInS: Math.max(...chosen.map((option) => option.freeInS)),
     };
   }
 }
--- a/src/core/scheduler/gang-planning.ts
+++ b/src/core/scheduler/gang-planning.ts
@@ -1,23 +1,32 @@
-// Gangs: all members are placed in one cycle or none is, with or without victims.
+/** Gang scheduling: all members are placed in one cycle or none is, with or without victims. */
 import type { Job } from '../job.js';
 import { priorityRank } from '../types.js';
 import type { Zone } from '../units.js';
-import { MIN_FETCH_TO_PREEMPT_S } from './delay-scheduling.js';
-import { checkpointsWithin, type Preemption } from './preemption.js';
-import type { CandidateSelection } from './candidate-selection.js';
 import { estimatedFetchS, type CandidateMachine } from './candidate-machine.js';
-import type { Snapshot, ZoneCounts } from './snapshot.js';
-import type { Nomination, Victim } from './victims.js';
+import type { CandidateSelection } from './candidate-selection.js';
+import type { Nomination, Victim } from './nomination.js';
+import type { ZoneCounts } from './placement-constraints.js';
+import { checkpointsWithin, MIN_FETCH_TO_PREEMPT_S, type Preemption } from './preemption.js';
+import type { Snapshot } from './snapshot.js';
 
+/** Machines for all members of a gang, none of which needs victims. */
 export interface GangPlan {
   candidates: CandidateMachine[];
+  /** The worst score of a member's machine. */
   cost: number;
   /** Expected seconds of the longest fetch: the gang starts with its slowest member. */
   longestFetchS: number;
 }
 
+/** Fetches up to this share of the plan's longest one are accepted beside machines that have the image. */
+const MAX_FETCH_FRACTION = 0.5;
+
+/** Chooses a place for the next member, given the zones of those chosen before. */
 type ChooseMember = (zones: ZoneCounts) => Nomination | null;
 
+const withoutVictims = (candidate: CandidateMachine): Nomination => ({ candidate, victims: [], cost: 0 });
+
+/** Plans the placements of gangs in one cycle. */
 export class GangPlanning {
   constructor(
     private readonly snapshot: Snapshot,
@@ -28,10 +37,10 @@
   /** The zones to try one by one; null: any zone for any member. */
   zonesFor(job: Job): (Zone | null)[] {
     if (!job.spec.oneZone) return [null];
-    return [...new Set(this.snapshot.candidates.map((slot) => slot.machine.info.zone))];
+    return [...new Set(this.snapshot.candidates.map((candidate) => candidate.machine.info.zone))];
   }
 
-  /** The cheapest placement of all members on machines with room. */
+  /** The cheapest placement of all members on machines with enough capacity. */
   plan(job: Job, tasks: number, zones: (Zone | null)[]): GangPlan | null {
     let best: GangPlan | null = null;
     for (const zone of zones) {
@@ -41,19 +50,17 @@
     return best;
   }
 
-  /** Victims for the members that find no room; null if not all members find a place so. */
+  /** Victims for the members that no machine has capacity for; null if not all members get a place. */
   nominateVictims(job: Job, tasks: number, zones: (Zone | null)[]): Victim[] | null {
     return this.firstComplete(job, tasks, zones, (zone) => (counts) => {
       const free = this.selection.best(job, counts, zone);
-      return free
-        ? { candidate: free, victims: [], cost: 0 }
-        : this.preemption.nominateVictims(job, counts, zone);
+      return free ? withoutVictims(free) : this.preemption.nominateVictims(job, counts, zone);
     });
   }
 
   /**
-   * An urgent gang starts with its slowest member: rather than wait for a long fetch it takes the place of lower array
-   * work that can save, on machines that have the image, for all members whose own machine is cold.
+   * An urgent gang starts with its slowest member: rather than wait for a long fetch it takes the place of lower-priority
+   * array work that can save, on machines that have the image, for all members whose own machine lacks it.
    */
   nominateWithImage(
     job: Job,
@@ -62,12 +69,12 @@
     zones: (Zone | null)[],
   ): Victim[] | null {
     if (longestFetchS < MIN_FETCH_TO_PREEMPT_S || priorityRank[job.priority] < priorityRank.high) return null;
-    const whom = (victim: Victim): boolean => checkpointsWithin(victim, longestFetchS / 2);
+    const maxWaitS = longestFetchS * MAX_FETCH_FRACTION;
+    const mayStop = (victim: Victim): boolean => checkpointsWithin(victim, maxWaitS);
     return this.firstComplete(job, tasks, zones, (zone) => (counts) => {
       const free = this.selection.best(job, counts, zone);
-      if (free && estimatedFetchS(job.spec, free) <= longestFetchS / 2)
-        return { candidate: free, victims: [], cost: 0 };
-      return this.preemption.nominateWithImage(job, counts, whom, zone);
+      if (free && estimatedFetchS(job.spec, free) <= maxWaitS) return withoutVictims(free);
+      return this.preemption.nominateWithImage(job, counts, mayStop, zone);
     });
   }
 
@@ -75,20 +82,20 @@
     const chosen: CandidateMachine[] = [];
     const counts: ZoneCounts = new Map();
     let cost = 0;
-    let coldS = 0;
+    let longestFetchS = 0;
     for (let i = 0; i < tasks; i++) {
-      const slot = this.selection.best(job, counts, zone);
-      if (!slot) break;
-      cost = Math.max(cost, this.selection.score(job.spec, slot));
-      coldS = Math.max(coldS, estimatedFetchS(job.spec, slot));
-      this.snapshot.allocate(job, slot);
-      this.countSpread(job, slot, counts);
-      chosen.push(slot);
+      const candidate = this.selection.best(job, counts, zone);
+      if (!candidate) break;
+      cost = Math.max(cost, this.selection.score(job.spec, candidate));
+      longestFetchS = Math.max(longestFetchS, estimatedFetchS(job.spec, candidate));
+      this.snapshot.allocate(job, candidate);
+      this.countForSpread(job, candidate, counts);
+      chosen.push(candidate);
     }
-    // Only a plan so far. What was refused with a part of the gang assumed isn't refused to others.
-    for (const slot of chosen) this.snapshot.deallocate(job, slot);
-    if (chosen.length > 0 && chosen.length < tasks) this.forgetRefusals(job, zone);
-    return chosen.length === tasks ? { candidates: chosen, cost, longestFetchS: coldS } : null;
+    // Only a plan so far. What failed with a part of the gang allocated need not fail for others.
+    for (const candidate of chosen) this.snapshot.deallocate(job, candidate);
+    if (chosen.length > 0 && chosen.length < tasks) this.forgetUnschedulable(job, zone);
+    return chosen.length === tasks ? { candidates: chosen, cost, longestFetchS } : null;
   }
 
   private firstComplete(
@@ -104,35 +111,34 @@
     return null;
   }
 
-  /** All members find a place, chosen one after the other, or nobody is stopped. */
+  /** All members get a place, chosen one after the other, or no victim is nominated. */
   private reserveAll(job: Job, tasks: number, zone: Zone | null, choose: ChooseMember): Victim[] | null {
     const victims: Victim[] = [];
     const reserved: CandidateMachine[] = [];
     const counts: ZoneCounts = new Map();
     while (reserved.length < tasks) {
-      const found = choose(counts);
-      if (!found) break;
-      victims.push(...found.victims);
-      this.snapshot.reserveWithVictims(job, found.candidate, found.victims, new Map());
-      this.countSpread(job, found.candidate, counts);
-      reserved.push(found.candidate);
+      const nomination = choose(counts);
+      if (!nomination) break;
+      victims.push(...nomination.victims);
+      this.snapshot.reserveWithVictims(job, nomination.candidate, nomination.victims, new Map());
+      this.countForSpread(job, nomination.candidate, counts);
+      reserved.push(nomination.candidate);
     }
     if (reserved.length === tasks) return victims;
-    // Not complete: the nominations are taken back.
-    for (const slot of reserved) this.snapshot.forgetTask(job, slot);
+    for (const candidate of reserved) this.snapshot.forgetTask(job, candidate);
     this.snapshot.withdrawVictims(victims);
-    if (reserved.length > 0) this.forgetRefusals(job, zone);
+    if (reserved.length > 0) this.forgetUnschedulable(job, zone);
     return null;
   }
 
-  /** Zones of the members chosen so far; a gang of one zone is tried zone by zone instead. */
-  private countSpread(job: Job, slot: CandidateMachine, counts: ZoneCounts): void {
+  /** Counts the zones of the members chosen so far; a gang of one zone is tried zone by zone instead. */
+  private countForSpread(job: Job, candidate: CandidateMachine, counts: ZoneCounts): void {
     if (!job.spec.spread) return;
-    const { zone } = slot.machine.info;
+    const { zone } = candidate.machine.info;
     counts.set(zone, (counts.get(zone) ?? 0) + 1);
   }
 
-  private forgetRefusals(job: Job, zone: Zone | null): void {
+  private forgetUnschedulable(job: Job, zone: Zone | null): void {
     this.selection.forgetUnschedulable(job, zone);
     this.preemption.forgetUnschedulable(job, zone);
   }
--- a/src/core/scheduler/placement-constraints.ts
+++ b/src/core/scheduler/placement-constraints.ts
@@ -1,26 +1,40 @@
-// Where a task may run at all: what the filter asks, and what placement rules every leader has kept.
+/** The constraints on where a task may run at all: machine type, zone, spot instances, and the team's limit. */
+import { RESOURCE_EPSILON } from '../resources.js';
 import type { Resources, JobSpec, Priority, TeamQuota } from '../types.js';
 import type { Zone } from '../units.js';
 
+/** How many of a job's tasks are in each zone; zones without any may be missing. */
+export type ZoneCounts = Map<Zone, number>;
+
+/** Whether the job allows machines of this type, zone and kind. */
 export const mayRunOn = (spec: JobSpec, type: string, zone: Zone, spot: boolean): boolean =>
-  (spec.types === null || spec.types.some((t) => t === type)) &&
+  (spec.types === null || spec.types.some((allowed) => allowed === type)) &&
   (spec.zone === null || spec.zone === zone) &&
   (spec.spot || !spot);
 
+/** Whether one more task may go to the zone beside the job's others, by its `oneZone` and `spread`. */
+export const zoneAllowsOneMore = (spec: JobSpec, zone: Zone, zones: ReadonlyMap<Zone, number>): boolean => {
+  if (spec.oneZone && zones.size > 0 && !zones.has(zone)) return false;
+  return !spec.spread || (zones.get(zone) ?? 0) < Math.ceil(spec.tasks / 2);
+};
+
+/** Whether a team that uses so much may use `need` more. A team without a quota may use nothing. */
 export const withinTeamLimit = (
-  spec: Resources,
+  need: Resources,
   used: Resources | undefined,
-  limit: TeamQuota | undefined,
+  quota: TeamQuota | undefined,
 ): boolean => {
-  if (!limit) return false;
-  const cpus = (used?.cpus ?? 0) + spec.cpus;
-  const gpus = (used?.gpus ?? 0) + spec.gpus;
+  if (!quota) return false;
+  const cpus = (used?.cpus ?? 0) + need.cpus;
+  const gpus = (used?.gpus ?? 0) + need.gpus;
   return (
-    (limit.cpusMax === 0 || cpus <= limit.cpusMax + 1e-6) &&
-    (limit.gpusMax === 0 || gpus <= limit.gpusMax + 1e-6)
+    (quota.cpusMax === 0 || cpus <= quota.cpusMax + RESOURCE_EPSILON) &&
+    (quota.gpusMax === 0 || gpus <= quota.gpusMax + RESOURCE_EPSILON)
   );
 };
 
-/** Tasks with the same signature get the same answer from the filter, so a failure is asked for once a cycle. */
-export const constraintSignature = ({ spec: s, priority }: { spec: JobSpec; priority: Priority }): string =>
-  `${s.cpus}|${s.gpus}|${s.memoryGb}|${s.types?.join(',') ?? ''}|${s.zone ?? ''}|${s.spot}|${priority}`;
+/** Tasks with the same signature get the same answer from the filter, so a failure is established once a cycle. */
+export const constraintSignature = ({ spec, priority }: { spec: JobSpec; priority: Priority }): string => {
+  const types = spec.types?.join(',') ?? '';
+  return `${spec.cpus}|${spec.gpus}|${spec.memoryGb}|${types}|${spec.zone ?? ''}|${spec.spot}|${priority}`;
+};
--- a/src/core/scheduler/snapshot.ts
+++ b/src/core/scheduler/snapshot.ts
@@ -1,29 +1,31 @@
-// The frozen snapshot that one cycle works on: machines with their free room, what teams use, and what has been
-// assumed on them in this cycle.
-import { addResources, fits } from '../resources.js';
-import { type Machine } from '../machine.js';
+/**
+ * The frozen snapshot that one cycle works on: machines with their free capacity, what teams use, and what the cycle
+ * has assumed on top.
+ */
+import { addResources, fits, noResources } from '../resources.js';
+import type { Machine } from '../machine.js';
 import type { Job, Placement } from '../job.js';
 import { priorityRank, type Resources, type Priority, type TeamQuota } from '../types.js';
 import type { MachineId, Team, WallTime, Zone } from '../units.js';
-import { GuaranteeAccounting } from './guarantees.js';
-import { mayRunOn, withinTeamLimit } from './placement-constraints.js';
-import { candidateOf, type CandidateMachine, type CandidateInput } from './candidate-machine.js';
-import type { CycleTime, Victim } from './victims.js';
-
-export type ZoneCounts = Map<Zone, number>;
+import { candidateOf, type CandidateInput, type CandidateMachine } from './candidate-machine.js';
+import { GuaranteeAccounting } from './guarantee-accounting.js';
+import type { Victim } from './nomination.js';
+import { mayRunOn, withinTeamLimit, zoneAllowsOneMore, type ZoneCounts } from './placement-constraints.js';
+import type { CycleTime } from './victim-selection.js';
 
+/** What a snapshot is made from. */
 export interface SnapshotInput extends CandidateInput {
   machines: Map<MachineId, Machine>;
+  /** The jobs to place, in their order. */
   queue: Job[];
-  /** All that have tasks placed. */
+  /** All jobs that have tasks placed. */
   jobs: Iterable<Job>;
   wallTime: WallTime;
+  /** What each team's placed tasks take. */
   usage: Map<Team, Resources>;
   quotas: Map<Team, TeamQuota>;
 }
 
-const noAmounts = (): Resources => ({ cpus: 0, gpus: 0, memoryGb: 0 });
-
 /** The least that any waiting task takes of each kind. */
 const smallestNeed = (queue: Job[]): Resources => {
   const least = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
@@ -35,44 +37,46 @@
   return least;
 };
 
+/** State of one scheduling cycle. */
 export class Snapshot {
   readonly time: CycleTime;
   readonly guaranteeAccounting: GuaranteeAccounting;
   /** Machines that are up and take new tasks. */
   readonly candidates: CandidateMachine[] = [];
   readonly bootingCandidates: CandidateMachine[] = [];
-  /** Machines with room for the smallest waiting task: all that a placement without victims can go to. */
+  /** Machines with capacity for the smallest waiting task: all that a placement without victims can go to. */
   readonly candidatesWithCapacity: CandidateMachine[] = [];
-  /** Machines looked at so far: what the cycle costs. */
+  /** How many times a machine was evaluated so far: what the cycle costs. */
   machineEvaluations = 0;
-  private readonly byId = new Map<MachineId, CandidateMachine>();
+  private readonly candidatesById = new Map<MachineId, CandidateMachine>();
   private readonly usage = new Map<Team, Resources>();
-  private readonly stopping = new Set<Placement>();
-  /** By priority: machines where something is leaving or may be stopped. */
-  private stoppable: (CandidateMachine[] | null)[] = [];
+  private readonly nominated = new Set<Placement>();
+  /** By priority rank: see `preemptionCandidates`. */
+  private preemptionCandidatesByRank: (CandidateMachine[] | null)[] = [];
 
   constructor(private readonly input: SnapshotInput) {
     this.time = { now: input.now, wallTime: input.wallTime };
     this.guaranteeAccounting = new GuaranteeAccounting(input.quotas, input.usage, input.jobs);
     for (const machine of input.machines.values()) this.addMachine(machine);
     for (const [team, used] of input.usage) this.usage.set(team, { ...used });
-    // Room only shrinks within a cycle, so what is full now is not looked at again.
+    // Capacity only shrinks within a cycle, so a machine that is full now need not be evaluated again.
     const least = smallestNeed(input.queue);
-    for (const slot of this.candidates) if (fits(least, slot.free)) this.candidatesWithCapacity.push(slot);
+    for (const candidate of this.candidates)
+      if (fits(least, candidate.free)) this.candidatesWithCapacity.push(candidate);
   }
 
   private addMachine(machine: Machine): void {
-    const slot = candidateOf(machine, this.input);
-    if (!slot) return;
+    const candidate = candidateOf(machine, this.input);
+    if (!candidate) return;
     if (!machine.up) {
-      this.bootingCandidates.push(slot);
+      this.bootingCandidates.push(candidate);
       return;
     }
-    this.candidates.push(slot);
-    this.byId.set(machine.id, slot);
+    this.candidates.push(candidate);
+    this.candidatesById.set(machine.id, candidate);
   }
 
-  /** In which zones the job's tasks are, counting those that are still leaving. */
+  /** In which zones the job's tasks are, counting those that are still stopping. */
   zonesOf(job: Job): ZoneCounts {
     const zones: ZoneCounts = new Map();
     for (const placement of job.placements.values()) {
@@ -82,16 +86,15 @@
     return zones;
   }
 
-  /** The filter, but for room: whether the job's next task may run there, given the zones of its others. */
-  allows(job: Job, slot: CandidateMachine, zones: ZoneCounts, onlyZone: Zone | null): boolean {
-    const { info } = slot.machine;
+  /** The filter, but for capacity: whether the job's next task may run there, given the zones of its others. */
+  allows(job: Job, candidate: CandidateMachine, zones: ZoneCounts, onlyZone: Zone | null): boolean {
+    const { info } = candidate.machine;
     const { spec } = job;
-    if (slot.reservedFor !== null && slot.reservedFor !== job) return false;
+    if (candidate.reservedFor !== null && candidate.reservedFor !== job) return false;
     if (onlyZone !== null && info.zone !== onlyZone) return false;
     if (!mayRunOn(spec, info.type, info.zone, info.spot)) return false;
     if (job.errorMachines.has(info.id)) return false;
-    if (spec.oneZone && zones.size > 0 && !zones.has(info.zone)) return false;
-    return !spec.spread || (zones.get(info.zone) ?? 0) < Math.ceil(spec.tasks / 2);
+    return zoneAllowsOneMore(spec, info.zone, zones);
   }
 
   /** Whether so many tasks more keep the job's team within its limit. */
@@ -101,72 +104,76 @@
     return withinTeamLimit(need, this.usage.get(job.spec.team), this.input.quotas.get(job.spec.team));
   }
 
-  /** Takes a task's room, for a placement or for one that waits for its victims. */
-  assumeTask(job: Job, slot: CandidateMachine, zones: ZoneCounts): void {
-    this.allocate(job, slot);
-    const used = this.usage.get(job.spec.team) ?? noAmounts();
+  /** Counts a task as placed, whether it starts at once or waits for its victims. */
+  assumeTask(job: Job, candidate: CandidateMachine, zones: ZoneCounts): void {
+    this.allocate(job, candidate);
+    const used = this.usage.get(job.spec.team) ?? noResources();
     addResources(used, job.spec);
     this.usage.set(job.spec.team, used);
-    const { zone } = slot.machine.info;
+    const { zone } = candidate.machine.info;
     zones.set(zone, (zones.get(zone) ?? 0) + 1);
   }
 
-  /** Undoes `take`. */
-  forgetTask(job: Job, slot: CandidateMachine): void {
-    this.deallocate(job, slot);
+  /** Undoes `assumeTask`, but for the zone counts. */
+  forgetTask(job: Job, candidate: CandidateMachine): void {
+    this.deallocate(job, candidate);
     addResources(this.usage.get(job.spec.team)!, job.spec, -1);
   }
 
-  /** Only the room, while a plan is tried. */
-  allocate(job: Job, slot: CandidateMachine): void {
-    addResources(slot.free, job.spec, -1);
-    slot.version++;
+  /** Takes a task's share of the machine only, while a plan is tried. */
+  allocate(job: Job, candidate: CandidateMachine): void {
+    addResources(candidate.free, job.spec, -1);
+    candidate.version++;
   }
 
-  deallocate(job: Job, slot: CandidateMachine): void {
-    addResources(slot.free, job.spec);
-    slot.version++;
+  /** Undoes `allocate`. */
+  deallocate(job: Job, candidate: CandidateMachine): void {
+    addResources(candidate.free, job.spec);
+    candidate.version++;
   }
 
-  /** Holds the room that the victims will leave for this job, so that nobody behind it in the queue takes it. */
-  reserveWithVictims(job: Job, slot: CandidateMachine, victims: Victim[], zones: ZoneCounts): void {
+  /** Reserves what the victims will release for this job, so that no job behind it in the queue takes it. */
+  reserveWithVictims(job: Job, candidate: CandidateMachine, victims: Victim[], zones: ZoneCounts): void {
     for (const victim of victims) {
-      this.stopping.add(victim.placement);
-      addResources(slot.releasing, victim.job.spec);
-      slot.version++;
+      this.nominated.add(victim.placement);
+      addResources(candidate.releasing, victim.job.spec);
+      candidate.version++;
     }
     this.guaranteeAccounting.recordVictims(victims);
-    if (victims.length > 0 && !slot.hasStoppingTasks) {
-      slot.hasStoppingTasks = true;
-      this.stoppable = []; // where nothing could leave before
+    if (victims.length > 0 && !candidate.hasStoppingTasks) {
+      candidate.hasStoppingTasks = true;
+      this.preemptionCandidatesByRank = [];
     }
-    this.assumeTask(job, slot, zones);
+    this.assumeTask(job, candidate, zones);
   }
 
-  /** The placement was not complete: its victims stay. */
+  /** The placement was not complete: its victims are nominated no longer. */
   withdrawVictims(victims: Victim[]): void {
     this.guaranteeAccounting.withdrawVictims(victims);
     for (const { job, placement } of victims) {
-      this.stopping.delete(placement);
-      const slot = this.byId.get(placement.machine)!;
-      addResources(slot.releasing, job.spec, -1);
-      slot.version++;
+      this.nominated.delete(placement);
+      const candidate = this.candidatesById.get(placement.machine)!;
+      addResources(candidate.releasing, job.spec, -1);
+      candidate.version++;
     }
   }
 
-  isStopping(placement: Placement): boolean {
-    return this.stopping.has(placement);
+  /** Whether this cycle has nominated the task as a victim. */
+  isNominated(placement: Placement): boolean {
+    return this.nominated.has(placement);
   }
 
-  /** Machines where something is leaving, or where work of lower priority may be stopped. */
+  /** Machines where tasks are stopping, or where work of lower priority may be preempted. */
   preemptionCandidates(priority: Priority): CandidateMachine[] {
     const rank = priorityRank[priority];
-    let slots = this.stoppable[rank];
-    if (!slots) {
+    let candidates = this.preemptionCandidatesByRank[rank];
+    if (!candidates) {
       this.machineEvaluations += this.candidates.length;
-      slots = this.candidates.filter((slot) => slot.hasStoppingTasks || slot.preemptibleBelow[rank]);
-      this.stoppable[rank] = slots;
+      candidates = this.candidates.filter(
+        (candidate) => candidate.hasStoppingTasks || candidate.preemptibleBelow[rank],
+      );
+      this.preemptionCandidatesByRank[rank] = candidates;
     }
-    return slots;
+    return candidates;
   }
 }
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -6,7 +6,7 @@
 import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { PlatformSettings } from '../../config/platform.js';
 import { withinTeamLimit } from '../../core/scheduler/placement-constraints.js';
-import { canBeSpread, fitsSomeType } from '../../core/scaling/scale-out-plan.js';
+import { canBeSpread, fitsSomeType } from '../../core/scheduler/job-feasibility.js';
 import type { JobRecord, JobSpec, MachineType, TeamQuota } from '../../core/types.js';
 import type { JobId, Team, WallTime } from '../../core/units.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
