--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -1,9 +1,8 @@
-// Keeps the log of cancelled jobs up to date, from the state service, from peers, and from what we confirm ourselves; and
-// with it an index of the unfinished jobs, from the same reads of the state service.
+/**
+ * Keeps the log of cancelled jobs up to date: from the store, from peers, and from what this controller confirms itself.
+ * With it goes an index of the unfinished jobs, from the same reads of the store.
+ */
 import { randomBytes } from 'node:crypto';
-import type { Logger } from '../logger.js';
-import type { PeerLink } from '../peers/peer-link.js';
-import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { PlatformSettings } from '../../config/platform.js';
 import {
   CancellationLog,
@@ -14,50 +13,64 @@
   type CancellationLogPage,
 } from '../../core/cancellation-log.js';
 import { JobIndex, type IndexedJob } from '../../core/job-index.js';
-import type { Uint64, JobId, NodeName, MonotonicTime } from '../../core/units.js';
+import type { JobId, MonotonicTime, NodeName, Revision } from '../../core/units.js';
 import { parseCancelledJobs } from '../../wire/cancellation-pages.js';
-import { dependenciesIn, keys, isCancelledRecord } from '../../wire/key-value-store.js';
+import { dependenciesIn, isCancelledRecord, keys } from '../../wire/key-value-store.js';
+import { monotonicNow, sleep } from '../clock.js';
+import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+import type { Logger } from '../logger.js';
+import type { PeerLink } from '../peers/peer-link.js';
 
-const steady = (): MonotonicTime => performance.now() as MonotonicTime;
-const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
 const POLL_MS = 1000;
 const PUSH_TIMEOUT_MS = 1000;
-/** What is known of jobs is taken for present for this part of `cancel_s`: users see a cancellation in time. */
-const FRESH_CANCELS = 0.25;
-
-/** 'none': no answer; 'too old': what has changed since is not kept any more. */
-type Read = { ledger: Uint64; cancelled: JobId[] } | 'none' | 'too old';
+const INCARNATION_BYTES = 9;
+const MS_PER_S = 1000;
+/** What is known of jobs counts as current for this part of `cancel_s`: users see a cancellation in time. */
+const FRESH_CANCEL_FRACTION = 0.25;
+
+type ReadOutcome =
+  | { kind: 'ok'; storeRevision: Revision; cancelled: JobId[] }
+  | { kind: 'no-answer' }
+  /** What has changed since is not kept any more. */
+  | { kind: 'compacted' };
+
+/** What the feed works with. */
+export interface CancellationFeedDependencies {
+  platform: PlatformSettings;
+  store: KeyValueStoreClient;
+  links: readonly PeerLink[];
+  log: Logger;
+  /** These jobs were not known to be cancelled before. */
+  onCancelled: (jobs: JobId[]) => void;
+}
 
+/** One for each controller process. */
 export class CancellationFeed {
-  private readonly log: CancellationLog;
-  private readonly windowMs: number;
+  private readonly cancellationLog: CancellationLog;
+  private readonly renewalWindowMs: number;
   private readonly freshMs: number;
   private readonly index = new JobIndex();
   private indexReadAt = -Infinity;
 
-  constructor(
-    platform: PlatformSettings,
-    private readonly store: KeyValueStoreClient,
-    private readonly links: PeerLink[],
-    private readonly logger: Logger,
-    private readonly onNews: (jobs: JobId[]) => void,
-  ) {
-    const { cancelS, leaseS } = platform.workers;
-    this.log = new CancellationLog(
-      randomBytes(9).toString('base64url') as Incarnation,
-      platform.peers.map((p) => p.name),
-      cancellationRetentionMs(cancelS),
+  constructor(private readonly dependencies: CancellationFeedDependencies) {
+    const { workers, peers } = dependencies.platform;
+    this.cancellationLog = new CancellationLog(
+      randomBytes(INCARNATION_BYTES).toString('base64url') as Incarnation,
+      peers.map((peer) => peer.name),
+      cancellationRetentionMs(workers.cancelS),
     );
-    this.freshMs = cancelS * 1000 * FRESH_CANCELS;
-    this.windowMs = renewalWindowMs(cancelS, leaseS);
+    this.freshMs = workers.cancelS * MS_PER_S * FRESH_CANCEL_FRACTION;
+    this.renewalWindowMs = renewalWindowMs(workers.cancelS, workers.leaseS);
   }
 
+  /** Begins to read the store. */
   start(): void {
-    void this.follow();
+    void this.followStore();
   }
 
+  /** Whether the job is known to be cancelled. */
   has(job: JobId): boolean {
-    return this.log.has(job);
+    return this.cancellationLog.has(job);
   }
 
   /** What is known of an unfinished job; undefined also for one accepted a moment ago. */
@@ -67,108 +80,113 @@
 
   /** Every cancellation is known that was confirmed longer than a part of `cancel_s` ago. */
   isFresh(): boolean {
-    const now = steady();
-    return now - Math.min(this.indexReadAt, this.log.provenUntil(now)) <= this.freshMs;
+    const now = monotonicNow();
+    return now - Math.min(this.indexReadAt, this.cancellationLog.provenUntil(now)) <= this.freshMs;
   }
 
+  /** When this controller learned of the job's cancellation. */
   learnedAtOf(job: JobId): MonotonicTime | undefined {
-    return this.log.learnedAtOf(job);
+    return this.cancellationLog.learnedAtOf(job);
   }
 
+  /** Whether it learned of any cancellation from one instant until before the other. */
   anyLearnedBetween(from: MonotonicTime, until: MonotonicTime): boolean {
-    return this.log.anyLearnedBetween(from, until);
-  }
-
-  get jobs(): Iterable<JobId> {
-    return this.log.jobs;
+    return this.cancellationLog.anyLearnedBetween(from, until);
   }
 
-  /** Whether a report may be answered 200: no cancelled task that is unknown here would be kept beyond its time. */
+  /** Whether a heartbeat may be answered 200: no cancelled task that is unknown here would be kept beyond its time. */
   mayRenewLeases(now: MonotonicTime): boolean {
-    return now <= this.log.provenUntil(now) + this.windowMs;
+    return now <= this.cancellationLog.provenUntil(now) + this.renewalWindowMs;
   }
 
-  /** How far behind the proof is; null: there is none. For the log and the status page. */
+  /** How old the instant is up to which all cancellations are proven to be known; null: there is no proof. */
   coverageAgeMs(now: MonotonicTime): number | null {
-    const until = this.log.provenUntil(now);
+    const until = this.cancellationLog.provenUntil(now);
     return until === -Infinity ? null : Math.round(now - until);
   }
 
-  /** Called before a user is told, so that every statement made from then on has it. */
+  /** Called before a user is told, so that every page of the log sent from then on has it. */
   recordConfirmed(job: JobId): void {
-    if (!this.log.add(job, steady())) return;
-    this.onNews([job]);
+    if (!this.cancellationLog.add(job, monotonicNow())) return;
+    const { links, onCancelled } = this.dependencies;
+    onCancelled([job]);
     // The heartbeats carry it for certain; this is only sooner, so that nothing of the job is started meanwhile.
-    for (const link of this.links) void link.ask({ kind: 'cancellations', jobs: [job] }, PUSH_TIMEOUT_MS);
+    for (const link of links) void link.ask({ kind: 'cancellations', jobs: [job] }, PUSH_TIMEOUT_MS);
   }
 
+  /** A peer tells jobs that it has confirmed just now. */
   onPushed(raw: unknown): void {
     const jobs = parseCancelledJobs(raw);
     if (jobs) this.addAll(jobs);
     else this.onMalformedPage(null, 'not a list of job ids');
   }
 
+  /** How much of the peer's log is held here. */
   positionOf(peer: NodeName): CancellationLogPosition | null {
-    return this.log.positionOf(peer);
+    return this.cancellationLog.positionOf(peer);
   }
 
-  pageAfter(have: CancellationLogPosition | null): CancellationLogPage {
-    return this.log.pageAfter(have, steady());
+  /** What a peer is told that holds this much of this controller's log. */
+  pageAfter(position: CancellationLogPosition | null): CancellationLogPage {
+    return this.cancellationLog.pageAfter(position, monotonicNow());
   }
 
-  onPeerPage(peer: NodeName, s: CancellationLogPage, askedAt: MonotonicTime): void {
-    const news = this.log.mergePage(peer, s, askedAt, steady());
-    if (news.length > 0) this.onNews(news);
+  /** A peer's page, in answer to a heartbeat sent at this instant. */
+  onPeerPage(peer: NodeName, page: CancellationLogPage, askedAt: MonotonicTime): void {
+    const added = this.cancellationLog.mergePage(peer, page, askedAt, monotonicNow());
+    if (added.length > 0) this.dependencies.onCancelled(added);
   }
 
+  /** It is dropped: it proves nothing. */
   onMalformedPage(peer: NodeName | null, cause: string): void {
-    this.logger.rateLimited('peer-frame', 'info', { peer, cause }, 'malformed word of cancellations dropped');
+    const { log } = this.dependencies;
+    log.rateLimited('peer-frame', 'info', { peer, cause }, 'malformed cancellations of a peer dropped');
   }
 
   private addAll(jobs: JobId[]): void {
-    const news = jobs.filter((j) => this.log.add(j, steady()));
-    if (news.length > 0) this.onNews(news);
+    const added = jobs.filter((job) => this.cancellationLog.add(job, monotonicNow()));
+    if (added.length > 0) this.dependencies.onCancelled(added);
   }
 
-  /** Short questions rather than one long watch: an answer proves something only as of when it was asked for. */
-  private async follow(): Promise<void> {
-    let since: Uint64 | null = null;
+  /** Short reads rather than one long watch: an answer proves something only as of when it was asked for. */
+  private async followStore(): Promise<never> {
+    let since: Revision | null = null;
     for (;;) {
-      const askedAt = steady();
-      const r: Read = since === null ? await this.readAll() : await this.readSince(since);
-      if (typeof r === 'string') {
-        if (r === 'too old') since = null;
-      } else {
-        since = r.ledger;
-        this.addAll(r.cancelled);
-        this.log.onStoreRead(askedAt);
+      const askedAt = monotonicNow();
+      const outcome: ReadOutcome = since === null ? await this.readAll() : await this.readSince(since);
+      if (outcome.kind === 'ok') {
+        since = outcome.storeRevision;
+        this.addAll(outcome.cancelled);
+        this.cancellationLog.onStoreRead(askedAt);
         this.indexReadAt = askedAt;
-      }
-      await sleep(Math.max(0, askedAt + POLL_MS - steady()));
+      } else if (outcome.kind === 'compacted') since = null;
+      await sleep(Math.max(0, askedAt + POLL_MS - monotonicNow()));
     }
   }
 
-  private async readAll(): Promise<Read> {
-    const r = await this.store.list(keys.activePrefix);
-    if (r.kind !== 'ok') return 'none';
+  private async readAll(): Promise<ReadOutcome> {
+    const listing = await this.dependencies.store.list(keys.activePrefix);
+    if (listing.kind !== 'ok') return { kind: 'no-answer' };
+    const { items, storeRevision } = listing.value;
     this.index.clear();
-    const cancelled = r.value.items.filter((item) => this.record(item.key, item.data));
-    return { ledger: r.value.ledger, cancelled: cancelled.map((item) => jobOf(item.key)) };
+    const cancelled = items.filter((item) => this.indexRecord(item.key, item.data));
+    return { kind: 'ok', storeRevision, cancelled: cancelled.map((item) => jobOf(item.key)) };
   }
 
-  private async readSince(since: Uint64): Promise<Read> {
-    const r = await this.store.changesSince(keys.activePrefix, since);
-    if (r.kind !== 'ok') return r.kind === 'gone' ? 'too old' : 'none';
+  private async readSince(since: Revision): Promise<ReadOutcome> {
+    const outcome = await this.dependencies.store.changesSince(keys.activePrefix, since);
+    if (outcome.kind !== 'ok') return { kind: outcome.kind === 'gone' ? 'compacted' : 'no-answer' };
+    const { changes, storeRevision } = outcome.value;
     const cancelled: JobId[] = [];
-    for (const change of r.value.log) {
-      if ('delete' in change) this.index.remove(jobOf(change.delete));
-      else if (this.record(change.put, change.data)) cancelled.push(jobOf(change.put));
+    for (const change of changes) {
+      if (change.kind === 'deleted') this.index.remove(jobOf(change.key));
+      else if (this.indexRecord(change.key, change.data)) cancelled.push(jobOf(change.key));
     }
-    return { ledger: r.value.ledger, cancelled };
+    return { kind: 'ok', storeRevision, cancelled };
   }
 
   /** Whether the record says that its job is cancelled. */
-  private record(key: string, data: unknown): boolean {
+  private indexRecord(key: string, data: unknown): boolean {
     const cancelled = isCancelledRecord(data);
     this.index.put(jobOf(key), dependenciesIn(data), cancelled);
     return cancelled;
--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -1,77 +1,68 @@
-// One controller: wires servers, links, election and the leader's loop together.
-import { createServer, type Socket } from 'node:net';
-import { createHistogram } from 'node:perf_hooks';
-import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
+/** One controller: puts its parts together, and starts them. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
-import { AdmissionControl } from './users/admission-control.js';
+import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
+import type { OperatorSettings } from '../config/operator.js';
+import { platformWarnings, type PlatformSettings } from '../config/platform.js';
+import type { JobId, NodeName } from '../core/units.js';
 import { CancellationFeed } from './cancellations/cancellation-feed.js';
-import { HeartbeatHandler } from './workers/heartbeat-handler.js';
+import { wallClockNow } from './clock.js';
 import { CloudProviderClient } from './cloud/cloud-provider-client.js';
-import { httpConnectionHandler, type HttpReply } from './http/http-server.js';
-import type { HttpMessage } from './http/http-parser.js';
-import { ImageLocationStore, shareImageLocations } from './peers/image-locations.js';
-import { LeaderLoop } from './leadership/leader-loop.js';
-import { Logger } from './logger.js';
 import { MachineTypeCatalog } from './cloud/machine-type-catalog.js';
+import { HealthCheck } from './health-check.js';
+import { socketBudget, type SocketBudget } from './http/socket-budget.js';
+import { KeyValueStoreClient } from './key-value-store/key-value-store-client.js';
 import { LeaderElection } from './leadership/leader-election.js';
-import { LeaderlessFencing } from './workers/leaderless-fencing.js';
+import { LeadershipManager } from './leadership/leadership-manager.js';
+import { listenInternally, listenPublicly } from './listeners.js';
+import { Logger } from './logger.js';
+import { ImageLocationStore, shareImageLocations } from './peers/image-locations.js';
 import { PeerHandler } from './peers/peer-handler.js';
 import { PeerLink } from './peers/peer-link.js';
-import { servePeer } from './peers/peer-server.js';
-import { STATUS_CONNECTIONS, socketBudget } from './http/socket-budget.js';
-import { KeyValueStoreClient } from './key-value-store/key-value-store-client.js';
+import { PeerStatusExchange } from './peers/peer-status.js';
+import { TaskCountLookup } from './peers/task-counts.js';
+import { PublicRouter } from './public-router.js';
+import { RequestLatency } from './request-latency.js';
+import { StatusPage } from './status-page.js';
+import { AdmissionControl } from './users/admission-control.js';
 import { UserApi } from './users/user-api.js';
-import type { OperatorSettings } from '../config/operator.js';
-import { platformWarnings, type Address, type PlatformSettings } from '../config/platform.js';
-import { highestKnownTerm } from '../core/election.js';
-import type { JobId, NodeName, MonotonicTime } from '../core/units.js';
-import { encode } from '../wire/cbor.js';
-import {
-  encodePeerStatus,
-  type PeerResponses,
-  type PeerStatus,
-  type TaskCounts,
-} from '../wire/peer-messages.js';
+import { UserRequestHandler } from './users/user-request-handler.js';
+import { HeartbeatHandler } from './workers/heartbeat-handler.js';
+import { LeaderlessFencing } from './workers/leaderless-fencing.js';
 
-const STATE_FRESH_MS = 2500;
 const MAX_USER_REQUESTS = 32;
 const RESERVED_USER_REQUESTS = 8;
-const USER_FORWARD_TIMEOUT_MS = 2000;
-const USERS_LOG_MS = 10_000;
 const IMAGE_LOCATIONS_MS = 1000;
-const FENCE_CHECK_MS = 1000;
-/** The leader's part of the state service's budget. */
-const leaderShare = 0.6;
-
-const forwarded = (answer: PeerResponses['user-request'] | null): HttpReply | null => {
-  if (answer === null) return null;
-  const { status, body, retryAfterS } = answer;
-  return {
-    status,
-    ...(body === null ? {} : { body: Buffer.from(body) }),
-    ...(retryAfterS === null ? {} : { retryAfterS }),
-  };
+const FENCING_CHECK_MS = 1000;
+const REACHABILITY_CHECK_MS = 500;
+
+/** Processes that start at the same time draw other numbers. */
+const PROCESS_ID_SHIFT = 16;
+const createRandom = (): (() => number) => {
+  const generator = xoroshiro128plus((wallClockNow() ^ (process.pid << PROCESS_ID_SHIFT)) | 0);
+  return () => uniformFloat64(generator);
 };
 
+/** The parts live as long as the process. */
 export class Controller {
   private readonly log: Logger;
+  private readonly sockets: SocketBudget;
   private readonly store: KeyValueStoreClient;
   private readonly cloud: CloudProviderClient;
-  private readonly election: LeaderElection;
   private readonly links: PeerLink[] = [];
+  private readonly imageLocations = new ImageLocationStore();
+  private readonly admission = new AdmissionControl(MAX_USER_REQUESTS, RESERVED_USER_REQUESTS);
+  private readonly userLatency = new RequestLatency();
+  private readonly heartbeatLatency = new RequestLatency();
+  private readonly election: LeaderElection;
+  private readonly machineTypes: MachineTypeCatalog;
   private readonly cancellations: CancellationFeed;
+  private readonly leadership: LeadershipManager;
+  private readonly health: HealthCheck;
+  private readonly taskCounts: TaskCountLookup;
   private readonly users: UserApi;
   private readonly heartbeatHandler: HeartbeatHandler;
   private readonly leaderlessFencing: LeaderlessFencing;
-  private readonly random: () => number;
-  private readonly sockets;
-  private leaderLoop: LeaderLoop | null = null;
-  private readonly userOutcomes = new Map<string, number>();
-  private usersLoggedAt = -Infinity;
-  private readonly machineTypes: MachineTypeCatalog;
-  private readonly imageLocations = new ImageLocationStore();
-  private readonly admission = new AdmissionControl(MAX_USER_REQUESTS, RESERVED_USER_REQUESTS);
-  private readonly times = { user: createHistogram(), report: createHistogram() };
+  private readonly peerStatus: PeerStatusExchange;
 
   constructor(
     private readonly platform: PlatformSettings,
@@ -81,41 +72,25 @@
     this.sockets = socketBudget(platform.limits.sockets, platform.peers.length);
     this.store = new KeyValueStoreClient(platform);
     this.cloud = new CloudProviderClient(platform);
-    const rng = xoroshiro128plus((Date.now() ^ (process.pid << 16)) | 0);
-    this.random = () => uniformFloat64(rng);
-    this.election = new LeaderElection(platform, operator.leaseMs, this.store, this.log, {
-      onLead: () => this.lead(),
-      onLost: (why) => this.follow(why),
-      // The key's lease is alive, so there was a leader at most a lease ago. This is what a controller has that was
-      // just restarted: without it, its workers would lose their leases for want of an answer.
-      onLeaderKey: () => this.heartbeatHandler.recordLeaderSeen(operator.leaseMs),
-    });
+    this.election = this.createElection();
     this.machineTypes = new MachineTypeCatalog(
       platform.keyValueStoreLimits,
       this.cloud,
       this.store,
       this.election,
-      (types) => this.leaderLoop?.setMachineTypes(types),
-    );
-    this.cancellations = new CancellationFeed(platform, this.store, this.links, this.log, (jobs) =>
-      this.leaderLoop?.applyCancellations(jobs),
+      (types) => this.leadership.leaderLoop?.setMachineTypes(types),
     );
-    for (const peer of platform.peers) {
-      this.links.push(
-        new PeerLink({
-          peer,
-          ownStatus: () => this.status(),
-          onStatus: (status) => this.onPeerStatus(status),
-          cancellations: this.cancellations,
-          onMalformed: (name, cause) => this.malformed(name, cause),
-        }),
-      );
-    }
+    this.cancellations = this.createCancellationFeed();
+    this.leadership = this.createLeadership();
+    for (const peer of platform.peers) this.links.push(this.createLink(peer));
+    const { store, links, machineTypes, leadership } = this;
+    this.health = new HealthCheck({ store, links, machineTypes });
+    this.taskCounts = new TaskCountLookup(leadership, links);
     this.users = new UserApi(
       platform,
       this.store,
       () => this.machineTypes.current,
-      (id) => this.counts(id),
+      (id) => this.taskCounts.counts(id),
       (id) => this.cancellations.recordConfirmed(id),
       this.cancellations,
     );
@@ -123,9 +98,9 @@
       platform,
       this.election,
       this.links,
-      () => this.leaderLoop,
+      () => this.leadership.leaderLoop,
       this.log,
-      () => this.storeAvailable(),
+      () => this.health.isStoreAvailable(),
       this.cancellations,
     );
     this.leaderlessFencing = new LeaderlessFencing(
@@ -134,271 +109,146 @@
       this.cancellations,
       this.links,
       this.cloud,
-      () => this.storeAvailable(),
+      () => this.health.isStoreAvailable(),
       this.log,
     );
+    this.peerStatus = this.createPeerStatus();
   }
 
+  /** Listens, and takes part in the cluster until the process ends. */
   start(): void {
-    const limits = {
-      connections: this.sockets.public,
-      idleMs: 60_000,
-      bodyBytes: 64 * 1024,
-      clientGroup: (q: HttpMessage) => (q.target === '/checkin' ? 'workers' : 'users'),
-    };
-    const onPublic = httpConnectionHandler(limits, this.log, (q, reply) => void this.route(q, reply));
-    this.listen(this.platform.publicAddress, onPublic, this.sockets.backlog);
-    const inside = { connections: STATUS_CONNECTIONS, idleMs: 10_000, bodyBytes: 1024 };
-    const onStatus = httpConnectionHandler(inside, this.log, (q, reply) => reply(this.inspect(q)));
-    const handler = this.peerHandler();
-    // A frame's first byte is always 0, so a plain HTTP request for the status page is told apart by its first.
-    const onInternal = (socket: Socket): void => {
-      socket.on('error', () => socket.destroy());
-      socket.once('data', (chunk) => {
-        socket.pause();
-        if (chunk[0] === 0)
-          servePeer(
-            socket,
-            (q) => handler.answer(q),
-            (cause) => this.malformed(null, cause),
-          );
-        else onStatus(socket);
-        socket.unshift(chunk);
-        socket.resume();
-      });
-    };
-    this.listen(this.platform.internalAddress, onInternal, STATUS_CONNECTIONS);
-    this.store.setBudgetShare(this.followerShare());
+    this.listen();
+    this.leadership.start();
     for (const link of this.links) link.start();
     this.election.start();
     this.cancellations.start();
-    setInterval(() => void this.leaderlessFencing.check(), FENCE_CHECK_MS);
+    setInterval(() => void this.leaderlessFencing.check(), FENCING_CHECK_MS);
     this.machineTypes.start();
     setInterval(
-      () => shareImageLocations(this.leaderLoop?.leaderCore ?? null, this.imageLocations, this.links),
+      () => shareImageLocations(this.leadership.leader, this.imageLocations, this.links),
       IMAGE_LOCATIONS_MS,
     );
-    setInterval(() => this.resignIfUnreachable(), 500);
+    setInterval(() => this.leadership.resignIfUnreachable(), REACHABILITY_CHECK_MS);
     for (const warning of platformWarnings(this.platform)) this.log.info({ warning }, 'settings');
     this.log.info({ zone: this.platform.zone }, 'started');
   }
 
-  /** A follower's part of the state service's budget: more than an equal one, since users' requests come in bursts. */
-  private followerShare(): number {
-    return Math.min(0.4, 1 / this.platform.peers.length);
-  }
-
-  private listen(address: Address, onConnection: (s: Socket) => void, backlog: number): void {
-    const server = createServer(onConnection);
-    server.on('error', (e) => {
-      this.log.error({ cause: e.message, ...address }, 'cannot listen');
-      process.exit(1);
+  private createElection(): LeaderElection {
+    const { platform, store, log } = this;
+    const { leaseMs } = this.operator;
+    return new LeaderElection({
+      platform,
+      leaseMs,
+      store,
+      log,
+      events: {
+        onElected: () => this.leadership.onElected(),
+        onLeadershipLost: (reason) => this.leadership.onLeadershipLost(reason),
+        // The key's lease is alive, so there was a leader at most a lease ago. Guards against workers of a controller
+        // just restarted, which would lose their leases for want of an answer.
+        onLeaderKeyRead: () => this.heartbeatHandler.recordLeaderSeen(leaseMs),
+      },
     });
-    server.listen({ ...address, backlog });
-  }
-
-  // ---- public requests -------------------------------------------------------------------------------------
-
-  private async route(q: HttpMessage, reply: (r: HttpReply) => void): Promise<void> {
-    const began = performance.now();
-    const record = (which: 'user' | 'report'): void =>
-      this.times[which].record(Math.max(1, Math.round((performance.now() - began) * 1000)));
-    try {
-      if (q.target === '/checkin') {
-        reply(q.method === 'POST' ? await this.heartbeatHandler.handle(q.body) : { status: 405 });
-        record('report');
-        return;
-      }
-      if (q.target === '/up') {
-        reply({ status: this.healthy() ? 200 : 503 });
-        return;
-      }
-      // The stage is full: the user is told at once when to come back.
-      const who = q.method === 'GET' ? q.target : null;
-      if (!this.admission.tryAdmit(who)) {
-        this.countUser({ status: 503, refusalCause: 'stage full' });
-        reply({ status: 503, retryAfterS: 1 });
-        return;
-      }
-      let served = false;
-      try {
-        const answer = await this.serveUser(q);
-        served = answer.status !== 503;
-        const { method, target } = q;
-        const { status, jobStatus, refusalCause } = answer;
-        this.log.debug({ method, target, status, told: jobStatus, cause: refusalCause }, 'user answered');
-        this.countUser(answer);
-        reply(answer);
-        record('user');
-      } finally {
-        this.admission.release(who, served);
-      }
-    } catch (e) {
-      // A fault in one request must not end the controller.
-      this.log.rateLimited(
-        'fault',
-        'error',
-        { cause: e instanceof Error ? e.stack : String(e) },
-        'request failed',
-      );
-      reply({ status: 503, retryAfterS: 1 });
-    }
-  }
-
-  /** Now and then: what users were answered, and why they were sent away. */
-  private countUser(r: HttpReply): void {
-    const outcome = r.refusalCause ?? String(r.status);
-    this.userOutcomes.set(outcome, (this.userOutcomes.get(outcome) ?? 0) + 1);
-    const now = performance.now();
-    if (now - this.usersLoggedAt < USERS_LOG_MS) return;
-    this.usersLoggedAt = now;
-    this.log.info({ outcomes: Object.fromEntries(this.userOutcomes) }, 'user requests');
-    this.userOutcomes.clear();
   }
 
-  /** Refused by the state service alone: a peer that it serves takes the request, so that the user need not. */
-  private async serveUser(q: HttpMessage): Promise<HttpReply> {
-    const own = await this.users.handle(q);
-    if (own.status !== 503) return own;
-    const now = performance.now();
-    const peer = this.links.find((l) => l.isAlive(now) && l.status?.storeAvailable);
-    if (!peer) return own;
-    const { method, target, body } = q;
-    const a = await peer.ask({ kind: 'user-request', method, target, body }, USER_FORWARD_TIMEOUT_MS);
-    return forwarded(a) ?? own;
+  private createCancellationFeed(): CancellationFeed {
+    const { platform, store, links, log } = this;
+    const onCancelled = (jobs: JobId[]): void => this.leadership.leaderLoop?.applyCancellations(jobs);
+    return new CancellationFeed({ platform, store, links, log, onCancelled });
   }
 
-  private storeAvailable(): boolean {
-    return performance.now() - this.store.lastAnswerAt < STATE_FRESH_MS;
-  }
-
-  /** While the state service is down for everybody, leaving the load balancer would only delay the return. */
-  private healthy(): boolean {
-    if (this.machineTypes.current.length === 0) return false;
-    if (this.storeAvailable()) return true;
-    const now = performance.now();
-    const reached = this.links.filter((l) => l.isAlive(now));
-    // Cut off from the state service and from every peer: it is we who are cut off, and others can serve.
-    if (this.links.length > 0 && reached.length === 0) return false;
-    return this.store.lastAnswerAt > -Infinity && !reached.some((l) => l.status?.storeAvailable);
-  }
-
-  // ---- peers -----------------------------------------------------------------------------------------------
-
-  private status(): PeerStatus {
-    const { hasAuthority } = this.election;
-    return {
-      node: this.platform.name,
-      leading: hasAuthority && this.leaderLoop !== null,
-      holdsLease: this.election.holdsLease && (this.leaderLoop?.leaderCore ?? null) !== null,
-      term: highestKnownTerm(this.election.electionState),
-      reachableLeader: this.heartbeatHandler.reachableLeader,
-      storeAvailable: this.storeAvailable(),
-      receivesHeartbeats: this.heartbeatHandler.receivesHeartbeats,
-      leaderSeenAgoMs: this.heartbeatHandler.leaderSeenAgoMs,
-    };
+  private createLeadership(): LeadershipManager {
+    const { platform, operator, election, store, cloud, log, links, imageLocations, cancellations } = this;
+    return new LeadershipManager({
+      platform,
+      operator,
+      election,
+      store,
+      cloud,
+      log,
+      random: createRandom(),
+      machineTypes: () => this.machineTypes.current,
+      imageLocations,
+      directCommandConnections: this.sockets.directCommands,
+      cancellations,
+      links,
+    });
   }
 
-  private onPeerStatus(s: PeerStatus): void {
-    if (typeof s.leaderSeenAgoMs === 'number') this.heartbeatHandler.recordLeaderSeen(s.leaderSeenAgoMs);
-    if (s.leading || s.holdsLease) this.election.noteLeader(s.node, s.term);
-    if (s.leading) this.heartbeatHandler.recordLeaderSeen();
-    if (s.reachableLeader) this.election.noteLeader(s.reachableLeader.node, s.reachableLeader.term);
+  private createPeerStatus(): PeerStatusExchange {
+    const { platform, election, leadership, heartbeatHandler, health } = this;
+    return new PeerStatusExchange({ node: platform.name, election, leadership, heartbeatHandler, health });
   }
 
-  private peerHandler(): PeerHandler {
-    return new PeerHandler({
-      links: this.links,
-      election: this.election,
-      heartbeatHandler: this.heartbeatHandler,
+  private createLink(peer: PlatformSettings['peers'][number]): PeerLink {
+    return new PeerLink({
+      peer,
+      ownStatus: () => this.peerStatus.ownStatus(),
+      onStatus: (status) => this.peerStatus.onPeerStatus(status),
       cancellations: this.cancellations,
-      users: this.users,
-      imageLocations: this.imageLocations,
-      leaderLoop: () => this.leaderLoop,
-      status: () => this.status(),
-      onPeerStatus: (status) => this.onPeerStatus(status),
-      taskCounts: (id) => this.ownCounts(id),
+      onMalformed: (name, cause) => this.logMalformed(name, cause),
     });
   }
 
-  private malformed(peer: NodeName | null, cause: string): void {
-    this.log.rateLimited('peer-message', 'info', { peer, cause }, 'malformed message of a peer dropped');
-  }
-
-  private ownCounts(id: JobId): TaskCounts | null {
-    const job = this.leaderLoop?.leaderCore?.jobs.get(id);
-    return job ? { done: job.completedCount, running: job.runningCount } : null;
+  private listen(): void {
+    const { platform, log, sockets } = this;
+    const router = this.createRouter();
+    const statusPage = this.createStatusPage();
+    const peerHandler = this.createPeerHandler();
+    listenPublicly(
+      platform.publicAddress,
+      sockets,
+      (request, reply) => void router.handle(request, reply),
+      log,
+    );
+    listenInternally(
+      platform.internalAddress,
+      {
+        statusPage: (request) => statusPage.handle(request),
+        peerRequest: (request) => peerHandler.answer(request),
+        onMalformedPeerRequest: (cause) => this.logMalformed(null, cause),
+      },
+      log,
+    );
   }
 
-  /** Counts are for display only: without the leader they are left at zero. */
-  private async counts(id: JobId): Promise<TaskCounts | null> {
-    if (this.leaderLoop) return this.ownCounts(id);
-    const now = performance.now();
-    const link = this.links.find((l) => l.isAlive(now) && l.status?.leading);
-    const answer = await link?.ask({ kind: 'task-counts', job: id }, 500);
-    return answer?.counts ?? null;
+  private createRouter(): PublicRouter {
+    const { users, links, admission, userLatency, heartbeatLatency, log, heartbeatHandler, health } = this;
+    const userRequests = new UserRequestHandler({ users, links, admission, latency: userLatency, log });
+    return new PublicRouter({ heartbeatHandler, health, userRequests, heartbeatLatency, log });
   }
 
-  private inspect(q: HttpMessage): HttpReply {
-    if (q.method !== 'GET' || q.target !== '/queue') return { status: 404 };
-    const stage = (h: ReturnType<typeof createHistogram>) => ({
-      count: h.count,
-      p50Ms: h.percentile(50) / 1000,
-      p99Ms: h.percentile(99) / 1000,
+  private createStatusPage(): StatusPage {
+    const { peerStatus, election, leadership, admission, cancellations, userLatency, heartbeatLatency } =
+      this;
+    return new StatusPage({
+      peerStatus,
+      election,
+      leadership,
+      admission,
+      cancellations,
+      userLatency,
+      heartbeatLatency,
     });
-    const body = {
-      ...encodePeerStatus(this.status()),
-      authorityLeftMs: this.election.authorityLeftMs,
-      requests: {
-        open: this.admission.openRequests,
-        refused: this.admission.refusedCount,
-        ...stage(this.times.user),
-      },
-      reports: stage(this.times.report),
-      cancellationsBehindMs: this.cancellations.coverageAgeMs(performance.now() as MonotonicTime),
-      queue: this.leaderLoop?.leaderCore?.status() ?? null,
-    };
-    return { status: 200, body: encode(JSON.parse(JSON.stringify(body))) };
   }
 
-  // ---- leadership ------------------------------------------------------------------------------------------
-
-  /** A leader that hears no worker, directly or through its peers, gives way to one that may. */
-  private resignIfUnreachable(): void {
-    const loop = this.leaderLoop;
-    if (!loop || this.links.length === 0 || !this.election.hasAuthority) return;
-    if (
-      loop.withoutHeartbeatsForMs(performance.now()) <
-      this.platform.workers.heartbeatIntervalS * 2500 + 2500
-    )
-      return;
-    this.election.resign('no worker is heard');
-  }
-
-  private lead(): void {
-    this.leaderLoop?.stop();
-    this.store.setBudgetShare(leaderShare);
-    const { platform, operator, election, store, cloud, log, random } = this;
-    this.leaderLoop = new LeaderLoop(
-      platform,
-      operator,
+  private createPeerHandler(): PeerHandler {
+    const { links, election, heartbeatHandler, cancellations, users, imageLocations } = this;
+    return new PeerHandler({
+      links,
       election,
-      store,
-      cloud,
-      log,
-      random,
-      () => this.machineTypes.current,
-      this.imageLocations.all(),
-      this.sockets.directCommands,
-      this.cancellations,
-    );
-    void this.leaderLoop.start();
+      heartbeatHandler,
+      cancellations,
+      users,
+      imageLocations,
+      leaderLoop: () => this.leadership.leaderLoop,
+      status: () => this.peerStatus.ownStatus(),
+      onPeerStatus: (status) => this.peerStatus.onPeerStatus(status),
+      taskCounts: (id) => this.taskCounts.ownCounts(id),
+    });
   }
 
-  private follow(why: string): void {
-    this.log.info({ why }, 'leadership lost');
-    this.leaderLoop?.stop();
-    this.leaderLoop = null;
-    this.store.setBudgetShare(this.followerShare());
+  private logMalformed(peer: NodeName | null, cause: string): void {
+    this.log.rateLimited('peer-message', 'info', { peer, cause }, 'malformed message of a peer dropped');
   }
 }
--- a/src/runtime/leadership/leader-election.ts
+++ b/src/runtime/leadership/leader-election.ts
@@ -1,4 +1,9 @@
-// Runs the election against the state service and keeps up with who leads.
+/**
+ * Who leads, and whether this controller may act as the leader.
+ *
+ * `hasAuthority` is the right to act: it is checked before every tick and reply. It ends on this controller's own clock
+ * before the store can let another one lead.
+ */
 import type { PlatformSettings } from '../../config/platform.js';
 import {
   leaseExpiresAt,
@@ -6,220 +11,173 @@
   hasAuthority,
   recordLeader,
   type ElectionState,
+  type HeldLease,
 } from '../../core/election.js';
-import type { Uint64, NodeName, Revision, MonotonicTime, Term } from '../../core/units.js';
-import { keys, parseLeaderRecord, parseTermRecord } from '../../wire/key-value-store.js';
+import type { NodeName, Term } from '../../core/units.js';
+import { keys, parseLeaderRecord, type Item } from '../../wire/key-value-store.js';
+import { monotonicNow, sleep } from '../clock.js';
+import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { Logger } from '../logger.js';
-import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+import { watchLeaderKey } from './leader-key-watch.js';
+import { acquireLeaderLease } from './lease-acquisition.js';
+import { renewHeldLease } from './lease-renewal.js';
 
-const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
-const steady = (): MonotonicTime => performance.now() as MonotonicTime;
-const WATCH_MS = 10_000;
 const PROBE_MS = 1000;
+/** A store that answered within this time needs no probe. */
+const ANSWER_FRESH_MS = 900;
+/** For how long one that resigned leaves leadership to the others. */
 const STAND_ASIDE_MS = 12_000;
 
+/** What the rest of the controller is told. */
+export interface LeaderElectionEvents {
+  onElected: () => void;
+  onLeadershipLost: (reason: string) => void;
+  /** The leader key was read, and is alive. */
+  onLeaderKeyRead: () => void;
+}
+
+/** What an election needs. */
+export interface LeaderElectionDependencies {
+  platform: PlatformSettings;
+  leaseMs: number;
+  store: KeyValueStoreClient;
+  log: Logger;
+  events: LeaderElectionEvents;
+}
+
+/** Takes part in elections for as long as the process runs. */
 export class LeaderElection {
   readonly electionState: ElectionState = initialElectionState();
   private acquiring = false;
-  private firstLook = true;
+  private leaderKeyWasRead = false;
   private standAsideUntil = -Infinity;
 
-  constructor(
-    private readonly platform: PlatformSettings,
-    private readonly ttlMs: number,
-    private readonly store: KeyValueStoreClient,
-    private readonly log: Logger,
-    private readonly events: { onLead: () => void; onLost: (why: string) => void; onLeaderKey: () => void },
-  ) {}
+  constructor(private readonly dependencies: LeaderElectionDependencies) {}
 
+  /** Whether this controller may act as the leader now. */
   get hasAuthority(): boolean {
-    return hasAuthority(this.electionState, this.ttlMs, steady());
+    return hasAuthority(this.electionState, this.dependencies.leaseMs, monotonicNow());
   }
 
   /** For how long it may still act as the leader by its own clock; null: it holds no lease. */
   get authorityLeftMs(): number | null {
     const { heldLease } = this.electionState;
-    return heldLease === null ? null : Math.round(leaseExpiresAt(heldLease, this.ttlMs) - steady());
+    if (heldLease === null) return null;
+    return Math.round(leaseExpiresAt(heldLease, this.dependencies.leaseMs) - monotonicNow());
   }
 
+  /** Whether it holds the leader's lease, with or without authority. */
   get holdsLease(): boolean {
     return this.electionState.heldLease !== null;
   }
 
+  /** Begins to watch, renew and probe. */
   start(): void {
-    void this.watchLeaderKey();
-    void this.renew();
+    const { store, log, leaseMs } = this.dependencies;
+    void watchLeaderKey(store, {
+      readLeaderKey: () => this.readLeaderKey(),
+      onLeader: (node, term) => this.noteLeader(node, term),
+    });
+    void renewHeldLease({
+      store,
+      log,
+      leaseMs,
+      electionState: this.electionState,
+      authorityLeftMs: () => this.authorityLeftMs,
+      onLeaseGone: () => this.loseLease('lease gone'),
+    });
     void this.probe();
   }
 
+  /** The store or a peer names a leader. */
   noteLeader(node: NodeName, term: Term): void {
     const held = this.electionState.heldLease;
     recordLeader(this.electionState, node, term);
-    if (held && !this.electionState.heldLease) this.events.onLost('higher term seen');
+    if (held && !this.electionState.heldLease) this.dependencies.events.onLeadershipLost('higher term seen');
   }
 
-  /** Gives leadership up of our own will, and leaves it to the others for a while. */
-  resign(why: string): void {
+  /** Gives leadership up while the lease is alive, and leaves it to the others for a while. */
+  resign(reason: string): void {
     const held = this.electionState.heldLease;
     if (!held) return;
-    this.electionState.heldLease = null;
-    this.standAsideUntil = steady() + STAND_ASIDE_MS;
-    this.events.onLost(why);
-    void this.store.revokeLease(held.leaseId);
+    this.standAsideUntil = monotonicNow() + STAND_ASIDE_MS;
+    this.loseLease(reason);
+    void this.dependencies.store.revokeLease(held.leaseId);
   }
 
-  /** A write of ours failed because the leader key is not ours any more. */
+  /** A write as the leader failed because the leader key is another one's, or gone. */
   onLeaderKeyChanged(): void {
-    if (!this.electionState.heldLease) return;
+    if (this.electionState.heldLease) this.loseLease('leader key changed');
+  }
+
+  private loseLease(reason: string): void {
     this.electionState.heldLease = null;
-    this.events.onLost('leader key changed');
+    this.dependencies.events.onLeadershipLost(reason);
   }
 
   private async readLeaderKey(): Promise<void> {
-    const r = await this.store.get(keys.leader, 0);
-    if (r.kind === 'gone') {
-      await this.acquire();
-    } else if (r.kind === 'ok') {
-      const leader = parseLeaderRecord(r.value.data);
-      if (!leader) return;
-      this.noteLeader(leader.node, leader.term);
-      this.events.onLeaderKey();
-      // Our own key from before a restart: that process is dead, so its lease need not run out.
-      const { lease } = r.value;
-      if (this.firstLook && leader.node === this.platform.name && !this.electionState.heldLease && lease) {
-        this.log.info({ term: leader.term, lease: lease }, 'lease of the process before this one ended');
-        await this.store.revokeLease(lease);
-      }
+    const current = await this.dependencies.store.get(keys.leader, budgetReserves.urgent);
+    if (current.kind === 'gone') await this.acquire();
+    else if (current.kind === 'ok') {
+      if (!(await this.onLeaderKeyItem(current.value))) return;
     } else return;
-    this.firstLook = false;
+    this.leaderKeyWasRead = true;
   }
 
-  /** Watches the leader key: its removal starts an election at once. */
-  private async watchLeaderKey(): Promise<void> {
-    let since: Uint64 | null = null;
-    for (;;) {
-      if (since === null) {
-        const first = await this.store.list(keys.leaderPrefix);
-        if (first.kind !== 'ok') {
-          await sleep(300);
-          continue;
-        }
-        since = first.value.ledger;
-        await this.readLeaderKey();
-      }
-      const r = await this.store.watch(keys.leaderPrefix, since, WATCH_MS);
-      if (r.kind === 'gone') {
-        since = null;
-        continue;
-      }
-      if (r.kind !== 'ok') {
-        await sleep(300);
-        continue;
-      }
-      since = r.value.ledger;
-      for (const e of r.value.log) {
-        if ('put' in e && e.put === keys.leader) {
-          const leader = parseLeaderRecord(e.data);
-          if (leader) this.noteLeader(leader.node, leader.term);
-        } else if ('delete' in e && e.delete === keys.leader) {
-          void this.readLeaderKey();
-        }
-      }
+  /** False for a damaged record. */
+  private async onLeaderKeyItem({ data, lease }: Item): Promise<boolean> {
+    const leader = parseLeaderRecord(data);
+    if (!leader) return false;
+    const { platform, store, log, events } = this.dependencies;
+    this.noteLeader(leader.node, leader.term);
+    events.onLeaderKeyRead();
+    // This controller's own key from before a restart: that process is dead, so its lease need not run out.
+    if (!this.leaderKeyWasRead && leader.node === platform.name && !this.holdsLease && lease) {
+      log.info({ term: leader.term, lease }, 'lease of the previous process revoked');
+      await store.revokeLease(lease);
     }
+    return true;
   }
 
-  /** Tells a state service that doesn't answer from one that has nothing to say. */
-  private async probe(): Promise<void> {
+  /** Tells a store that doesn't answer from one without changes to tell. */
+  private async probe(): Promise<never> {
     for (;;) {
       await sleep(PROBE_MS);
-      if (
-        steady() - this.store.lastAnswerAt >= PROBE_MS * 0.9 ||
-        (!this.holdsLease && !this.knownLeaderLives())
-      ) {
-        await this.readLeaderKey();
-      }
+      const storeIsSilent = monotonicNow() - this.dependencies.store.lastAnswerAt >= ANSWER_FRESH_MS;
+      if (storeIsSilent || (!this.holdsLease && !this.knowsOtherLeader())) await this.readLeaderKey();
     }
   }
 
-  private knownLeaderLives(): boolean {
-    return this.electionState.leader !== null && this.electionState.leader.node !== this.platform.name;
+  private knowsOtherLeader(): boolean {
+    const { leader } = this.electionState;
+    return leader !== null && leader.node !== this.dependencies.platform.name;
   }
 
   private async acquire(): Promise<void> {
-    if (this.acquiring || this.holdsLease || steady() < this.standAsideUntil) return;
+    if (this.acquiring || this.holdsLease || monotonicNow() < this.standAsideUntil) return;
+    const { platform, store, leaseMs } = this.dependencies;
     this.acquiring = true;
     try {
-      const sentAt = steady();
-      const lease = await this.store.grantLease(this.ttlMs);
-      if (lease.kind !== 'ok') return;
-      const old = await this.store.get(keys.term, 0);
-      if (old.kind !== 'ok' && old.kind !== 'gone') return;
-      const stamp: Revision = old.kind === 'ok' ? old.value.revision : 0;
-      const term = ((old.kind === 'ok' ? (parseTermRecord(old.value.data) ?? 0) : 0) + 1) as Term;
-      const node = this.platform.name;
-      const r = await this.store.transact(
-        {
-          conditions: [
-            { key: keys.leader, revision: 0 },
-            { key: keys.term, revision: stamp },
-          ],
-          changes: [
-            { put: keys.leader, data: { node, term }, lease: lease.value },
-            { put: keys.term, data: { term } },
-          ],
-        },
-        0,
-      );
-      let keyRevision = r.kind === 'ok' ? r.revision : null;
-      if (r.kind === 'unknown') {
-        // The answer was lost: the key says whether it was carried out.
-        const now = await this.store.get(keys.leader, 0);
-        const leader = now.kind === 'ok' ? parseLeaderRecord(now.value.data) : null;
-        if (now.kind === 'ok' && leader?.node === node && leader.term === term)
-          keyRevision = now.value.revision;
-      }
-      if (keyRevision === null) {
-        void this.store.revokeLease(lease.value);
-        return;
-      }
-      this.electionState.heldLease = { leaseId: lease.value, term, keyRevision, renewedAt: sentAt };
-      this.noteLeader(node, term);
-      this.log.info(
-        { term, lease: lease.value, revision: keyRevision, authorityMs: this.authorityLeftMs },
-        'leadership taken',
-      );
-      this.events.onLead();
+      const held = await acquireLeaderLease(store, platform.name, leaseMs);
+      if (held) this.onLeaseAcquired(held);
     } finally {
       this.acquiring = false;
     }
   }
 
-  private async renew(): Promise<void> {
-    for (;;) {
-      await sleep(this.ttlMs / 5);
-      const held = this.electionState.heldLease;
-      if (!held) continue;
-      const sentAt = steady();
-      const r = await this.store.renewLease(held.leaseId);
-      if (this.electionState.heldLease !== held) continue;
-      if (r.kind === 'ok') {
-        held.renewedAt = sentAt;
-        this.log.debug(
-          { term: held.term, lease: held.leaseId, authorityMs: this.authorityLeftMs },
-          'lease renewed',
-        );
-      } else if (r.kind === 'gone') {
-        this.electionState.heldLease = null;
-        this.events.onLost('lease gone');
-      } else {
-        const left = this.authorityLeftMs;
-        this.log.rateLimited(
-          'renew',
-          'info',
-          { outcome: r.kind, authorityLeftMs: left },
-          'lease not renewed',
-        );
-      }
-    }
+  private onLeaseAcquired(held: HeldLease): void {
+    const { platform, log, events } = this.dependencies;
+    this.electionState.heldLease = held;
+    this.noteLeader(platform.name, held.term);
+    log.info(
+      {
+        term: held.term,
+        lease: held.leaseId,
+        revision: held.keyRevision,
+        authorityMs: this.authorityLeftMs,
+      },
+      'leadership acquired',
+    );
+    events.onElected();
   }
 }
--- a/src/runtime/leadership/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -1,41 +1,52 @@
-// What a leader writes to the state service: final states, progress, pages of the roster.
-import type { Logger } from '../logger.js';
-import type { LeaderElection } from './leader-election.js';
-import { ProgressStore, type ProgressOutcome } from './progress-store.js';
+/** What a leader writes to the store: final records, progress, pages of the machine registry. */
+import type { KeyValueStoreLimits } from '../../config/platform.js';
+import type { Effect, FinalRecordOutcome } from '../../core/leader/effects.js';
+import type { FinalState, MachineInfo } from '../../core/types.js';
+import type { JobId, SegmentName, Revision } from '../../core/units.js';
+import {
+  finalRecordData,
+  keys,
+  parseFinalRecord,
+  parseJobRecord,
+  registryPageData,
+  type Change,
+  type Condition,
+} from '../../wire/key-value-store.js';
+import { sleep } from '../clock.js';
 import {
   budgetReserves,
   type KeyValueStoreClient,
   type TransactionOutcome,
 } from '../key-value-store/key-value-store-client.js';
-import type { KeyValueStoreLimits } from '../../config/platform.js';
-import type { Effect, FinishOutcome } from '../../core/leader/leader.js';
-import type { FinalState, MachineInfo } from '../../core/types.js';
-import type { JobId, SegmentName, Revision } from '../../core/units.js';
-import * as wire from '../../wire/key-value-store.js';
+import type { Logger } from '../logger.js';
+import type { LeaderElection } from './leader-election.js';
+import { ProgressStore, type ProgressOutcome } from './progress-store.js';
 
 const DELETE_RETRY_MS = 2000;
 /** Changes of the transaction that finishes a job, beside the deletion of its progress. */
-const FINISH_CHANGES = 2;
+const FINAL_RECORD_CHANGES = 2;
 
-const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+/** What the writes need. */
+export interface LeaderRecordsDependencies {
+  limits: KeyValueStoreLimits;
+  election: LeaderElection;
+  store: KeyValueStoreClient;
+  log: Logger;
+}
 
-/** The records of one leadership; after `end` nothing more is written. */
+/** The records of one leadership; after `stop` nothing more is written. */
 export class LeaderRecords {
   private stopped = false;
   private readonly progress: ProgressStore;
 
-  constructor(
-    private readonly limits: KeyValueStoreLimits,
-    private readonly election: LeaderElection,
-    private readonly store: KeyValueStoreClient,
-    private readonly log: Logger,
-  ) {
+  constructor(private readonly dependencies: LeaderRecordsDependencies) {
     this.progress = new ProgressStore(
-      (then, conditions) => this.write(then, conditions, budgetReserves.normal),
-      (key) => this.store.get(key, budgetReserves.urgent),
+      (changes, conditions) => this.write(changes, conditions, budgetReserves.normal),
+      (key) => this.dependencies.store.get(key, budgetReserves.urgent),
     );
   }
 
+  /** The leadership has ended. */
   stop(): void {
     this.stopped = true;
   }
@@ -45,86 +56,97 @@
     this.progress.recordLoaded(key, revision);
   }
 
+  /** Writes one segment of a job's progress. */
   writeProgress(job: JobId, segment: SegmentName, bytes: Uint8Array): Promise<ProgressOutcome> {
     return this.progress.save(job, segment, bytes);
   }
 
   /** Replaces the job's active record by its final one, and deletes its progress. */
-  async writeFinalRecord(e: Extract<Effect, { kind: 'write-final-record' }>): Promise<FinishOutcome> {
-    const { keys } = wire;
-    const atOnce = Math.max(0, this.limits.txnOps - FINISH_CHANGES);
-    const progress = e.segments.map((segment) => keys.progress(e.job, segment));
-    const r = await this.write(
+  async writeFinalRecord(
+    effect: Extract<Effect, { kind: 'write-final-record' }>,
+  ): Promise<FinalRecordOutcome> {
+    const { job, revision: recordRevision, state, segments } = effect;
+    const deletionsAtOnce = Math.max(0, this.dependencies.limits.txnOps - FINAL_RECORD_CHANGES);
+    const progressKeys = segments.map((segment) => keys.progress(job, segment));
+    const outcome = await this.write(
       [
-        { put: keys.final(e.job), data: wire.finalRecordData(e) },
-        { delete: keys.active(e.job) },
-        ...progress.slice(0, atOnce).map((key) => ({ delete: key })),
+        { put: keys.final(job), data: finalRecordData(effect) },
+        { delete: keys.active(job) },
+        ...progressKeys.slice(0, deletionsAtOnce).map((key) => ({ delete: key })),
       ],
-      [{ key: keys.active(e.job), revision: e.revision }],
+      [{ key: keys.active(job), revision: recordRevision }],
     );
-    if (r.kind === 'conflict') return this.reread(e.job);
-    if (r.kind !== 'ok') return { kind: 'retry' };
-    this.log.debug(
-      { job: e.job, state: e.state, revision: r.revision, recordRevision: e.revision },
+    if (outcome.kind === 'conflict') return this.readChangedRecord(job);
+    if (outcome.kind !== 'ok') return { kind: 'retry' };
+    this.dependencies.log.debug(
+      { job, state, revision: outcome.revision, recordRevision },
       'final state recorded',
     );
-    this.progress.forget(e.job, e.segments);
-    void this.deleteKeys(progress.slice(atOnce));
-    return { kind: 'ok', state: e.state };
-  }
-
-  /** The record changed under us: a cancellation came first, or our own lost write was carried out. */
-  private async reread(job: JobId): Promise<FinishOutcome> {
-    const active = await this.store.get(wire.keys.active(job), budgetReserves.urgent);
-    const record = active.kind === 'ok' ? wire.parseJobRecord(active.value.data) : null;
-    if (active.kind === 'ok' && record) return { kind: 'changed', record, revision: active.value.revision };
-    const final = active.kind === 'gone' ? await this.readFinalRecord(job) : null;
-    return final === null ? { kind: 'retry' } : { kind: 'ok', state: final };
+    this.progress.forget(job, segments);
+    void this.deleteKeys(progressKeys.slice(deletionsAtOnce));
+    return { kind: 'ok', state };
   }
 
   /** Null where there is no final record, or no answer. */
   async readFinalRecord(job: JobId): Promise<FinalState | null> {
-    const final = await this.store.get(wire.keys.final(job), budgetReserves.urgent);
-    return final.kind === 'ok' ? (wire.parseFinalRecord(final.value.data)?.state ?? null) : null;
+    const final = await this.dependencies.store.get(keys.final(job), budgetReserves.urgent);
+    return final.kind === 'ok' ? (parseFinalRecord(final.value.data)?.state ?? null) : null;
   }
 
   /** False: it has to be tried again. */
   async writeRegistryPage(page: string, machines: MachineInfo[]): Promise<boolean> {
-    const key = wire.keys.registryPage(page);
-    const change =
-      machines.length === 0 ? { delete: key } : { put: key, data: wire.registryPageData(machines) };
-    const r = await this.write([change]);
-    if (r.kind !== 'ok' && !this.stopped)
-      this.log.rateLimited('roster', 'info', { outcome: r.kind }, 'roster not written, tried again');
-    return r.kind === 'ok';
+    const key = keys.registryPage(page);
+    const change = machines.length === 0 ? { delete: key } : { put: key, data: registryPageData(machines) };
+    const outcome = await this.write([change]);
+    if (outcome.kind !== 'ok' && !this.stopped) {
+      const fields = { outcome: outcome.kind };
+      this.dependencies.log.rateLimited(
+        'registry',
+        'info',
+        fields,
+        'machine registry not written, tried again',
+      );
+    }
+    return outcome.kind === 'ok';
   }
 
-  /** Records that nothing refers to any more, without haste; what is left when this process ends, the next one finds. */
-  async deleteKeys(left: string[]): Promise<void> {
-    while (left.length > 0 && !this.stopped) {
-      const some = left.slice(0, this.limits.txnOps);
-      const changes = some.map((key) => ({ delete: key }));
-      const r = await this.write(changes, [], budgetReserves.normal);
-      if (r.kind === 'ok') left = left.slice(some.length);
+  /** Records that nothing refers to any more, without haste; what is left when this leadership ends, the next finds. */
+  async deleteKeys(unused: string[]): Promise<void> {
+    let remaining = unused;
+    while (remaining.length > 0 && !this.stopped) {
+      const batch = remaining.slice(0, this.dependencies.limits.txnOps);
+      const changes = batch.map((key) => ({ delete: key }));
+      const outcome = await this.write(changes, [], budgetReserves.normal);
+      if (outcome.kind === 'ok') remaining = remaining.slice(batch.length);
       else await sleep(DELETE_RETRY_MS);
     }
   }
 
-  /** Every write of a leader depends on its leader key: a late one from a former leader fails. */
+  /** The record changed in between: a cancellation came first, or a lost write of this leader was carried out. */
+  private async readChangedRecord(job: JobId): Promise<FinalRecordOutcome> {
+    const active = await this.dependencies.store.get(keys.active(job), budgetReserves.urgent);
+    const record = active.kind === 'ok' ? parseJobRecord(active.value.data) : null;
+    if (active.kind === 'ok' && record) return { kind: 'changed', record, revision: active.value.revision };
+    const final = active.kind === 'gone' ? await this.readFinalRecord(job) : null;
+    return final === null ? { kind: 'retry' } : { kind: 'ok', state: final };
+  }
+
+  /** Every write of a leader depends on its leader key. Guards against a late write of a former leader. */
   private async write(
-    then: wire.Change[],
-    conditions: wire.Condition[] = [],
+    changes: Change[],
+    conditions: Condition[] = [],
     reserve = budgetReserves.urgent,
   ): Promise<TransactionOutcome> {
-    const held = this.election.electionState.heldLease;
+    const { election, store, log } = this.dependencies;
+    const held = election.electionState.heldLease;
     if (!held || this.stopped) return { kind: 'refused' };
-    const guard = { key: wire.keys.leader, revision: held.keyRevision };
-    const r = await this.store.transact({ conditions: [guard, ...conditions], changes: then }, reserve);
-    if (r.kind === 'conflict' && r.failed.includes(wire.keys.leader)) {
-      this.log.info({ term: held.term }, 'write refused: the leader key is not ours any more');
-      this.election.onLeaderKeyChanged();
+    const leaderKey = { key: keys.leader, revision: held.keyRevision };
+    const outcome = await store.transact({ conditions: [leaderKey, ...conditions], changes }, reserve);
+    if (outcome.kind === 'conflict' && outcome.failed.includes(keys.leader)) {
+      log.info({ term: held.term }, 'write refused: the leader key is not ours any more');
+      election.onLeaderKeyChanged();
       return { kind: 'refused' };
     }
-    return r;
+    return outcome;
   }
 }
--- a/src/runtime/leadership/progress-store.ts
+++ b/src/runtime/leadership/progress-store.ts
@@ -1,19 +1,29 @@
-// Completions of jobs under way, kept in the state service a segment at a time.
-import type { StoreOutcome, TransactionOutcome } from '../key-value-store/key-value-store-client.js';
+/** Progress of jobs that are not over, kept in the store a segment at a time. */
 import type { JobId, SegmentName, Revision } from '../../core/units.js';
-import * as wire from '../../wire/key-value-store.js';
+import {
+  keys,
+  parseProgressRecord,
+  progressRecordData,
+  type Change,
+  type Condition,
+  type Item,
+} from '../../wire/key-value-store.js';
+import type { StoreOutcome, TransactionOutcome } from '../key-value-store/key-value-store-client.js';
+
+type Write = (changes: Change[], conditions: Condition[]) => Promise<TransactionOutcome>;
+type Read = (key: string) => Promise<StoreOutcome<Item>>;
 
-type Write = (then: wire.Change[], conditions: wire.Condition[]) => Promise<TransactionOutcome>;
-type Read = (key: string) => Promise<StoreOutcome<wire.Item>>;
+const ABSENT: Revision = 0;
 
+/** How a write of progress ended. */
 export type ProgressOutcome =
   | { kind: 'ok' }
   | { kind: 'retry' }
-  /** Another write came in between; what is recorded now is to be taken in before the next try. */
+  /** Another write came in between; what is recorded now is to be merged before the next try. */
   | { kind: 'changed'; bytes: Uint8Array };
 
 /**
- * Each write names the stamp of the one before it. Guards against a write without an answer that is carried out late:
+ * Each write names the revision of the one before it. Guards against a write without an answer that is carried out late:
  * unconditional, it would put back older bits, and a next leader would run completed tasks again.
  */
 export class ProgressStore {
@@ -21,35 +31,38 @@
 
   constructor(
     private readonly writeToStore: Write,
-    private readonly read: Read,
+    private readonly readFromStore: Read,
   ) {}
 
-  recordLoaded(key: string, stamp: Revision): void {
-    this.revisions.set(key, stamp);
+  /** A segment that was there when the leadership began. */
+  recordLoaded(key: string, revision: Revision): void {
+    this.revisions.set(key, revision);
   }
 
   /** The job is over, and its segments with it. */
   forget(job: JobId, segments: SegmentName[]): void {
-    for (const segment of segments) this.revisions.delete(wire.keys.progress(job, segment));
+    for (const segment of segments) this.revisions.delete(keys.progress(job, segment));
   }
 
+  /** Writes one segment. */
   async save(job: JobId, segment: SegmentName, bytes: Uint8Array): Promise<ProgressOutcome> {
-    const key = wire.keys.progress(job, segment);
-    const data = wire.progressRecordData(bytes);
-    const r = await this.writeToStore(
-      [{ put: key, data }],
-      [{ key, revision: this.revisions.get(key) ?? 0 }],
-    );
-    if (r.kind === 'ok') {
-      this.revisions.set(key, r.revision);
+    const key = keys.progress(job, segment);
+    const data = progressRecordData(bytes);
+    const condition = { key, revision: this.revisions.get(key) ?? ABSENT };
+    const outcome = await this.writeToStore([{ put: key, data }], [condition]);
+    if (outcome.kind === 'ok') {
+      this.revisions.set(key, outcome.revision);
       return { kind: 'ok' };
     }
-    if (r.kind !== 'conflict') return { kind: 'retry' };
-    const now = await this.read(key);
-    if (now.kind === 'gone') this.revisions.delete(key);
-    if (now.kind !== 'ok') return { kind: 'retry' };
-    this.revisions.set(key, now.value.revision);
-    const bits = wire.parseProgressRecord(now.value.data);
+    return outcome.kind === 'conflict' ? this.readChanged(key) : { kind: 'retry' };
+  }
+
+  private async readChanged(key: string): Promise<ProgressOutcome> {
+    const current = await this.readFromStore(key);
+    if (current.kind === 'gone') this.revisions.delete(key);
+    if (current.kind !== 'ok') return { kind: 'retry' };
+    this.revisions.set(key, current.value.revision);
+    const bits = parseProgressRecord(current.value.data);
     return bits === null ? { kind: 'retry' } : { kind: 'changed', bytes: Buffer.from(bits, 'base64') };
   }
 }
--- /dev/null
+++ b/src/runtime/listeners.ts
@@ -0,0 +1,78 @@
+/** The two addresses that a controller listens on. */
+import { createServer, type Socket } from 'node:net';
+import type { Address } from '../config/platform.js';
+import type { PeerRequest } from '../wire/peer-messages.js';
+import type { HttpMessage } from './http/http-parser.js';
+import { httpConnectionHandler, type HttpHandler, type HttpReply } from './http/http-server.js';
+import { STATUS_CONNECTIONS, type SocketBudget } from './http/socket-budget.js';
+import type { Logger } from './logger.js';
+import { servePeer } from './peers/peer-server.js';
+import { clientGroup } from './public-router.js';
+
+const PUBLIC_IDLE_MS = 60_000;
+const PUBLIC_BODY_BYTES = 64 * 1024;
+const STATUS_IDLE_MS = 10_000;
+const STATUS_BODY_BYTES = 1024;
+
+const listen = (
+  address: Address,
+  onConnection: (socket: Socket) => void,
+  backlog: number,
+  log: Logger,
+): void => {
+  const server = createServer(onConnection);
+  server.on('error', (error) => {
+    log.error({ cause: error.message, ...address }, 'cannot listen');
+    process.exit(1);
+  });
+  server.listen({ ...address, backlog });
+};
+
+/** For workers, users and the load balancer. */
+export const listenPublicly = (
+  address: Address,
+  sockets: SocketBudget,
+  handler: HttpHandler,
+  log: Logger,
+): void => {
+  const limits = {
+    connections: sockets.public,
+    idleMs: PUBLIC_IDLE_MS,
+    bodyBytes: PUBLIC_BODY_BYTES,
+    clientGroup,
+  };
+  listen(address, httpConnectionHandler(limits, log, handler), sockets.backlog, log);
+};
+
+/** Who answers on the internal address. */
+export interface InternalHandlers {
+  statusPage: (request: HttpMessage) => HttpReply;
+  /** The response in its encoded form. */
+  peerRequest: (request: PeerRequest) => Promise<unknown>;
+  onMalformedPeerRequest: (cause: string) => void;
+}
+
+/** A frame's first byte is always 0, so a plain HTTP request for the status page is told apart by its first. */
+const FRAME_FIRST_BYTE = 0;
+
+/** For peers and for the status page. */
+export const listenInternally = (address: Address, handlers: InternalHandlers, log: Logger): void => {
+  const limits = {
+    connections: STATUS_CONNECTIONS,
+    idleMs: STATUS_IDLE_MS,
+    bodyBytes: STATUS_BODY_BYTES,
+  };
+  const onHttp = httpConnectionHandler(limits, log, (request, reply) => reply(handlers.statusPage(request)));
+  const onConnection = (socket: Socket): void => {
+    socket.on('error', () => socket.destroy());
+    socket.once('data', (chunk) => {
+      socket.pause();
+      if (chunk[0] === FRAME_FIRST_BYTE)
+        servePeer(socket, handlers.peerRequest, handlers.onMalformedPeerRequest);
+      else onHttp(socket);
+      socket.unshift(chunk);
+      socket.resume();
+    });
+  };
+  listen(address, onConnection, STATUS_CONNECTIONS, log);
+};
--- /dev/null
+++ b/src/runtime/public-router.ts
@@ -0,0 +1,57 @@
+/** Requests on the public address: workers' heartbeats, the load balancer's health checks, and users. */
+import type { HealthCheck } from './health-check.js';
+import type { HttpMessage } from './http/http-parser.js';
+import type { HttpReply } from './http/http-server.js';
+import type { Logger } from './logger.js';
+import type { RequestLatency } from './request-latency.js';
+import type { UserRequestHandler } from './users/user-request-handler.js';
+import type { HeartbeatHandler } from './workers/heartbeat-handler.js';
+
+const HEARTBEAT_PATH = '/checkin';
+const HEALTH_PATH = '/up';
+const RETRY_AFTER_S = 1;
+
+/** Whose connection a request is on: under pressure, connections of the larger group are closed first. */
+export const clientGroup = (request: HttpMessage): string =>
+  request.target === HEARTBEAT_PATH ? 'workers' : 'users';
+
+/** What answers the requests. */
+export interface PublicRouterDependencies {
+  heartbeatHandler: HeartbeatHandler;
+  health: HealthCheck;
+  userRequests: UserRequestHandler;
+  heartbeatLatency: RequestLatency;
+  log: Logger;
+}
+
+/** Every other path is a user's. */
+export class PublicRouter {
+  constructor(private readonly dependencies: PublicRouterDependencies) {}
+
+  /** A fault in one request must not end the controller. */
+  async handle(request: HttpMessage, reply: (reply: HttpReply) => void): Promise<void> {
+    try {
+      await this.route(request, reply);
+    } catch (error) {
+      const cause = error instanceof Error ? error.stack : String(error);
+      this.dependencies.log.rateLimited('fault', 'error', { cause }, 'request failed');
+      reply({ status: 503, retryAfterS: RETRY_AFTER_S });
+    }
+  }
+
+  private async route(request: HttpMessage, reply: (reply: HttpReply) => void): Promise<void> {
+    const beganAt = performance.now();
+    const { heartbeatHandler, health, userRequests, heartbeatLatency } = this.dependencies;
+    switch (request.target) {
+      case HEARTBEAT_PATH:
+        reply(request.method === 'POST' ? await heartbeatHandler.handle(request.body) : { status: 405 });
+        heartbeatLatency.record(beganAt);
+        return;
+      case HEALTH_PATH:
+        reply({ status: health.isHealthy() ? 200 : 503 });
+        return;
+      default:
+        await userRequests.handle(request, reply, beganAt);
+    }
+  }
+}
--- /dev/null
+++ b/src/runtime/status-page.ts
@@ -0,0 +1,54 @@
+/** The status page of a controller, on its internal address. Its keys are those that operators' tools read. */
+import { encode } from '../wire/cbor.js';
+import { encodePeerStatus } from '../wire/peer-messages.js';
+import type { CancellationFeed } from './cancellations/cancellation-feed.js';
+import { monotonicNow } from './clock.js';
+import type { HttpMessage } from './http/http-parser.js';
+import type { HttpReply } from './http/http-server.js';
+import type { LeaderElection } from './leadership/leader-election.js';
+import type { LeadershipManager } from './leadership/leadership-manager.js';
+import type { PeerStatusExchange } from './peers/peer-status.js';
+import type { RequestLatency } from './request-latency.js';
+import type { AdmissionControl } from './users/admission-control.js';
+
+const PATH = '/queue';
+
+/** What the page shows. */
+export interface StatusPageDependencies {
+  peerStatus: PeerStatusExchange;
+  election: LeaderElection;
+  leadership: LeadershipManager;
+  admission: AdmissionControl;
+  cancellations: CancellationFeed;
+  userLatency: RequestLatency;
+  heartbeatLatency: RequestLatency;
+}
+
+/** Rendered anew at each request. */
+export class StatusPage {
+  constructor(private readonly dependencies: StatusPageDependencies) {}
+
+  /** Answers a request on the internal address. */
+  handle(request: HttpMessage): HttpReply {
+    if (request.method !== 'GET' || request.target !== PATH) return { status: 404 };
+    // Through JSON, which leaves out what is undefined.
+    return { status: 200, body: encode(JSON.parse(JSON.stringify(this.content()))) };
+  }
+
+  private content(): unknown {
+    const { peerStatus, election, leadership, admission, cancellations, userLatency, heartbeatLatency } =
+      this.dependencies;
+    return {
+      ...encodePeerStatus(peerStatus.ownStatus()),
+      authorityLeftMs: election.authorityLeftMs,
+      requests: {
+        open: admission.openRequests,
+        refused: admission.refusedCount,
+        ...userLatency.summary(),
+      },
+      reports: heartbeatLatency.summary(),
+      cancellationsBehindMs: cancellations.coverageAgeMs(monotonicNow()),
+      queue: leadership.leader?.status() ?? null,
+    };
+  }
+}
--- /dev/null
+++ b/src/runtime/users/user-request-handler.ts
@@ -0,0 +1,86 @@
+/** Users' requests as they come from outside: admitted, answered here or by a peer, and counted. */
+import type { PeerResponses } from '../../wire/peer-messages.js';
+import type { HttpMessage } from '../http/http-parser.js';
+import type { HttpReply } from '../http/http-server.js';
+import type { Logger } from '../logger.js';
+import type { PeerLink } from '../peers/peer-link.js';
+import type { RequestLatency } from '../request-latency.js';
+import type { AdmissionControl } from './admission-control.js';
+import type { UserApi } from './user-api.js';
+
+const FORWARD_TIMEOUT_MS = 2000;
+const LOG_INTERVAL_MS = 10_000;
+const RETRY_AFTER_S = 1;
+const UNAVAILABLE = 503;
+
+/** What user requests need. */
+export interface UserRequestDependencies {
+  users: UserApi;
+  links: readonly PeerLink[];
+  admission: AdmissionControl;
+  latency: RequestLatency;
+  log: Logger;
+}
+
+/** Sits between the public address and the user API. */
+export class UserRequestHandler {
+  private readonly outcomes = new Map<string, number>();
+  private loggedAt = -Infinity;
+
+  constructor(private readonly dependencies: UserRequestDependencies) {}
+
+  /** `beganAt`: the monotonic time at which the request came. */
+  async handle(request: HttpMessage, reply: (reply: HttpReply) => void, beganAt: number): Promise<void> {
+    const { admission, latency, log } = this.dependencies;
+    // Only a request without a body names what it asks about.
+    const subject = request.method === 'GET' ? request.target : null;
+    if (!admission.tryAdmit(subject)) {
+      this.countOutcome({ status: UNAVAILABLE, refusalCause: 'admission limit reached' });
+      reply({ status: UNAVAILABLE, retryAfterS: RETRY_AFTER_S });
+      return;
+    }
+    let served = false;
+    try {
+      const answer = await this.serve(request);
+      served = answer.status !== UNAVAILABLE;
+      const { method, target } = request;
+      const { status, jobStatus, refusalCause } = answer;
+      log.debug({ method, target, status, jobStatus, cause: refusalCause }, 'user answered');
+      this.countOutcome(answer);
+      reply(answer);
+      latency.record(beganAt);
+    } finally {
+      admission.release(subject, served);
+    }
+  }
+
+  /** Refused here for want of the store alone: a peer that the store answers takes the request, so that the user need not. */
+  private async serve(request: HttpMessage): Promise<HttpReply> {
+    const { users, links } = this.dependencies;
+    const own = await users.handle(request);
+    if (own.status !== UNAVAILABLE) return own;
+    const now = performance.now();
+    const peer = links.find((link) => link.isAlive(now) && link.status?.storeAvailable);
+    if (!peer) return own;
+    const { method, target, body } = request;
+    const response = await peer.ask({ kind: 'user-request', method, target, body }, FORWARD_TIMEOUT_MS);
+    return response === null ? own : replyOf(response);
+  }
+
+  /** Now and then they are logged: what users were answered, and why they were refused. */
+  private countOutcome({ status, refusalCause }: HttpReply): void {
+    const outcome = refusalCause ?? String(status);
+    this.outcomes.set(outcome, (this.outcomes.get(outcome) ?? 0) + 1);
+    const now = performance.now();
+    if (now - this.loggedAt < LOG_INTERVAL_MS) return;
+    this.loggedAt = now;
+    this.dependencies.log.info({ outcomes: Object.fromEntries(this.outcomes) }, 'user requests');
+    this.outcomes.clear();
+  }
+}
+
+const replyOf = ({ status, body, retryAfterS }: PeerResponses['user-request']): HttpReply => ({
+  status,
+  ...(body === null ? {} : { body: Buffer.from(body) }),
+  ...(retryAfterS === null ? {} : { retryAfterS }),
+});
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -103,3 +103,6 @@
 });
 
 export const redirectBody = (leader: NodeName | null) => (leader === null ? {} : { foreman: leader });
+
+/** Path of a worker's direct commands. */
+export const DIRECT_COMMANDS_TARGET = '/orders';
