--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,24 +1,9 @@
+/** The operators' own settings (deploy/operator.hcl), each with its bounds and its default. */
 import { existsSync, readFileSync } from 'node:fs';
 import * as v from 'valibot';
 import { ConfigError, validateSettings } from './validation.js';
 
-const between = (low: number, high: number, def: number) =>
-  v.optional(v.pipe(v.number(), v.minValue(low), v.maxValue(high)), def);
-
-// The HCL parser hands every block over as a list with one entry for each time it is written.
-const block = <S extends v.ObjectEntries>(entries: S) =>
-  v.optional(v.pipe(v.array(v.strictObject(entries)), v.minLength(1), v.maxLength(1)), [{}] as never);
-
-const schema = v.strictObject({
-  leadership: block({ lease_ms: between(500, 60_000, 3000) }),
-  scaling: block({
-    idle_hold_s: between(0, 3600, 15),
-    capacity_retry_s: between(1, 600, 15),
-    headroom: between(0, 10, 0.6),
-  }),
-  scheduling: block({ cycle_ms: between(20, 10_000, 200), aging_s: between(10, 600, 90) }),
-});
-
+/** What operators may tune. */
 export interface OperatorSettings {
   leaseMs: number;
   idleHoldS: number;
@@ -28,15 +13,40 @@
   agingS: number;
 }
 
+const numberBetween = (min: number, max: number, fallback: number) =>
+  v.optional(v.pipe(v.number(), v.minValue(min), v.maxValue(max)), fallback);
+
+/**
+ * The HCL parser hands every block over as a list with one entry for each time it is written. A block left out is read
+ * as an empty one, and so takes the defaults of its fields.
+ */
+const block = <S extends v.ObjectEntries>(entries: S) =>
+  v.optional(
+    v.pipe(v.array(v.strictObject(entries)), v.minLength(1), v.maxLength(1)),
+    // The default is input to the schema, which fills in the fields; its type doesn't say so.
+    [{}] as never,
+  );
+
+const fileSchema = v.strictObject({
+  leadership: block({ lease_ms: numberBetween(500, 60_000, 3000) }),
+  scaling: block({
+    idle_hold_s: numberBetween(0, 3600, 15),
+    capacity_retry_s: numberBetween(1, 600, 15),
+    headroom: numberBetween(0, 10, 0.6),
+  }),
+  scheduling: block({ cycle_ms: numberBetween(20, 10_000, 200), aging_s: numberBetween(10, 600, 90) }),
+});
+
+/** Reads what the HCL parser made of the file; throws ConfigError. */
 export const parseOperatorSettings = (raw: unknown): OperatorSettings => {
-  const c = validateSettings(schema, raw, 'operator settings');
+  const { leadership, scaling, scheduling } = validateSettings(fileSchema, raw, 'operator settings');
   return {
-    leaseMs: c.leadership[0].lease_ms ?? 3000,
-    idleHoldS: c.scaling[0].idle_hold_s ?? 15,
-    capacityRetryS: c.scaling[0].capacity_retry_s ?? 15,
-    headroom: c.scaling[0].headroom ?? 0.6,
-    cycleMs: c.scheduling[0].cycle_ms ?? 200,
-    agingS: c.scheduling[0].aging_s ?? 90,
+    leaseMs: leadership[0].lease_ms,
+    idleHoldS: scaling[0].idle_hold_s,
+    capacityRetryS: scaling[0].capacity_retry_s,
+    headroom: scaling[0].headroom,
+    cycleMs: scheduling[0].cycle_ms,
+    agingS: scheduling[0].aging_s,
   };
 };
 
@@ -45,8 +55,8 @@
   if (!existsSync(path)) return parseOperatorSettings({});
   try {
     return parseOperatorSettings(JSON.parse(readFileSync(path, 'utf8')));
-  } catch (e) {
-    if (e instanceof ConfigError) throw e;
+  } catch (error) {
+    if (error instanceof ConfigError) throw error;
     throw new ConfigError(`${path}: not JSON; expected the output of the build step`);
   }
 };
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -1,87 +1,20 @@
+/** The platform's settings in the code's terms, read from the file that the platform writes for each controller. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
-import * as v from 'valibot';
-import { ConfigError, validateSettings } from './validation.js';
 import type { TeamQuota } from '../core/types.js';
 import type { NodeName, Team, Zone } from '../core/units.js';
+import { parseAddress, type Address } from './address.js';
+import { platformFile, type PlatformFile } from './platform-schema.js';
+import { ConfigError, validateSettings } from './validation.js';
 
-const positive = v.pipe(v.number(), v.minValue(0));
-const address = v.pipe(v.string(), v.regex(/^\d+\.\d+\.\d+\.\d+:\d+$/, 'an address like 10.0.0.1:8080'));
-const text = v.pipe(v.string(), v.minLength(1));
-const objective = v.object({
-  kind: v.string(),
-  class: v.optional(v.string()),
-  within_s: v.optional(v.number()),
-  share: v.optional(v.number()),
-});
-
-const schema = v.object({
-  node_name: text,
-  area: text,
-  public_addr: address,
-  internal_addr: address,
-  peers: v.optional(v.array(v.object({ node_name: text, area: text, address })), []),
-  external: v.object({ cloud: address, state: address }),
-  settings: v.object({
-    count: v.pipe(v.number(), v.integer(), v.minValue(1)),
-    zones: v.array(text),
-    clock_error_ms: positive,
-    teams: v.optional(
-      v.array(
-        v.object({
-          name: text,
-          cpus: v.optional(positive, 0),
-          cpus_max: v.optional(positive, 0),
-          gpus: v.optional(positive, 0),
-          gpus_max: v.optional(positive, 0),
-        }),
-      ),
-      [],
-    ),
-    objectives: v.optional(v.array(objective), []),
-    workers: v.object({
-      report_s: positive,
-      lease_s: positive,
-      gang_wait_s: positive,
-      gang_peer_s: positive,
-      cancel_s: positive,
-    }),
-    state: v.object({
-      rps: positive,
-      write_rps: positive,
-      value_kb: positive,
-      txn_ops: positive,
-      next: v.optional(
-        v.object({
-          rps: v.optional(positive),
-          write_rps: v.optional(positive),
-          value_kb: v.optional(positive),
-          txn_ops: v.optional(positive),
-        }),
-      ),
-    }),
-    cloud: v.object({ rps: positive, list_lag_s: positive }),
-    limits: v.object({ cpu: positive, memory_mb: positive, fd_limit: positive }),
-  }),
-});
-
+/** A service-level objective: of the jobs of a class, which share is to be done within which time. */
 export interface Objective {
   kind: string;
   class?: string;
-  within_s?: number;
+  withinS?: number;
   share?: number;
 }
 
-export interface Address {
-  host: string;
-  port: number;
-}
-
-export const parseAddress = (s: string): Address => {
-  const at = s.lastIndexOf(':');
-  return { host: s.slice(0, at), port: Number(s.slice(at + 1)) };
-};
-
 /** What the state service takes: requests and changes a second, the size of a value, changes in a transaction. */
 export interface KeyValueStoreLimits {
   rps: number;
@@ -90,16 +23,16 @@
   txnOps: number;
 }
 
-type StateSettings = v.InferOutput<typeof schema>['settings']['state'];
-
-/** Guards against writes that a service with lowered limits refuses, since they come without notice. */
-const stateLimits = ({ next = {}, ...now }: StateSettings): KeyValueStoreLimits => ({
-  rps: Math.min(now.rps, next.rps ?? Infinity),
-  writeRps: Math.min(now.write_rps, next.write_rps ?? Infinity),
-  valueKb: Math.min(now.value_kb, next.value_kb ?? Infinity),
-  txnOps: Math.min(now.txn_ops, next.txn_ops ?? Infinity),
-});
+/** The times that the workers' protocol holds to. */
+export interface WorkerTimes {
+  heartbeatIntervalS: number;
+  leaseS: number;
+  gangWaitS: number;
+  gangPeerS: number;
+  cancelS: number;
+}
 
+/** What a controller is told by the platform. */
 export interface PlatformSettings {
   name: NodeName;
   zone: Zone;
@@ -112,69 +45,54 @@
   clockErrorMs: number;
   teams: TeamQuota[];
   objectives: Objective[];
-  workers: {
-    heartbeatIntervalS: number;
-    leaseS: number;
-    gangWaitS: number;
-    gangPeerS: number;
-    cancelS: number;
-  };
+  workers: WorkerTimes;
   /** The smaller of the present limits and of those announced for later: what is kept holds under both. */
   keyValueStoreLimits: KeyValueStoreLimits;
   cloudProviderLimits: { rps: number; listLagS: number };
   limits: { cpu: number; memoryMb: number; sockets: number };
 }
 
+type FileSettings = PlatformFile['settings'];
+
+/** Reads the text of the settings file; throws ConfigError. */
 export const parsePlatformSettings = (source: string): PlatformSettings => {
-  let raw: unknown;
-  try {
-    raw = parse(source);
-  } catch (e) {
-    throw new ConfigError(`settings: not TOML: ${String(e instanceof Error ? e.message : e).split('\n')[0]}`);
-  }
-  const c = validateSettings(schema, raw, 'settings');
-  const s = c.settings;
-  const names = s.teams.map((team) => team.name);
-  const twice = names.findIndex((name, i) => names.indexOf(name) < i);
-  if (twice >= 0)
-    throw new ConfigError(
-      `settings.teams.${twice}.name: "${names[twice]}" stands twice; expected one team of each name`,
-    );
+  const file = validateSettings(platformFile, parseToml(source), 'settings');
+  const { settings } = file;
+  refuseDuplicateTeams(settings.teams);
   return {
-    name: c.node_name as NodeName,
-    zone: c.area as Zone,
-    publicAddress: parseAddress(c.public_addr),
-    internalAddress: parseAddress(c.internal_addr),
-    peers: c.peers.map((p) => ({
-      name: p.node_name as NodeName,
-      zone: p.area as Zone,
-      address: parseAddress(p.address),
-    })),
-    cloudProvider: parseAddress(c.external.cloud),
-    keyValueStore: parseAddress(c.external.state),
-    zones: s.zones as Zone[],
-    clockErrorMs: s.clock_error_ms,
-    teams: s.teams.map((t) => ({
-      name: t.name as Team,
-      cpus: t.cpus,
-      cpusMax: t.cpus_max,
-      gpus: t.gpus,
-      gpusMax: t.gpus_max,
-    })),
-    objectives: s.objectives,
-    workers: {
-      heartbeatIntervalS: s.workers.report_s,
-      leaseS: s.workers.lease_s,
-      gangWaitS: s.workers.gang_wait_s,
-      gangPeerS: s.workers.gang_peer_s,
-      cancelS: s.workers.cancel_s,
+    name: file.node_name as NodeName,
+    zone: file.area as Zone,
+    publicAddress: parseAddress(file.public_addr),
+    internalAddress: parseAddress(file.internal_addr),
+    peers: file.peers.map(toPeer),
+    cloudProvider: parseAddress(file.external.cloud),
+    keyValueStore: parseAddress(file.external.state),
+    zones: settings.zones as Zone[],
+    clockErrorMs: settings.clock_error_ms,
+    teams: settings.teams.map(toTeamQuota),
+    objectives: settings.objectives.map(toObjective),
+    workers: toWorkerTimes(settings.workers),
+    keyValueStoreLimits: toKeyValueStoreLimits(settings.state),
+    cloudProviderLimits: { rps: settings.cloud.rps, listLagS: settings.cloud.list_lag_s },
+    limits: {
+      cpu: settings.limits.cpu,
+      memoryMb: settings.limits.memory_mb,
+      sockets: settings.limits.fd_limit,
     },
-    keyValueStoreLimits: stateLimits(s.state),
-    cloudProviderLimits: { rps: s.cloud.rps, listLagS: s.cloud.list_lag_s },
-    limits: { cpu: s.limits.cpu, memoryMb: s.limits.memory_mb, sockets: s.limits.fd_limit },
   };
 };
 
+/** Reads the settings file; throws ConfigError. */
+export const readPlatformSettings = (path: string): PlatformSettings => {
+  let source: string;
+  try {
+    source = readFileSync(path, 'utf8');
+  } catch {
+    throw new ConfigError(`${path}: cannot be read; expected a readable TOML file`);
+  }
+  return parsePlatformSettings(source);
+};
+
 /** What is served all the same, but not as it was probably meant. */
 export const platformWarnings = ({ teams }: PlatformSettings): string[] => {
   const warnings: string[] = [];
@@ -190,12 +108,57 @@
   return warnings;
 };
 
-export const readPlatformSettings = (path: string): PlatformSettings => {
-  let source: string;
+const parseToml = (source: string): unknown => {
   try {
-    source = readFileSync(path, 'utf8');
-  } catch {
-    throw new ConfigError(`${path}: cannot be read; expected a readable TOML file`);
+    return parse(source);
+  } catch (error) {
+    const message = String(error instanceof Error ? error.message : error);
+    throw new ConfigError(`settings: not TOML: ${message.split('\n')[0]}`);
   }
-  return parsePlatformSettings(source);
 };
+
+const refuseDuplicateTeams = (teams: FileSettings['teams']): void => {
+  const names = teams.map((team) => team.name);
+  const duplicate = names.findIndex((name, i) => names.indexOf(name) < i);
+  if (duplicate < 0) return;
+  throw new ConfigError(
+    `settings.teams.${duplicate}.name: "${names[duplicate]}" stands twice; expected one team of each name`,
+  );
+};
+
+const toPeer = (peer: PlatformFile['peers'][number]): PlatformSettings['peers'][number] => ({
+  name: peer.node_name as NodeName,
+  zone: peer.area as Zone,
+  address: parseAddress(peer.address),
+});
+
+const toTeamQuota = (team: FileSettings['teams'][number]): TeamQuota => ({
+  name: team.name as Team,
+  cpus: team.cpus,
+  cpusMax: team.cpus_max,
+  gpus: team.gpus,
+  gpusMax: team.gpus_max,
+});
+
+const toObjective = (objective: FileSettings['objectives'][number]): Objective => ({
+  kind: objective.kind,
+  class: objective.class,
+  withinS: objective.within_s,
+  share: objective.share,
+});
+
+const toWorkerTimes = (workers: FileSettings['workers']): WorkerTimes => ({
+  heartbeatIntervalS: workers.report_s,
+  leaseS: workers.lease_s,
+  gangWaitS: workers.gang_wait_s,
+  gangPeerS: workers.gang_peer_s,
+  cancelS: workers.cancel_s,
+});
+
+/** Guards against writes that a service with lowered limits refuses, since they come without notice. */
+const toKeyValueStoreLimits = ({ next = {}, ...now }: FileSettings['state']): KeyValueStoreLimits => ({
+  rps: Math.min(now.rps, next.rps ?? Infinity),
+  writeRps: Math.min(now.write_rps, next.write_rps ?? Infinity),
+  valueKb: Math.min(now.value_kb, next.value_kb ?? Infinity),
+  txnOps: Math.min(now.txn_ops, next.txn_ops ?? Infinity),
+});
--- a/src/core/leader/effects.ts
+++ b/src/core/leader/effects.ts
@@ -32,7 +32,7 @@
 export interface LeaderSettings {
   workers: WorkerTimings;
   teams: TeamQuota[];
-  objectives: { kind: string; class?: string; within_s?: number }[];
+  objectives: { kind: string; class?: string; withinS?: number }[];
   idleHoldS: number;
   capacityRetryS: number;
   /** After so long without a start, a group goes before the others and room is held for it. */
--- a/src/core/leader/scheduling-queue.ts
+++ b/src/core/leader/scheduling-queue.ts
@@ -24,8 +24,8 @@
 
   constructor(private readonly state: LeaderState) {
     for (const o of state.settings.objectives) {
-      if (o.kind !== 'finished' || o.class === undefined || o.within_s === undefined) continue;
-      this.finishObjectivesS.set(o.class, [...(this.finishObjectivesS.get(o.class) ?? []), o.within_s]);
+      if (o.kind !== 'finished' || o.class === undefined || o.withinS === undefined) continue;
+      this.finishObjectivesS.set(o.class, [...(this.finishObjectivesS.get(o.class) ?? []), o.withinS]);
     }
   }
 
--- a/src/runtime/http/http-client.ts
+++ b/src/runtime/http/http-client.ts
@@ -1,6 +1,6 @@
 import { connect, type Socket } from 'node:net';
 import { HttpParser, type HttpMessage } from './http-parser.js';
-import type { Address } from '../../config/platform.js';
+import type { Address } from '../../config/address.js';
 
 export type HttpResult =
   { ok: true; status: number; body: Buffer } | { ok: false; cause: string; sent: boolean };
--- a/src/runtime/workers/worker-client.ts
+++ b/src/runtime/workers/worker-client.ts
@@ -1,6 +1,6 @@
 // Orders sent straight to workers, over a bounded number of connections.
 import { HttpClient, type HttpResult } from '../http/http-client.js';
-import { parseAddress } from '../../config/platform.js';
+import { parseAddress } from '../../config/address.js';
 import type { Endpoint } from '../../core/units.js';
 
 const MAX_IDLE_MS = 10_000;
--- a/src/test/sim/http-server.ts
+++ b/src/test/sim/http-server.ts
@@ -1,7 +1,7 @@
 // A plain HTTP server for the stand-ins, written from the published protocol.
 import { createServer } from 'node:net';
 import type { SimulatedHost } from './simulation-runtime.js';
-import { parseAddress } from '../../config/platform.js';
+import { parseAddress } from '../../config/address.js';
 import { HttpParser, type HttpMessage } from '../../runtime/http/http-parser.js';
 import { decode, encode } from '../../wire/cbor.js';
 
--- a/src/test/sim/production-version.ts
+++ b/src/test/sim/production-version.ts
@@ -4,7 +4,8 @@
 import { join } from 'node:path';
 import { fileURLToPath, pathToFileURL } from 'node:url';
 import { parse } from 'smol-toml';
-import type { Address, PlatformSettings } from '../../config/platform.js';
+import type { Address } from '../../config/address.js';
+import type { PlatformSettings } from '../../config/platform.js';
 
 const ROOT = fileURLToPath(new URL('../../..', import.meta.url));
 const BUILDS = join(ROOT, 'target', 'production');
@@ -95,7 +96,7 @@
     zones: settings.zones,
     clockErrorMs: settings.clockErrorMs,
     teams: settings.teams,
-    objectives: settings.objectives,
+    objectives: settings.objectives.map(({ withinS, ...objective }) => ({ ...objective, within_s: withinS })),
     workers: { reportS: settings.workers.heartbeatIntervalS, leaseS, gangWaitS, gangPeerS, cancelS },
     stateLimits: settings.keyValueStoreLimits,
     cloudLimits: settings.cloudProviderLimits,
--- a/src/test/sim/simulated-user.ts
+++ b/src/test/sim/simulated-user.ts
@@ -1,7 +1,7 @@
 // A user of one job: submits it, asks about it, may call it off; retries as the protocol says, at any controller.
 import type { InvariantChecker } from './invariant-checker.js';
 import type { SimulatedHost } from './simulation-runtime.js';
-import { parseAddress } from '../../config/platform.js';
+import { parseAddress } from '../../config/address.js';
 import type { JobSpec } from '../../core/types.js';
 import { HttpClient } from '../../runtime/http/http-client.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
--- a/src/test/sim/worker-host.ts
+++ b/src/test/sim/worker-host.ts
@@ -2,7 +2,7 @@
 import type { SimulatedHost } from './simulation-runtime.js';
 import { startHttpServer } from './http-server.js';
 import { SimulatedWorker, type WorkerEnvironment } from './simulated-worker.js';
-import { parseAddress } from '../../config/platform.js';
+import { parseAddress } from '../../config/address.js';
 import type { Command, MachineInfo, Heartbeat } from '../../core/types.js';
 import type { Attempt, JobId } from '../../core/units.js';
 import { HttpClient } from '../../runtime/http/http-client.js';
--- a/src/test/wire.test.ts
+++ b/src/test/wire.test.ts
@@ -107,6 +107,29 @@
   });
 });
 
+test('settings: the objectives of the file carry the names of the code', () => {
+  const source = `${platform}\n[[settings.objectives]]\nkind = "finished"\nclass = "batch"\nwithin_s = 90.0\nshare = 0.9\n`;
+  assert.deepEqual(parsePlatformSettings(source).objectives.at(-1), {
+    kind: 'finished',
+    class: 'batch',
+    withinS: 90,
+    share: 0.9,
+  });
+});
+
+test('operator settings: a block left out takes its defaults, a given field stands', () => {
+  const defaults = {
+    leaseMs: 3000,
+    idleHoldS: 15,
+    capacityRetryS: 15,
+    headroom: 0.6,
+    cycleMs: 200,
+    agingS: 90,
+  };
+  assert.deepEqual(parseOperatorSettings({}), defaults);
+  assert.deepEqual(parseOperatorSettings({ scaling: [{ headroom: 2 }] }), { ...defaults, headroom: 2 });
+});
+
 test('settings: a zone without a controller, a team without guarantee or limit, a guarantee above the limit', () => {
   const source = `${platform}\n[[settings.teams]]\nname = "red"\ngpus = 9.0\ngpus_max = 4.0\nweight = 2\n`;
   const p = parsePlatformSettings(source.replace(/zones = \[[^\]]*\]/, 'zones = ["east", "west", "south"]'));
