--- a/src/runtime/listeners.ts
+++ b/src/runtime/listeners.ts
@@ -1,6 +1,6 @@
 /** The two addresses that a controller listens on. */
 import { createServer, type Socket } from 'node:net';
-import type { Address } from '../config/platform.js';
+import type { Address } from '../config/address.js';
 import type { PeerRequest } from '../wire/peer-messages.js';
 import type { HttpMessage } from './http/http-parser.js';
 import { httpConnectionHandler, type HttpHandler, type HttpReply } from './http/http-server.js';
