--- a/lint/strict.js
+++ b/lint/strict.js
@@ -39,7 +39,7 @@
 export const protocolEdge = [
   'src/wire/**',
   'src/config/**',
-  'src/test/sim/{worker-host,user,cloud-service,key-value-store}.ts',
+  'src/test/sim/{worker-host,simulated-user,simulated-cloud-provider,simulated-key-value-store,production-version}.ts',
   'src/test/{wire,peer-messages,upgrade}.test.ts',
 ];
 
--- a/src/test/dense-faults.test.ts
+++ b/src/test/dense-faults.test.ts
@@ -1,8 +1,8 @@
 // Troubles of all kinds, three at a time and without quiet between, meet pipelines, cancellations and short jobs. The seed
 // is in each test's name; DENSE_FAULT_SEEDS=FIRST-LAST plays other days than those kept here.
 import { test } from 'node:test';
-import { submitMixedWork, assertScenarioPasses, type Scenario } from './sim/scenario.js';
 import { submitPipelines } from './sim/pipeline-scenarios.js';
+import { assertScenarioPasses, submitMixedWork, type Scenario } from './sim/scenario.js';
 import { allFaults, pickRandom } from './sim/faults.js';
 import type { JobId, Team } from '../core/units.js';
 
--- a/src/test/fault-combinations-cancellation.test.ts
+++ b/src/test/fault-combinations-cancellation.test.ts
@@ -1,12 +1,7 @@
 // Meetings of troubles with cancellations: named as the operators name them. Whole controllers on virtual time.
 import { test } from 'node:test';
-import {
-  LONG_OUTAGE_MS,
-  FAULTS_AT_MS,
-  startMixedWork,
-  cancelWhileMachinesHang,
-  assertScenarioPasses,
-} from './sim/scenario.js';
+import { FAULTS_AT_MS, LONG_OUTAGE_MS, cancelWhileMachinesHang } from './sim/cancellation-scenarios.js';
+import { assertScenarioPasses, startMixedWork } from './sim/scenario.js';
 
 const times = { faultsEndMs: 140_000, endMs: 330_000 };
 
--- a/src/test/fault-combinations-delayed-commands.test.ts
+++ b/src/test/fault-combinations-delayed-commands.test.ts
@@ -1,8 +1,8 @@
 // Meetings of late commands and of users who look closely. Whole controllers on virtual time.
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
-import { runScenario, assertScenarioPasses } from './sim/scenario.js';
 import { delayDirectCommands, usersQueryAllControllers } from './sim/fault-scenarios.js';
+import { assertScenarioPasses, runScenario } from './sim/scenario.js';
 import { HeartbeatReconciler } from '../core/leader/heartbeat-reconciler.js';
 import { JobLookup } from '../runtime/users/job-lookup.js';
 
@@ -35,9 +35,10 @@
       }
     },
   );
-  const broken: string[] = [];
-  for (const seed of [1, 2]) broken.push(...(await runScenario(seed, times, delayDirectCommands)).broken);
-  assert.match(broken.join('; '), /ran_twice/);
+  const violations: string[] = [];
+  for (const seed of [1, 2])
+    violations.push(...(await runScenario(seed, times, delayDirectCommands)).violations);
+  assert.match(violations.join('; '), /ran_twice/);
 });
 
 test('mutation: controllers answer for unfinished jobs from memory', async (t: TestContext) => {
@@ -55,6 +56,6 @@
       return answer;
     },
   );
-  const { broken } = await runScenario(1, times, usersQueryAllControllers);
-  assert.match(broken.join('; '), /went_back|forgotten/);
+  const { violations } = await runScenario(1, times, usersQueryAllControllers);
+  assert.match(violations.join('; '), /went_back|forgotten/);
 });
--- a/src/test/fault-combinations-leader.test.ts
+++ b/src/test/fault-combinations-leader.test.ts
@@ -1,17 +1,19 @@
 // More meetings of two troubles, around changes of leader, named as the operators name them. Whole controllers on virtual time.
 import { test } from 'node:test';
-import { startMixedWork, assertScenarioPasses } from './sim/scenario.js';
-import { leaderRefusedAtTeamLimit, workerHosts, zoneBoundJobsLoseMachines } from './sim/fault-scenarios.js';
-
-const START = 10_000;
-const MEETING = 50_000;
+import {
+  EARLY_FAULTS_AT_MS,
+  leaderRefusedAtTeamLimit,
+  workerHosts,
+  zoneBoundJobsLoseMachines,
+} from './sim/fault-scenarios.js';
+import { WORK_STARTS_AT_MS, assertScenarioPasses, startMixedWork } from './sim/scenario.js';
 
 test('single-zone jobs, arrays included, lose machines', () =>
   assertScenarioPasses({ faultsEndMs: 120_000, endMs: 500_000 }, zoneBoundJobsLoseMachines));
 
 test('tasks of small jobs end far apart across a failover', () =>
   assertScenarioPasses({ faultsEndMs: 120_000, endMs: 330_000 }, (scenario) => {
-    scenario.cluster.at(START, () => {
+    scenario.cluster.at(WORK_STARTS_AT_MS, () => {
       for (let i = 0; i < 8; i++) {
         scenario.submit({ tasks: 2 + (i % 2) }, 30_000 + 2000 * i);
         scenario.submit({ kind: 'gang', tasks: 2 + (i % 2) }, 30_000 + 2000 * i);
@@ -28,15 +30,19 @@
 
 test('a transaction without a response is executed late, after newer ones of the same controller', () =>
   assertScenarioPasses({ faultsEndMs: 130_000, endMs: 330_000 }, (scenario) => {
-    scenario.cluster.at(START - 5000, () => scenario.cluster.keyValueStore.delayTransactions(0.3, 100_000));
+    scenario.cluster.at(WORK_STARTS_AT_MS - 5000, () =>
+      scenario.cluster.keyValueStore.delayTransactions(0.3, 100_000),
+    );
     for (let i = 0; i < 25; i++) {
-      scenario.cluster.at(START + i * 3000, () => {
+      scenario.cluster.at(WORK_STARTS_AT_MS + i * 3000, () => {
         const id = scenario.submit({ tasks: 1 + (i % 4) }, 10_000 + 1000 * (i % 7));
         if (i % 5 === 0) scenario.cluster.at(scenario.cluster.now + 9000, () => scenario.cluster.cancel(id));
       });
     }
-    scenario.cluster.at(MEETING, () => scenario.cluster.restart(scenario.cluster.leader!, 3000));
-    scenario.cluster.at(MEETING + 20_000, () => scenario.cluster.restart(scenario.cluster.leader!, 500));
+    scenario.cluster.at(EARLY_FAULTS_AT_MS, () => scenario.cluster.restart(scenario.cluster.leader!, 3000));
+    scenario.cluster.at(EARLY_FAULTS_AT_MS + 20_000, () =>
+      scenario.cluster.restart(scenario.cluster.leader!, 500),
+    );
   }));
 
 test('the key-value store refuses the leader while a team is at its limit and work is pending', () =>
@@ -45,13 +51,15 @@
 test('a controller loses key-value store and peers, not its workers', () =>
   assertScenarioPasses({ faultsEndMs: 130_000, endMs: 400_000 }, (scenario) => {
     const jobs = startMixedWork(scenario);
-    scenario.cluster.at(MEETING, () => {
+    scenario.cluster.at(EARLY_FAULTS_AT_MS, () => {
       const controller = scenario.cluster.controllers.find(
         (controller) => controller !== scenario.cluster.leader,
       )!;
       scenario.cluster.isolateFromKeyValueStore(controller, 60_000);
       scenario.cluster.isolateFromPeers(controller, 'hold', 60_000);
     });
-    scenario.cluster.at(MEETING + 5000, () => scenario.cluster.cancel(jobs[3]));
-    scenario.cluster.at(MEETING + 20_000, () => scenario.cluster.restart(scenario.cluster.leader!, 300));
+    scenario.cluster.at(EARLY_FAULTS_AT_MS + 5000, () => scenario.cluster.cancel(jobs[3]));
+    scenario.cluster.at(EARLY_FAULTS_AT_MS + 20_000, () =>
+      scenario.cluster.restart(scenario.cluster.leader!, 300),
+    );
   }));
--- a/src/test/fault-combinations-pipeline-cancellation.test.ts
+++ b/src/test/fault-combinations-pipeline-cancellation.test.ts
@@ -1,14 +1,9 @@
 // Jobs that others depend on are cancelled while troubles meet: whole controllers on virtual time.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import {
-  LONG_OUTAGE_MS,
-  FAULTS_AT_MS,
-  runScenario,
-  assertScenarioPasses,
-  type Scenario,
-} from './sim/scenario.js';
-import { WORK_STARTS_AT_MS, cancelBeforeOutage, submitDiamond } from './sim/pipeline-scenarios.js';
+import { FAULTS_AT_MS, LONG_OUTAGE_MS } from './sim/cancellation-scenarios.js';
+import { cancelBeforeOutage, submitDiamond } from './sim/pipeline-scenarios.js';
+import { WORK_STARTS_AT_MS, assertScenarioPasses, runScenario, type Scenario } from './sim/scenario.js';
 import type { JobId } from '../core/units.js';
 
 const times = { faultsEndMs: 140_000, endMs: 330_000 };
@@ -76,12 +71,12 @@
 test('a dependent of a job that was done when it was cancelled runs', async () => {
   let ran = 0;
   for (const seed of [1, 2, 3]) {
-    const { sim } = await runScenario(seed, times, cancelledAtTheEnd);
-    for (const [id, user] of sim.users)
+    const { cluster } = await runScenario(seed, times, cancelledAtTheEnd);
+    for (const [id, user] of cluster.users)
       if (
         user.spec.dependsOn.length > 0 &&
         user.status === 'done' &&
-        sim.checker.completedTaskCount(id) === 2
+        cluster.checker.completedTaskCount(id) === 2
       )
         ran++;
   }
--- a/src/test/fault-combinations-pipelines.test.ts
+++ b/src/test/fault-combinations-pipelines.test.ts
@@ -1,8 +1,8 @@
 // Pipelines of dependent jobs while troubles meet: whole controllers on virtual time.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { runScenario, assertScenarioPasses } from './sim/scenario.js';
-import { WORK_STARTS_AT_MS, submitPipelines } from './sim/pipeline-scenarios.js';
+import { submitPipelines } from './sim/pipeline-scenarios.js';
+import { WORK_STARTS_AT_MS, assertScenarioPasses, runScenario } from './sim/scenario.js';
 import type { JobId } from '../core/units.js';
 
 const times = { faultsEndMs: 140_000, endMs: 330_000 };
@@ -39,7 +39,7 @@
 
 test('wrong dependency names: refused as never accepted, or malformed', async () => {
   const statuses = new Map<string, string>();
-  const { broken } = await runScenario(1, { faultsEndMs: 20_000, endMs: 40_000 }, (scenario) => {
+  const { violations } = await runScenario(1, { faultsEndMs: 20_000, endMs: 40_000 }, (scenario) => {
     scenario.cluster.at(WORK_STARTS_AT_MS, () => {
       const stranger = scenario.submit({ dependsOn: ['wk-999' as JobId] });
       const bad = scenario.submit({ dependsOn: ['no id' as JobId] });
@@ -49,5 +49,5 @@
     });
   });
   assert.deepEqual([...statuses.values()], ['422', '400']);
-  assert.deepEqual(broken, []);
+  assert.deepEqual(violations, []);
 });
--- a/src/test/fault-combinations-refusal-then-late-outage.test.ts
+++ b/src/test/fault-combinations-refusal-then-late-outage.test.ts
@@ -1,6 +1,7 @@
 // The same as the short gaps between the refusal of the leader and the outage, with longer ones.
 import { test } from 'node:test';
-import { assertScenarioPasses, leaderRefusedThenOutage } from './sim/scenario.js';
+import { leaderRefusedThenOutage } from './sim/cancellation-scenarios.js';
+import { assertScenarioPasses } from './sim/scenario.js';
 
 const times = { faultsEndMs: 140_000, endMs: 330_000 };
 
--- a/src/test/fault-combinations-refusal-then-outage.test.ts
+++ b/src/test/fault-combinations-refusal-then-outage.test.ts
@@ -1,6 +1,7 @@
 // The first meeting of the operators' letter: the leader refused alone, cancellations confirmed elsewhere, an outage.
 import { test } from 'node:test';
-import { assertScenarioPasses, leaderRefusedThenOutage } from './sim/scenario.js';
+import { leaderRefusedThenOutage } from './sim/cancellation-scenarios.js';
+import { assertScenarioPasses } from './sim/scenario.js';
 
 const times = { faultsEndMs: 140_000, endMs: 330_000 };
 
--- a/src/test/fault-combinations-unreachable-workers.test.ts
+++ b/src/test/fault-combinations-unreachable-workers.test.ts
@@ -1,8 +1,7 @@
 // Cancellations that meet machines out of reach, a team's limit, or a job's end. Whole controllers on virtual time.
 import { test } from 'node:test';
-import { FAULTS_AT_MS, startMixedWork, cancelAtTeamLimit, assertScenarioPasses } from './sim/scenario.js';
-
-const START = 10_000;
+import { FAULTS_AT_MS, cancelAtTeamLimit } from './sim/cancellation-scenarios.js';
+import { WORK_STARTS_AT_MS, assertScenarioPasses, startMixedWork } from './sim/scenario.js';
 
 test('workers cannot connect to a controller, or receive no response, while their jobs are cancelled', () =>
   assertScenarioPasses({ faultsEndMs: 110_000, endMs: 330_000 }, (scenario) => {
@@ -32,7 +31,9 @@
 test('a cancellation, a query or a repeated submission coincides with the end of the last task', () =>
   assertScenarioPasses({ faultsEndMs: 120_000, endMs: 160_000 }, (scenario) => {
     for (let i = 0; i < 30; i++)
-      scenario.cluster.at(START + i * 2500, () => scenario.submit({ tasks: 1 + (i % 3) }, 6000 + 100 * i));
+      scenario.cluster.at(WORK_STARTS_AT_MS + i * 2500, () =>
+        scenario.submit({ tasks: 1 + (i % 3) }, 6000 + 100 * i),
+      );
     scenario.cluster.checker.onJobCompleted = (id) => {
       const user = scenario.cluster.users.get(id)!;
       const jobNumber = Number(id.slice(3));
--- a/src/test/fault-combinations.test.ts
+++ b/src/test/fault-combinations.test.ts
@@ -1,19 +1,16 @@
 // Meetings of two troubles, named as the operators name them. Whole controllers on virtual time.
 import { test } from 'node:test';
-import { startMixedWork, assertScenarioPasses, type Scenario } from './sim/scenario.js';
-import { partitionZoneDuringFailover } from './sim/fault-scenarios.js';
+import { EARLY_FAULTS_AT_MS, partitionZoneDuringFailover } from './sim/fault-scenarios.js';
+import { WORK_STARTS_AT_MS, assertScenarioPasses, startMixedWork, type Scenario } from './sim/scenario.js';
 import type { WorkerHost } from './sim/worker-host.js';
 
-const START = 10_000;
-const MEETING = 50_000;
-
 const workers = (scenario: Scenario): WorkerHost[] => [...scenario.cluster.workers.values()];
 
 test('a command or its response is delayed for seconds, and the machine then continues', () =>
   assertScenarioPasses({ faultsEndMs: 120_000, endMs: 260_000 }, (scenario) => {
     startMixedWork(scenario);
     for (let i = 0; i < 20; i++)
-      scenario.cluster.at(START + i * 1500, () => {
+      scenario.cluster.at(WORK_STARTS_AT_MS + i * 1500, () => {
         scenario.submit({ tasks: 1 + (i % 3) }, 15_000);
         // Machines hang just as the commands for them are under way.
         scenario.cluster.at(scenario.cluster.now + 100 + 40 * i, () => {
@@ -26,16 +23,18 @@
 test('a leader crashes while machines with long tasks are unreachable or behind a one-way partition', () =>
   assertScenarioPasses({ faultsEndMs: 110_000, endMs: 330_000 }, (scenario) => {
     const jobs = startMixedWork(scenario);
-    scenario.cluster.at(MEETING, () => {
+    scenario.cluster.at(EARLY_FAULTS_AT_MS, () => {
       for (const workerHost of scenario.cluster.machinesOf(jobs[3])) workerHost.hang(8000);
       const deaf = scenario.cluster.machinesOf(jobs[2]);
       for (const workerHost of deaf) workerHost.worker.inboundPartitioned = true;
-      scenario.cluster.at(MEETING + 30_000, () =>
+      scenario.cluster.at(EARLY_FAULTS_AT_MS + 30_000, () =>
         deaf.forEach((workerHost) => (workerHost.worker.inboundPartitioned = false)),
       );
       scenario.cluster.restart(scenario.cluster.leader!, 5000);
     });
-    scenario.cluster.at(MEETING + 20_000, () => scenario.cluster.restart(scenario.cluster.leader!, 300));
+    scenario.cluster.at(EARLY_FAULTS_AT_MS + 20_000, () =>
+      scenario.cluster.restart(scenario.cluster.leader!, 300),
+    );
   }));
 
 test('a zone with workers and a controller is partitioned for longer than lease_s', () =>
@@ -43,7 +42,7 @@
 
 test('more work than capacity, urgent and not, and failovers', () =>
   assertScenarioPasses({ setup: { capacity: 16 }, faultsEndMs: 100_000, endMs: 500_000 }, (scenario) => {
-    scenario.cluster.at(START, () => {
+    scenario.cluster.at(WORK_STARTS_AT_MS, () => {
       for (let i = 0; i < 12; i++) scenario.submit({ tasks: 6, priority: 'low', class: 'many' }, 40_000);
       for (let i = 0; i < 6; i++)
         scenario.submit({ kind: 'gang', tasks: 2, priority: 'high', class: 'gangs' }, 20_000);
@@ -56,21 +55,25 @@
   assertScenarioPasses({ faultsEndMs: 120_000, endMs: 330_000 }, (scenario) => {
     const jobs = startMixedWork(scenario);
     for (const [i, controller] of scenario.cluster.controllers.entries())
-      scenario.cluster.at(MEETING + i * 900, () => scenario.cluster.restart(controller, 200 + 100 * i));
-    scenario.cluster.at(MEETING + 8000, () =>
+      scenario.cluster.at(EARLY_FAULTS_AT_MS + i * 900, () =>
+        scenario.cluster.restart(controller, 200 + 100 * i),
+      );
+    scenario.cluster.at(EARLY_FAULTS_AT_MS + 8000, () =>
       scenario.cluster.controllers.forEach((controller, i) =>
         scenario.cluster.restart(controller, i === 0 ? 600 : 20_000),
       ),
     );
-    scenario.cluster.at(MEETING + 8200, () => scenario.cluster.cancel(jobs[0]));
-    scenario.cluster.at(MEETING + 9000, () => scenario.cluster.restart(scenario.cluster.controllers[0], 100));
+    scenario.cluster.at(EARLY_FAULTS_AT_MS + 8200, () => scenario.cluster.cancel(jobs[0]));
+    scenario.cluster.at(EARLY_FAULTS_AT_MS + 9000, () =>
+      scenario.cluster.restart(scenario.cluster.controllers[0], 100),
+    );
   }));
 
 test('all controllers are down for longer than lease_s', () =>
   assertScenarioPasses({ faultsEndMs: 80_000, endMs: 330_000 }, (scenario) => {
     const jobs = startMixedWork(scenario);
-    scenario.cluster.at(MEETING, () => scenario.cluster.cancel(jobs[0]));
-    scenario.cluster.at(MEETING + 50, () =>
+    scenario.cluster.at(EARLY_FAULTS_AT_MS, () => scenario.cluster.cancel(jobs[0]));
+    scenario.cluster.at(EARLY_FAULTS_AT_MS + 50, () =>
       scenario.cluster.controllers.forEach((controller, i) =>
         scenario.cluster.restart(controller, 14_000 + 700 * i),
       ),
@@ -82,17 +85,17 @@
     const jobs = startMixedWork(scenario);
     // Work comes and goes, so that an old report says something else than the newest.
     for (let i = 0; i < 40; i++)
-      scenario.cluster.at(START + i * 2000, () =>
+      scenario.cluster.at(WORK_STARTS_AT_MS + i * 2000, () =>
         scenario.submit({ tasks: 1 + (i % 2), checkpointS: 0 }, 9000 + 200 * i),
       );
-    scenario.cluster.at(START + 5000, () => scenario.cluster.duplicateHeartbeats(0.5, 105_000));
-    scenario.cluster.at(MEETING, () => {
+    scenario.cluster.at(WORK_STARTS_AT_MS + 5000, () => scenario.cluster.duplicateHeartbeats(0.5, 105_000));
+    scenario.cluster.at(EARLY_FAULTS_AT_MS, () => {
       const ips = scenario.cluster.machinesOf(jobs[3]).map((workerHost) => workerHost.host.ip);
       const controllers = scenario.cluster.controllers.map((controller) => controller.ip);
       scenario.cluster.network.cut(ips, controllers, 'hold', 7000);
       scenario.cluster.restart(scenario.cluster.leader!, 4000);
     });
-    scenario.cluster.at(MEETING + 25_000, () => {
+    scenario.cluster.at(EARLY_FAULTS_AT_MS + 25_000, () => {
       for (const workerHost of workers(scenario)) if (scenario.random() < 0.2) workerHost.hang(14_000);
       scenario.cluster.restart(scenario.cluster.leader!, 500);
     });
--- a/src/test/four-zones.test.ts
+++ b/src/test/four-zones.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { types } from './sim/fixtures.js';
-import { runScenario, assertScenarioPasses, type Scenario } from './sim/scenario.js';
-import type { ClusterSetup } from './sim/cluster-simulation.js';
+import { assertScenarioPasses, runScenario, type Scenario } from './sim/scenario.js';
+import type { ClusterSetup } from './sim/cluster-setup.js';
 import type { TeamQuota } from '../core/types.js';
 import type { JobId, Team, Zone } from '../core/units.js';
 
@@ -32,18 +32,18 @@
   for (const seed of [1, 2, 3]) {
     // No room is kept for work to come.
     const operator = { scaling: [{ headroom: 0 }] };
-    const { sim, broken } = await runScenario(
+    const { cluster, violations } = await runScenario(
       seed,
       { setup: { ...over, operator }, faultsEndMs: 30_000, endMs: 60_000 },
       (scenario) => {
         scenario.cluster.at(100, () => work(scenario));
       },
     );
-    const running = [...sim.users.values()].filter((user) => user.status === 'running').length;
-    const early = [...sim.cloudProvider.deletedAt].filter(([, at]) => at < 14_000).length;
+    const running = [...cluster.users.values()].filter((user) => user.status === 'running').length;
+    const early = [...cluster.cloudProvider.deletedAt].filter(([, at]) => at < 14_000).length;
     assert.deepEqual(
-      { broken, running, early, rented: sim.cloudProvider.scaledOutCount },
-      { broken: [], running: 6, early: 0, rented: 0 },
+      { violations, running, early, rented: cluster.cloudProvider.scaledOutCount },
+      { violations: [], running: 6, early: 0, rented: 0 },
     );
   }
 });
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -12,7 +12,7 @@
 } from './sim/scheduling-cycle-fixtures.js';
 import { types } from './sim/fixtures.js';
 import { runScenario, type Scenario } from './sim/scenario.js';
-import type { ClusterSetup } from './sim/cluster-simulation.js';
+import type { ClusterSetup } from './sim/cluster-setup.js';
 import { markWithinGuarantee } from '../core/scheduler/guarantees.js';
 import { Preemption } from '../core/scheduler/preemption.js';
 import type { Job } from '../core/job.js';
@@ -260,7 +260,7 @@
 const STARTED_MS = OWED_MS + 15_000;
 
 /** Everything is full of borrowed work; then a team asks for what it is guaranteed. */
-const playOwed = async (): Promise<{ broken: string[]; unfinished: string[]; running: number }> => {
+const playOwed = async (): Promise<{ violations: string[]; unfinished: string[]; running: number }> => {
   let running = 0;
   const day = await runScenario(
     1,
@@ -284,11 +284,11 @@
       );
     },
   );
-  return { broken: day.broken, unfinished: day.unfinished, running };
+  return { violations: day.violations, unfinished: day.unfinished, running };
 };
 
 test('three teams, gangs and arrays: a team gets its guarantee at once, and every job ends', async () => {
-  assert.deepEqual(await playOwed(), { broken: [], unfinished: [], running: 6 });
+  assert.deepEqual(await playOwed(), { violations: [], unfinished: [], running: 6 });
 });
 
 test('mutation: without preemption of borrowed capacity the team waits', async (t: TestContext) => {
--- a/src/test/leader-start.test.ts
+++ b/src/test/leader-start.test.ts
@@ -10,13 +10,17 @@
 for (const cloudDelayMs of [0, 400, 800, 1200, 1600, 2000]) {
   test(`machine types that arrive ${cloudDelayMs} ms late are known to a leader that loads meanwhile`, async () => {
     let startsByThen = 0;
-    const { broken } = await runScenario(1, { faultsEndMs: 30_000, endMs: 40_000 }, ({ cluster, submit }) => {
-      cluster.keyValueStore.responseDelayMs = 300;
-      cluster.cloudProvider.responseDelayMs = cloudDelayMs;
-      cluster.at(SUBMITTED_MS, () => submit({ tasks: 4 }, 10_000));
-      cluster.at(STARTED_MS, () => (startsByThen = cluster.checker.startCount));
-    });
-    assert.deepEqual(broken, []);
+    const { violations } = await runScenario(
+      1,
+      { faultsEndMs: 30_000, endMs: 40_000 },
+      ({ cluster, submit }) => {
+        cluster.keyValueStore.responseDelayMs = 300;
+        cluster.cloudProvider.responseDelayMs = cloudDelayMs;
+        cluster.at(SUBMITTED_MS, () => submit({ tasks: 4 }, 10_000));
+        cluster.at(STARTED_MS, () => (startsByThen = cluster.checker.startCount));
+      },
+    );
+    assert.deepEqual(violations, []);
     assert.equal(startsByThen, 4);
   });
 }
--- a/src/test/mutations-fault-combinations.test.ts
+++ b/src/test/mutations-fault-combinations.test.ts
@@ -1,41 +1,45 @@
-// Meetings that passed on every variant tried before: each is played with the safeguard that it is about taken out, and
-// must then break its rule.
+/**
+ * Mutation tests of scenarios that detected none of the other mutations: each runs without the safeguard that it is about,
+ * and must then violate its invariant.
+ */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
-import { runScenario, type Scenario } from './sim/scenario.js';
 import {
   leaderRefusedAtTeamLimit,
   leadersChangeTenTimes,
-  zoneBoundJobsLoseMachines,
   partitionZoneDuringFailover,
+  zoneBoundJobsLoseMachines,
 } from './sim/fault-scenarios.js';
+import { runScenario, type Script } from './sim/scenario.js';
 import { Leader } from '../core/leader/leader.js';
 import { MachinePool } from '../core/leader/machine-pool.js';
 import { LeaderState } from '../core/leader/leader-state.js';
 import { Snapshot } from '../core/scheduler/snapshot.js';
 
-/** What breaks on days with several seeds: the one that needs the safeguard may be any of them. */
-const found = async (script: (scenario: Scenario) => void, seeds = [1]): Promise<string> => {
-  const broken: string[] = [];
+/** The violations with several seeds: any of them may be the one that needs the safeguard. */
+const violationsOf = async (script: Script, seeds = [1]): Promise<string> => {
+  const violations: string[] = [];
   for (const seed of seeds)
-    broken.push(...(await runScenario(seed, { faultsEndMs: 180_000, endMs: 400_000 }, script)).broken);
-  return broken.join('; ');
+    violations.push(
+      ...(await runScenario(seed, { faultsEndMs: 180_000, endMs: 400_000 }, script)).violations,
+    );
+  return violations.join('; ');
 };
 
 test('mutation: placement ignores the zone of the other tasks of a single-zone job', async (t: TestContext) => {
   t.mock.method(Snapshot.prototype, 'zonesOf', () => new Map());
-  assert.match(await found(zoneBoundJobsLoseMachines), /wrong_place/);
+  assert.match(await violationsOf(zoneBoundJobsLoseMachines), /wrong_place/);
 });
 
 test('mutation: a new leader places tasks before machines are reconciled', async (t: TestContext) => {
   t.mock.method(LeaderState.prototype, 'mayRunOnUnreconciledMachine', () => false);
   t.mock.method(Leader.prototype, 'readyToPlace' as 'takeEffects', () => true as never);
-  assert.match(await found(leadersChangeTenTimes(0)), /ran_twice|wrong_place/);
+  assert.match(await violationsOf(leadersChangeTenTimes(0)), /ran_twice|wrong_place/);
 });
 
 test('mutation: placement ignores the team quota', async (t: TestContext) => {
   t.mock.method(Snapshot.prototype, 'teamAllows', () => true);
-  assert.match(await found(leaderRefusedAtTeamLimit), /quota/);
+  assert.match(await violationsOf(leaderRefusedAtTeamLimit), /quota/);
 });
 
 test('mutation: unreachable machines of a partitioned zone are released before the cloud provider answers', async (t: TestContext) => {
@@ -49,5 +53,5 @@
       this.onDeletionResult([machine.id], true, now);
     },
   );
-  assert.match(await found(partitionZoneDuringFailover, [1, 2, 3, 4]), /ran_twice|ran_cancelled/);
+  assert.match(await violationsOf(partitionZoneDuringFailover, [1, 2, 3, 4]), /ran_twice|ran_cancelled/);
 });
--- a/src/test/mutations-pipelines.test.ts
+++ b/src/test/mutations-pipelines.test.ts
@@ -1,8 +1,9 @@
-// What the pipelines' tests would see: each safeguard is taken out once, and the day that needs it must break its rule.
+/** Mutation tests of pipelines: without a safeguard, the scenario that needs it must violate its invariant. */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
-import { LONG_OUTAGE_MS, FAULTS_AT_MS, runScenario, type Scenario } from './sim/scenario.js';
-import { WORK_STARTS_AT_MS, cancelBeforeOutage, submitPipelines } from './sim/pipeline-scenarios.js';
+import { FAULTS_AT_MS, LONG_OUTAGE_MS } from './sim/cancellation-scenarios.js';
+import { cancelBeforeOutage, submitPipelines } from './sim/pipeline-scenarios.js';
+import { WORK_STARTS_AT_MS, runScenario, type Script } from './sim/scenario.js';
 import { Job } from '../core/job.js';
 import { JobDependencies } from '../core/leader/job-dependencies.js';
 import { JobLookup } from '../runtime/users/job-lookup.js';
@@ -10,12 +11,12 @@
 import { UserApi } from '../runtime/users/user-api.js';
 import type { JobId } from '../core/units.js';
 
-const broken = async (script: (scenario: Scenario) => void, seed = 1): Promise<string> =>
-  (await runScenario(seed, { faultsEndMs: 140_000, endMs: 330_000 }, script)).broken.join('; ');
+const violationsOf = async (script: Script, seed = 1): Promise<string> =>
+  (await runScenario(seed, { faultsEndMs: 140_000, endMs: 330_000 }, script)).violations.join('; ');
 
 test('mutation: jobs are placed before their dependencies are done', async (t: TestContext) => {
   t.mock.getter(Job.prototype, 'ready', () => true);
-  assert.match(await broken((scenario) => submitPipelines(scenario, 3)), /too_early/);
+  assert.match(await violationsOf((scenario) => submitPipelines(scenario, 3)), /too_early/);
 });
 
 test('mutation: the leader treats unknown dependencies as done', async (t: TestContext) => {
@@ -30,7 +31,7 @@
       onFinalRecordRead.call(this, id, 'done', now);
     },
   );
-  const script = (scenario: Scenario): void => {
+  const script: Script = (scenario) => {
     scenario.cluster.at(WORK_STARTS_AT_MS, () => {
       const first = scenario.submit({ tasks: 1 }, 60_000);
       scenario.cluster.at(WORK_STARTS_AT_MS + 3000, () => scenario.cluster.cancel(first));
@@ -40,12 +41,12 @@
       scenario.cluster.at(WORK_STARTS_AT_MS + 40_000, () => scenario.submitAfter([first], { tasks: 1 }));
     });
   };
-  assert.match(await broken(script), /too_early/);
+  assert.match(await violationsOf(script), /too_early/);
 });
 
 test('mutation: controllers leave cancelling dependents to the leader', async (t: TestContext) => {
   t.mock.method(JobLookup.prototype, 'dependencyCancelled', () => Promise.resolve(false));
-  assert.match(await broken(cancelBeforeOutage(FAULTS_AT_MS, LONG_OUTAGE_MS)), /orphaned/);
+  assert.match(await violationsOf(cancelBeforeOutage(FAULTS_AT_MS, LONG_OUTAGE_MS)), /orphaned/);
 });
 
 test('mutation: controllers report a job as cancelled before its record says so', async (t: TestContext) => {
@@ -61,7 +62,7 @@
   t.mock.method(CancellationFeed.prototype, 'onPeerPage', () => undefined);
   t.mock.method(CancellationFeed.prototype, 'onPushed', () => undefined);
   assert.match(
-    await broken(cancelBeforeOutage(FAULTS_AT_MS, LONG_OUTAGE_MS)),
+    await violationsOf(cancelBeforeOutage(FAULTS_AT_MS, LONG_OUTAGE_MS)),
     /went_back|orphaned|not called/,
   );
 });
--- a/src/test/mutations-safeguards.test.ts
+++ b/src/test/mutations-safeguards.test.ts
@@ -1,14 +1,8 @@
-// What the meetings' tests would see: each safeguard is taken out once, and the day that needs it must break its rule.
+/** Mutation tests of the fault combinations: without a safeguard, the scenario that needs it must violate its invariant. */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
-import {
-  FAULTS_AT_MS,
-  startMixedWork,
-  cancelWhileMachinesHang,
-  cancelAtTeamLimit,
-  runScenario,
-  type Scenario,
-} from './sim/scenario.js';
+import { FAULTS_AT_MS, cancelAtTeamLimit, cancelWhileMachinesHang } from './sim/cancellation-scenarios.js';
+import { runScenario, startMixedWork, type Script } from './sim/scenario.js';
 import type { Job } from '../core/job.js';
 import { Leader } from '../core/leader/leader.js';
 import { MachinePool } from '../core/leader/machine-pool.js';
@@ -22,22 +16,23 @@
 
 const times = { faultsEndMs: 140_000, endMs: 260_000 };
 
-const breaks = async (rule: string, script: (scenario: Scenario) => void, seed = 1): Promise<void> => {
-  const { broken } = await runScenario(seed, times, script);
+/** The invariant must be violated when this scenario runs without the safeguard. */
+const assertViolates = async (rule: string, script: Script, seed = 1): Promise<void> => {
+  const { violations } = await runScenario(seed, times, script);
   assert.ok(
-    broken.some((b) => b.startsWith(rule)),
-    `${rule} expected, found: ${broken.slice(0, 3).join('; ') || 'nothing'}`,
+    violations.some((violation) => violation.startsWith(rule)),
+    `${rule} expected, found: ${violations.slice(0, 3).join('; ') || 'nothing'}`,
   );
 };
 
 test('mutation: no fencing by a leader without authority', async (t: TestContext) => {
   t.mock.method(Leader.prototype, 'tickWithoutAuthority', () => undefined);
-  await breaks('ran_cancelled', cancelWhileMachinesHang());
+  await assertViolates('ran_cancelled', cancelWhileMachinesHang());
 });
 
 test('mutation: no leaderless fencing', async (t: TestContext) => {
   t.mock.method(LeaderlessFencing.prototype, 'check', () => Promise.resolve());
-  await breaks(
+  await assertViolates(
     'ran_cancelled',
     cancelWhileMachinesHang((scenario) =>
       scenario.cluster.at(FAULTS_AT_MS + 4000, () =>
@@ -51,7 +46,7 @@
   t.mock.method(CancellationFeed.prototype, 'mayRenewLeases', () => true);
   t.mock.method(CancellationFeed.prototype, 'onPeerPage', () => undefined);
   t.mock.method(CancellationFeed.prototype, 'onPushed', () => undefined);
-  await breaks('ran_cancelled', (scenario) => {
+  await assertViolates('ran_cancelled', (scenario) => {
     const jobs = startMixedWork(scenario);
     scenario.cluster.at(FAULTS_AT_MS, () => {
       scenario.cluster.refuseLeader(14_000);
@@ -65,7 +60,7 @@
 
 test('mutation: a new leader treats unreconciled machines as empty', async (t: TestContext) => {
   t.mock.method(LeaderState.prototype, 'mayRunOnUnreconciledMachine', () => false);
-  await breaks('ran_twice', (scenario) => {
+  await assertViolates('ran_twice', (scenario) => {
     const jobs = startMixedWork(scenario);
     scenario.cluster.at(FAULTS_AT_MS, () => {
       for (const id of jobs.slice(0, 4))
@@ -83,14 +78,14 @@
   t.mock.method(LeaderState.prototype, 'mayRunOnUnreconciledMachine', function (this: LeaderState, job: Job) {
     return !job.cancelled && mayBe.call(this, job);
   });
-  await breaks('quota', cancelAtTeamLimit);
+  await assertViolates('quota', cancelAtTeamLimit);
 });
 
 test('mutation: controllers do not know finished jobs', async (t: TestContext) => {
   t.mock.method(UserApi.prototype, 'handle', (request: { method: string }) =>
     Promise.resolve(request.method === 'POST' ? { status: 201, body: Buffer.from([0xa0]) } : { status: 404 }),
   );
-  await breaks('forgotten', startMixedWork);
+  await assertViolates('forgotten', startMixedWork);
 });
 
 test('mutation: the leader leaves a job pending', async (t: TestContext) => {
@@ -103,7 +98,7 @@
       return { queue: queue.filter((job) => job.id !== 'wk-1'), blocked };
     },
   );
-  await breaks('left_waiting', startMixedWork);
+  await assertViolates('left_waiting', startMixedWork);
 });
 
 test('mutation: machines are released before the cloud provider confirms their deletion', async (t: TestContext) => {
@@ -117,7 +112,7 @@
       this.onDeletionResult([machine.id], true, now);
     },
   );
-  await breaks('ran_twice', (scenario) => {
+  await assertViolates('ran_twice', (scenario) => {
     const jobs = startMixedWork(scenario);
     // Healthy, but not heard: their tasks go on.
     scenario.cluster.at(FAULTS_AT_MS, () =>
@@ -136,7 +131,7 @@
       return transact.call(this, { ...transaction, conditions: own }, reserve);
     },
   );
-  await breaks('went_back', (scenario) => {
+  await assertViolates('went_back', (scenario) => {
     scenario.cluster.at(8000, () => scenario.cluster.keyValueStore.delayTransactions(0.3, 100_000));
     scenario.cluster.checker.onJobCompleted = (id) => {
       for (const ms of [5000, 9000, 13_000])
--- a/src/test/production-size.test.ts
+++ b/src/test/production-size.test.ts
@@ -2,10 +2,10 @@
 // are lost, while pipelines run. MACHINES and SEED play other sizes and days than the one kept here.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { submitMixedWork, runScenario, type Scenario } from './sim/scenario.js';
-import { submitPipelines } from './sim/pipeline-scenarios.js';
 import { workerHosts } from './sim/fault-scenarios.js';
-import type { ClusterSetup } from './sim/cluster-simulation.js';
+import { submitPipelines } from './sim/pipeline-scenarios.js';
+import { runScenario, submitMixedWork, type Scenario } from './sim/scenario.js';
+import type { ClusterSetup } from './sim/cluster-setup.js';
 import type { JobId } from '../core/units.js';
 
 const MACHINES = Number(process.env['MACHINES'] ?? 1000);
@@ -49,7 +49,7 @@
 };
 
 test(`${MACHINES} machines: hangs, cancellations, losses and four failovers among pipelines`, async () => {
-  const { sim, broken, unfinished } = await runScenario(
+  const { cluster, violations, unfinished } = await runScenario(
     SEED,
     { setup: size, faultsEndMs: QUIET_MS, endMs: END_MS },
     (scenario) => {
@@ -63,6 +63,6 @@
       troubles(scenario, jobs);
     },
   );
-  assert.deepEqual({ broken: broken.slice(0, 5), unfinished }, { broken: [], unfinished: [] });
-  assert.ok(sim.checker.startCount >= MACHINES);
+  assert.deepEqual({ violations: violations.slice(0, 5), unfinished }, { violations: [], unfinished: [] });
+  assert.ok(cluster.checker.startCount >= MACHINES);
 });
--- a/src/test/random-faults.test.ts
+++ b/src/test/random-faults.test.ts
@@ -1,6 +1,6 @@
 // Troubles drawn at random meet on one day. RANDOM_FAULT_SEEDS=FIRST-LAST plays other days than those kept here.
 import { test } from 'node:test';
-import { submitMixedWork, assertScenarioPasses, type Scenario } from './sim/scenario.js';
+import { assertScenarioPasses, submitMixedWork, type Scenario } from './sim/scenario.js';
 import { pickRandom, basicFaults } from './sim/faults.js';
 import type { JobId, Team, Zone } from '../core/units.js';
 
--- /dev/null
+++ b/src/test/sim/cancellation-scenarios.ts
@@ -0,0 +1,56 @@
+/** Scenarios in which jobs are cancelled while the leader is refused, machines hang or a team is at its limit. */
+import { WORK_STARTS_AT_MS, startMixedWork, type Scenario, type Script } from './scenario.js';
+import type { JobId, Team } from '../../core/units.js';
+
+/** When the faults of these scenarios begin. */
+export const FAULTS_AT_MS = 60_000;
+/** Longer than cancel_s of the simulated workers, which is 40 s. */
+export const LONG_OUTAGE_MS = 57_000;
+
+/** Jobs are cancelled as the key-value store refuses the leader, their machines hang, and a second later an outage begins. */
+export const cancelWhileMachinesHang =
+  (then: Script = () => undefined): Script =>
+  (scenario) => {
+    const jobs = startMixedWork(scenario);
+    scenario.cluster.at(FAULTS_AT_MS, () => {
+      scenario.cluster.refuseLeader(14_000);
+      for (const id of jobs.slice(0, 3)) {
+        for (const workerHost of scenario.cluster.machinesOf(id)) workerHost.hang(60_000);
+        scenario.cluster.cancel(id);
+      }
+    });
+    scenario.cluster.at(FAULTS_AT_MS + 1000, () =>
+      scenario.cluster.keyValueStore.startOutage(LONG_OUTAGE_MS),
+    );
+    then(scenario);
+  };
+
+/** A team at its limit, a failover, unreachable machines and a cancellation. */
+export const cancelAtTeamLimit = (scenario: Scenario): void => {
+  const jobs: JobId[] = [];
+  const blue = { team: 'blue' as Team };
+  scenario.cluster.at(WORK_STARTS_AT_MS, () => {
+    for (let i = 0; i < 2; i++) jobs.push(scenario.submit({ ...blue, tasks: 4 }, 90_000));
+  });
+  scenario.cluster.at(FAULTS_AT_MS, () => {
+    // With so many unreachable at once the leader waits before it fences them.
+    for (const workerHost of scenario.cluster.machinesOf(jobs[0])) workerHost.hang(25_000);
+    for (const workerHost of [...scenario.cluster.workers.values()].slice(0, 4)) workerHost.hang(25_000);
+    scenario.cluster.restart(scenario.cluster.leader!, 5000);
+    scenario.cluster.cancel(jobs[0]);
+  });
+  scenario.cluster.at(FAULTS_AT_MS + 5000, () => scenario.submit({ ...blue, tasks: 6 }, 30_000));
+};
+
+/** The key-value store refuses the leader, and that much later everybody for longer than cancel_s; jobs are cancelled meanwhile. */
+export const leaderRefusedThenOutage =
+  (gapMs: number): Script =>
+  (scenario) => {
+    const jobs = startMixedWork(scenario);
+    scenario.cluster.at(FAULTS_AT_MS, () => scenario.cluster.refuseLeader(14_000));
+    for (const atMs of [0, 200, 900])
+      scenario.cluster.at(FAULTS_AT_MS + atMs, () => scenario.cluster.cancel(jobs[atMs % 7]));
+    scenario.cluster.at(FAULTS_AT_MS + gapMs, () =>
+      scenario.cluster.keyValueStore.startOutage(LONG_OUTAGE_MS),
+    );
+  };
--- /dev/null
+++ b/src/test/sim/cluster-setup.ts
@@ -0,0 +1,107 @@
+/** What a simulated cluster consists of, and the settings that the platform hands its controllers. */
+import type { ProgramVersion } from './production-version.js';
+import type { SimulatedHost } from './simulated-host.js';
+import type { SimulationRuntime } from './simulation-runtime.js';
+import type { KeyValueStoreLimits, PlatformSettings } from '../../config/platform.js';
+import type { MachineType, TeamQuota } from '../../core/types.js';
+import type { JobId, NodeName, Zone } from '../../core/units.js';
+
+export const KEY_VALUE_STORE_IP = '10.2.0.1';
+export const CLOUD_PROVIDER_IP = '10.2.0.2';
+export const CLOCK_ERROR_MS = 100;
+const DEFAULT_SOCKET_LIMIT = 1000;
+const DEFAULT_KEY_VALUE_STORE_LIMITS: KeyValueStoreLimits = {
+  rps: 200,
+  writeRps: 60,
+  valueKb: 8,
+  txnOps: 12,
+};
+
+/** What a test asks of a simulated cluster. */
+export interface ClusterSetup {
+  seed: number;
+  zones: string[];
+  /** The zone of each controller. */
+  controllers: string[];
+  teams: TeamQuota[];
+  types: MachineType[];
+  /** How many machines the cloud provider has. */
+  capacity: number;
+  /** Machines that run before the first controller starts, in each zone of their type. */
+  initialMachines?: { type: string; perZone: number };
+  runMs: (job: JobId) => number;
+  workers?: Partial<PlatformSettings['workers']>;
+  /** Operators' settings, as the build step writes them. */
+  operator?: unknown;
+  /** What the key-value store accepts at the start, where it differs from the default. */
+  keyValueStoreLimits?: Partial<KeyValueStoreLimits>;
+  /** Limits that it will have later, as the settings announce them. */
+  announcedKeyValueStoreLimits?: Partial<KeyValueStoreLimits>;
+  /** Sockets that a controller may have open; few make direct commands that are never sent. */
+  socketLimit?: number;
+  /** The version that the controllers run at the start; else the present one. */
+  version?: ProgramVersion;
+}
+
+/** A controller of a simulated cluster; `host` is its present run. */
+export interface ControllerProcess {
+  name: NodeName;
+  ip: string;
+  platform: PlatformSettings;
+  host: SimulatedHost;
+  /** Null: the present version. */
+  version: ProgramVersion | null;
+}
+
+/** The intervals and limits that the workers of this cluster keep. */
+export const workerTimings = ({ workers }: ClusterSetup): PlatformSettings['workers'] => ({
+  heartbeatIntervalS: 1.5,
+  leaseS: 10,
+  gangWaitS: 40,
+  gangPeerS: 4,
+  cancelS: 40,
+  ...workers,
+});
+
+/** What the key-value store of this cluster accepts at the start. */
+export const keyValueStoreLimits = (setup: ClusterSetup): KeyValueStoreLimits => ({
+  ...DEFAULT_KEY_VALUE_STORE_LIMITS,
+  ...setup.keyValueStoreLimits,
+});
+
+const nameOf = (index: number): NodeName => `stable-${index}` as NodeName;
+const ipOf = (index: number): string => `10.0.0.${index + 1}`;
+
+const platformSettings = (setup: ClusterSetup, index: number): PlatformSettings => ({
+  name: nameOf(index),
+  zone: setup.controllers[index] as Zone,
+  publicAddress: { host: ipOf(index), port: 8080 },
+  internalAddress: { host: ipOf(index), port: 8081 },
+  peers: setup.controllers
+    .map((zone, peer) => ({
+      name: nameOf(peer),
+      zone: zone as Zone,
+      address: { host: ipOf(peer), port: 8081 },
+    }))
+    .filter((_peer, peerIndex) => peerIndex !== index),
+  cloudProvider: { host: CLOUD_PROVIDER_IP, port: 8443 },
+  keyValueStore: { host: KEY_VALUE_STORE_IP, port: 2379 },
+  zones: setup.zones as Zone[],
+  clockErrorMs: CLOCK_ERROR_MS,
+  teams: setup.teams,
+  objectives: [],
+  workers: workerTimings(setup),
+  keyValueStoreLimits: keyValueStoreLimits(setup),
+  cloudProviderLimits: { rps: 6, listLagS: 4 },
+  limits: { cpu: 0.25, memoryMb: 146, sockets: setup.socketLimit ?? DEFAULT_SOCKET_LIMIT },
+});
+
+/** The controllers of this cluster, none of them started yet. */
+export const controllerProcesses = (setup: ClusterSetup, runtime: SimulationRuntime): ControllerProcess[] =>
+  setup.controllers.map((_zone, index) => ({
+    name: nameOf(index),
+    ip: ipOf(index),
+    platform: platformSettings(setup, index),
+    host: runtime.createHost(ipOf(index)),
+    version: setup.version ?? null,
+  }));
--- a/src/test/sim/faults.ts
+++ b/src/test/sim/faults.ts
@@ -1,19 +1,23 @@
-// Single troubles, to be drawn at random by the tests.
+/** Single faults, to be drawn at random by the tests. The order of the entries belongs to the seeds. */
 import type { Scenario } from './scenario.js';
 import type { JobId } from '../../core/units.js';
 
+/** Begins the fault; it ends after about `forMs`. */
 export type Fault = (scenario: Scenario, forMs: number, jobs: JobId[]) => void;
 
+/** One of these at random; undefined: there is none. */
 export const pickRandom = <T>(scenario: Scenario, all: T[]): T | undefined =>
   all[Math.floor(scenario.random() * all.length)];
-const someWorkers = (scenario: Scenario, share: number) =>
-  [...scenario.cluster.workers.values()].filter(() => scenario.random() < share);
 
+const randomWorkers = (scenario: Scenario, fraction: number) =>
+  [...scenario.cluster.workers.values()].filter(() => scenario.random() < fraction);
+
+/** Faults of the key-value store, the cloud provider, controllers, machines and zones, and cancellations. */
 export const basicFaults: Record<string, Fault> = {
   'leader refused': (scenario, forMs) => scenario.cluster.refuseLeader(forMs / 3),
   outage: (scenario, forMs) => scenario.cluster.keyValueStore.startOutage(forMs),
-  'late writes': (scenario, forMs) => scenario.cluster.keyValueStore.delayTransactions(0.3, forMs),
-  'late reports': (scenario, forMs) => scenario.cluster.duplicateHeartbeats(0.4, forMs),
+  'delayed transactions': (scenario, forMs) => scenario.cluster.keyValueStore.delayTransactions(0.3, forMs),
+  'duplicate heartbeats': (scenario, forMs) => scenario.cluster.duplicateHeartbeats(0.4, forMs),
   'leader restarted': (scenario) =>
     scenario.cluster.leader &&
     scenario.cluster.restart(scenario.cluster.leader, 100 + scenario.random() * 6000),
@@ -26,35 +30,35 @@
   'leader frozen': (scenario, forMs) => scenario.cluster.leader?.host.freeze(Math.min(forMs, 25_000)),
   'leader without peers': (scenario, forMs) =>
     scenario.cluster.leader && scenario.cluster.isolateFromPeers(scenario.cluster.leader, 'hold', forMs),
-  'peers refuse': (scenario, forMs) =>
+  'peers refuse connections': (scenario, forMs) =>
     scenario.cluster.controllers.forEach((controller) =>
       scenario.cluster.isolateFromPeers(controller, 'refuse', forMs),
     ),
-  'one without state and peers': (scenario, forMs) => {
+  'one without key-value store and peers': (scenario, forMs) => {
     const controller = pickRandom(scenario, scenario.cluster.controllers)!;
     scenario.cluster.isolateFromKeyValueStore(controller, forMs);
     scenario.cluster.isolateFromPeers(controller, 'hold', forMs);
   },
-  'zone cut': (scenario, forMs) =>
+  'zone partition': (scenario, forMs) =>
     scenario.cluster.isolateZone('west', scenario.random() < 0.5 ? 'hold' : 'lose', forMs),
-  hang: (scenario, forMs) =>
-    someWorkers(scenario, 0.3).forEach((workerHost) => workerHost.hang(scenario.random() * forMs)),
-  'machines end': (scenario) => someWorkers(scenario, 0.2).forEach((workerHost) => workerHost.terminate()),
-  deaf: (scenario, forMs) => {
-    const deaf = someWorkers(scenario, 0.25);
-    deaf.forEach((workerHost) => (workerHost.worker.inboundPartitioned = true));
+  'machines hang': (scenario, forMs) =>
+    randomWorkers(scenario, 0.3).forEach((workerHost) => workerHost.hang(scenario.random() * forMs)),
+  'machines end': (scenario) => randomWorkers(scenario, 0.2).forEach((workerHost) => workerHost.terminate()),
+  'machines with inbound partition': (scenario, forMs) => {
+    const partitioned = randomWorkers(scenario, 0.25);
+    partitioned.forEach((workerHost) => (workerHost.worker.inboundPartitioned = true));
     scenario.cluster.at(scenario.cluster.now + forMs, () =>
-      deaf.forEach((workerHost) => (workerHost.worker.inboundPartitioned = false)),
+      partitioned.forEach((workerHost) => (workerHost.worker.inboundPartitioned = false)),
     );
   },
-  mute: (scenario, forMs) => {
-    const mute = someWorkers(scenario, 0.25);
-    mute.forEach((workerHost) => (workerHost.heartbeatsDropped = true));
+  'machines with outbound partition': (scenario, forMs) => {
+    const partitioned = randomWorkers(scenario, 0.25);
+    partitioned.forEach((workerHost) => (workerHost.heartbeatsDropped = true));
     scenario.cluster.at(scenario.cluster.now + forMs, () =>
-      mute.forEach((workerHost) => (workerHost.heartbeatsDropped = false)),
+      partitioned.forEach((workerHost) => (workerHost.heartbeatsDropped = false)),
     );
   },
-  'cloud down': (scenario, forMs) => {
+  'cloud provider outage': (scenario, forMs) => {
     scenario.cluster.cloudProvider.unavailable = true;
     scenario.cluster.at(
       scenario.cluster.now + Math.min(forMs, 12_000),
@@ -72,18 +76,18 @@
     jobs.filter(() => scenario.random() < 0.4).forEach((id) => scenario.cluster.cancel(id)),
 };
 
-/** Those above, and others that need slow links, lost answers and late commands. */
+/** Those above, and others with slow links, lost responses and delayed commands. */
 export const allFaults: Record<string, Fault> = {
   ...basicFaults,
-  'lost answers': (scenario, forMs) => scenario.cluster.keyValueStore.loseResponses(0.5, forMs / 3),
-  'state service slow': (scenario, forMs) => {
+  'lost responses': (scenario, forMs) => scenario.cluster.keyValueStore.loseResponses(0.5, forMs / 3),
+  'key-value store slow': (scenario, forMs) => {
     scenario.cluster.keyValueStore.responseDelayMs = 200 + scenario.random() * 1400;
     scenario.cluster.at(
       scenario.cluster.now + forMs / 3,
       () => (scenario.cluster.keyValueStore.responseDelayMs = 0),
     );
   },
-  'late commands': (scenario, forMs) => scenario.cluster.delayDirectCommands(0.5, forMs),
+  'delayed commands': (scenario, forMs) => scenario.cluster.delayDirectCommands(0.5, forMs),
   'slow links': (scenario, forMs) => {
     const ips = [...scenario.cluster.workers.values()].map((workerHost) => workerHost.host.ip);
     const controllers = scenario.cluster.controllers
--- a/src/test/sim/http-server.ts
+++ b/src/test/sim/http-server.ts
@@ -1,36 +1,42 @@
-// A plain HTTP server for the stand-ins, written from the published protocol.
+/** A plain HTTP server for the stand-ins, written from the published protocol. */
 import { createServer } from 'node:net';
-import type { SimulatedHost } from './simulation-runtime.js';
+import type { SimulatedHost } from './simulated-host.js';
 import { parseAddress } from '../../config/platform.js';
 import { HttpParser, type HttpMessage } from '../../runtime/http/http-parser.js';
 import { decode, encode } from '../../wire/cbor.js';
 
+/** What a stand-in answers; the body is encoded as CBOR. */
 export interface HttpResponse {
   status: number;
   body?: unknown;
 }
+
+/** Answers a request from the host at `from`; null: the request gets no response. */
 export type RequestHandler = (
   request: HttpMessage,
   body: unknown,
   from: string,
 ) => Promise<HttpResponse | null>;
 
-const limits = { headerBytes: 8192, headerCount: 64, bodyBytes: 1 << 24 };
+const PARSER_LIMITS = { headerBytes: 8192, headerCount: 64, bodyBytes: 1 << 24 };
+
+const encodeResponse = (response: HttpResponse): Buffer => {
+  const bytes = encode(response.body ?? {});
+  const head = `HTTP/1.1 ${response.status} X\r\nContent-Length: ${bytes.length}\r\n\r\n`;
+  return Buffer.concat([Buffer.from(head, 'latin1'), bytes]);
+};
 
-/** Null: the request gets no answer. */
+/** Listens at the address as a process of the host. */
 export const startHttpServer = (host: SimulatedHost, address: string, handle: RequestHandler): void => {
   host.run(() => {
     createServer((socket) => {
-      const from = (socket as unknown as { other: string }).other;
-      const parser = new HttpParser('request', limits);
+      const from = (socket as unknown as { remoteIp: string }).remoteIp;
+      const parser = new HttpParser('request', PARSER_LIMITS);
       socket.on('data', (chunk) => {
         for (const request of parser.push(chunk)) {
           const body: unknown = request.body.length > 0 ? decode(request.body) : {};
-          void handle(request, body, from).then((a) => {
-            if (!a) return;
-            const bytes = encode(a.body ?? {});
-            const head = `HTTP/1.1 ${a.status} X\r\nContent-Length: ${bytes.length}\r\n\r\n`;
-            socket.write(Buffer.concat([Buffer.from(head, 'latin1'), bytes]));
+          void handle(request, body, from).then((response) => {
+            if (response) socket.write(encodeResponse(response));
           });
         }
       });
--- a/src/test/sim/hung-machine-scenarios.ts
+++ b/src/test/sim/hung-machine-scenarios.ts
@@ -1,52 +1,62 @@
-// Leaders that end one after the other while machines hang with a cancelled task
-// (docs/incidents/2026-12-02-rules-broken-at-production-size.md).
-import { startMixedWork, assertScenarioPasses, type Scenario } from './scenario.js';
+/**
+ * Consecutive leader failures while machines hang with a cancelled task
+ * (docs/incidents/2026-12-02-rules-broken-at-production-size.md).
+ */
+import { assertScenarioPasses, startMixedWork, type Scenario, type Script } from './scenario.js';
 import { workerHosts } from './fault-scenarios.js';
 import type { WorkerHost } from './worker-host.js';
 import type { JobId } from '../../core/units.js';
 
-const MEETING = 60_000;
-const HANGING_IN_ZONE = 2;
+const FAULTS_AT_MS = 60_000;
+const HANG_MS = 70_000;
+const RESTART_AFTER_MS = 4000;
+/** When the second leader fails, after the first. */
+const SECOND_FAILURES_MS = [24_000, 28_000, 29_500];
+const HUNG_PER_ZONE = 2;
 const HALF_OF_ZONE = 4;
-/** Reports, leases and cancellations as on a large cluster. */
-const slowReports = { workers: { heartbeatIntervalS: 3, leaseS: 17, cancelS: 42 } };
+/** Heartbeats, leases and cancellations as on a large cluster. */
+const largeClusterTimings = { workers: { heartbeatIntervalS: 3, leaseS: 17, cancelS: 42 } };
 
+/** Which machines hang, those with the cancelled job among them. */
 export type HungMachineSelection = (scenario: Scenario, cancelled: JobId) => WorkerHost[];
 
-/** So many at once that their silence alone is no reason to give them up, but less than half of a zone. */
+/** So many at once that the leader does not give them up at once, but less than half of a zone. */
 export const someMachinesOfEachZone: HungMachineSelection = (scenario, cancelled) => {
-  const hanging = new Set(scenario.cluster.machinesOf(cancelled));
+  const hung = new Set(scenario.cluster.machinesOf(cancelled));
   for (const zone of ['east', 'west']) {
     const inZone = workerHosts(scenario).filter((worker) => worker.info.zone === zone);
-    const left = HANGING_IN_ZONE - inZone.filter((worker) => hanging.has(worker)).length;
-    for (const worker of inZone.filter((each) => !hanging.has(each)).slice(0, left)) hanging.add(worker);
+    const left = HUNG_PER_ZONE - inZone.filter((worker) => hung.has(worker)).length;
+    for (const worker of inZone.filter((each) => !hung.has(each)).slice(0, left)) hung.add(worker);
   }
-  return [...hanging];
+  return [...hung];
 };
 
-/** Half of a zone, as if it were cut off; the other half is heard. */
+/** Half of a zone, as if it were partitioned; the other half stays reachable. */
 export const halfOfOneZone: HungMachineSelection = (scenario, cancelled) => [
   ...scenario.cluster.machinesOf(cancelled),
   ...workerHosts(scenario).slice(0, HALF_OF_ZONE),
 ];
 
-/** Machines hang with a cancelled task; the leader ends, and its successor too before it has given them up. */
-const leadersEndWhileMachinesHang =
-  (secondMs: number, hanging: HungMachineSelection) =>
-  (scenario: Scenario): void => {
+/** Machines hang with a cancelled task; the leader fails, and its successor too before it has given them up. */
+const leadersFailWhileMachinesHang =
+  (secondMs: number, select: HungMachineSelection): Script =>
+  (scenario) => {
     const jobs = startMixedWork(scenario);
-    scenario.cluster.at(MEETING, () => {
-      for (const worker of hanging(scenario, jobs[1])) worker.hang(70_000);
-      scenario.cluster.restart(scenario.cluster.leader!, 4000);
+    scenario.cluster.at(FAULTS_AT_MS, () => {
+      for (const worker of select(scenario, jobs[1])) worker.hang(HANG_MS);
+      scenario.cluster.restart(scenario.cluster.leader!, RESTART_AFTER_MS);
       scenario.cluster.cancel(jobs[1]);
     });
-    scenario.cluster.at(MEETING + secondMs, () => scenario.cluster.restart(scenario.cluster.leader!, 4000));
+    scenario.cluster.at(FAULTS_AT_MS + secondMs, () =>
+      scenario.cluster.restart(scenario.cluster.leader!, RESTART_AFTER_MS),
+    );
   };
 
-export const assertConsecutiveLeaderFailuresPass = async (hanging: HungMachineSelection): Promise<void> => {
-  for (const secondMs of [24_000, 28_000, 29_500])
+/** Runs the scenario with the second failure at several times. */
+export const assertConsecutiveLeaderFailuresPass = async (select: HungMachineSelection): Promise<void> => {
+  for (const secondMs of SECOND_FAILURES_MS)
     await assertScenarioPasses(
-      { setup: slowReports, faultsEndMs: 160_000, endMs: 400_000 },
-      leadersEndWhileMachinesHang(secondMs, hanging),
+      { setup: largeClusterTimings, faultsEndMs: 160_000, endMs: 400_000 },
+      leadersFailWhileMachinesHang(secondMs, select),
     );
 };
--- /dev/null
+++ b/src/test/sim/pending-job-monitor.ts
@@ -0,0 +1,80 @@
+/** Finds jobs that are left waiting although machines have capacity for them and their team is under its limit. */
+import type { InvariantChecker } from './invariant-checker.js';
+import type { SimulatedUser } from './simulated-user.js';
+import type { VirtualClock } from './virtual-clock.js';
+import type { WorkerHost } from './worker-host.js';
+import type { JobSpec, TeamQuota } from '../../core/types.js';
+import type { JobId, MachineId } from '../../core/units.js';
+
+const CHECK_INTERVAL_MS = 2000;
+const LEFT_WAITING_AFTER_MS = 90_000;
+
+interface Dependencies {
+  checker: InvariantChecker;
+  users: ReadonlyMap<JobId, SimulatedUser>;
+  workers: ReadonlyMap<MachineId, WorkerHost>;
+  specs: ReadonlyMap<JobId, JobSpec>;
+  teams: TeamQuota[];
+  zones: string[];
+}
+
+/** Watches the pending jobs of a cluster on which no fault acts any more. */
+export class PendingJobMonitor {
+  private readonly waitingSince = new Map<JobId, number>();
+
+  constructor(private readonly dependencies: Dependencies) {}
+
+  /** Checks regularly from now on. */
+  start(clock: VirtualClock): void {
+    clock.every(CHECK_INTERVAL_MS, () => this.check(clock.now));
+  }
+
+  private check(now: number): void {
+    for (const [id, user] of this.dependencies.users) {
+      const over = user.status === 'done' || user.status === 'cancelled' || user.cancellationRequested;
+      if (!user.accepted || over || !this.couldRunMore(user.spec)) {
+        this.waitingSince.delete(id);
+        continue;
+      }
+      const since = this.waitingSince.get(id) ?? now;
+      this.waitingSince.set(id, since);
+      if (now - since > LEFT_WAITING_AFTER_MS)
+        this.dependencies.checker.reportJobLeftWaiting(id, now - since);
+    }
+  }
+
+  /** Whether tasks of the job are pending though they are ready, fit somewhere, and their team may have them. */
+  private couldRunMore(spec: JobSpec): boolean {
+    const { checker, specs } = this.dependencies;
+    if (this.activeTasks(spec.id) + checker.completedTaskCount(spec.id) >= spec.tasks) return false;
+    const done = (id: JobId): boolean => checker.completedTaskCount(id) === specs.get(id)!.tasks;
+    return spec.dependsOn.every(done) && this.quotaAllows(spec) && this.fits(spec);
+  }
+
+  private activeTasks(id: JobId): number {
+    let count = 0;
+    for (const { worker } of this.dependencies.workers.values()) count += worker.activeTaskCount(id);
+    return count;
+  }
+
+  private quotaAllows(spec: JobSpec): boolean {
+    const { specs, teams } = this.dependencies;
+    const { gpusMax } = teams.find((team) => team.name === spec.team)!;
+    let used = 0;
+    for (const other of specs.values())
+      if (other.team === spec.team) used += other.gpus * this.activeTasks(other.id);
+    return gpusMax <= 0 || used + spec.gpus * tasksAtOnce(spec) <= gpusMax;
+  }
+
+  private fits(spec: JobSpec): boolean {
+    const { workers, zones } = this.dependencies;
+    const fitting = [...workers.values()].filter(
+      ({ info, worker }) => (spec.zone === null || info.zone === spec.zone) && worker.hasCapacity(spec),
+    );
+    if (!spec.oneZone && !spec.spread) return fitting.length >= tasksAtOnce(spec);
+    return zones.some((zone) => fitting.filter(({ info }) => info.zone === zone).length >= tasksAtOnce(spec));
+  }
+}
+
+/** The tasks of an array start one by one, those of other jobs together. */
+const tasksAtOnce = (spec: JobSpec): number => (spec.kind === 'array' ? 1 : spec.tasks);
--- a/src/test/sim/simulated-cloud-provider.ts
+++ b/src/test/sim/simulated-cloud-provider.ts
@@ -1,127 +1,146 @@
-// Stand-in for the cloud: rents machines, lists them late, takes them back; an outage.
-import type { SimulatedHost } from './simulation-runtime.js';
+/**
+ * Stand-in for the cloud provider, written from the published protocol: creates machines, lists them late, deletes them,
+ * and can have an outage.
+ */
 import { startHttpServer, type HttpResponse } from './http-server.js';
+import type { SimulatedHost } from './simulated-host.js';
 import type { MachineInfo, MachineType } from '../../core/types.js';
 import type { Endpoint, MachineId, MachineTypeName, Zone } from '../../core/units.js';
 
+const DEFAULT_BOOT_S = 30;
+
+/** A machine that the provider has created and not deleted. */
 export interface CloudMachine {
   info: MachineInfo;
-  rentedAt: number;
+  createdAt: number;
   up: boolean;
 }
 
+interface Options {
+  host: SimulatedHost;
+  address: string;
+  types: MachineType[];
+  /** How many machines there can be at the same time. */
+  capacity: number;
+  /** A machine appears in lists so long after its creation. */
+  listLagMs: number;
+  onMachineUp: (machine: MachineInfo) => void;
+  onMachineDeleted: (id: MachineId) => void;
+}
+
+interface ScaleOutBody {
+  hire: string;
+  breed: MachineTypeName;
+  pasture: Zone;
+  loaners: boolean;
+  number: number;
+}
+
 const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
-const trouble: HttpResponse = { status: 503, body: { error: 'trouble' } };
+const unavailableResponse: HttpResponse = { status: 503, body: { error: 'trouble' } };
+
+const encodeMachineType = (type: MachineType) => ({
+  label: type.name,
+  vcpus: type.cpus,
+  accelerators: type.gpus,
+  memGb: type.memoryGb,
+  cacheGb: type.cacheGb,
+  fetchGbPerS: type.fetchGbPerS,
+  price: type.price,
+  lowPrice: type.spotPrice,
+  startupS: type.bootS,
+  pastures: type.zones,
+});
 
+/** The provider's machines, and its HTTP interface. */
 export class SimulatedCloudProvider {
   readonly machines = new Map<MachineId, CloudMachine>();
-  /** Machines rented through requests. */
+  /** Machines created through requests. */
   scaledOutCount = 0;
-  private readonly hires = new Map<string, MachineId[]>();
-  private count = 0;
   unavailable = false;
-  /** Every answer takes this much longer. */
+  /** Every response takes this much longer. */
   responseDelayMs = 0;
-  /** Who was given back, and when. */
+  /** When each machine was deleted through a request. */
   readonly deletedAt = new Map<MachineId, number>();
+  private readonly machinesByRequest = new Map<string, MachineId[]>();
+  private lastOrdinal = 0;
 
-  constructor(
-    private readonly host: SimulatedHost,
-    address: string,
-    private readonly types: MachineType[],
-    private readonly capacity: number,
-    private readonly lagMs: number,
-    private readonly events: { up: (machine: MachineInfo) => void; gone: (id: MachineId) => void },
-  ) {
-    startHttpServer(host, address, async (request, body) => {
+  constructor(private readonly options: Options) {
+    startHttpServer(options.host, options.address, async (request, body) => {
       if (this.responseDelayMs > 0) await sleep(this.responseDelayMs);
-      return this.unavailable ? trouble : this.answer(request.target, body);
+      return this.unavailable ? unavailableResponse : this.respond(request.target, body);
     });
   }
 
+  /** Creates a machine that is up after `bootMs`. */
   addMachine(
     type: MachineTypeName,
     zone: Zone,
     spot: boolean,
     bootMs: number,
-    rentedAt = this.now,
+    createdAt = this.now,
   ): MachineId {
-    const ordinal = ++this.count;
+    const ordinal = ++this.lastOrdinal;
     const id = `host-${String(ordinal).padStart(6, '0')}` as MachineId;
     const endpoint = `10.1.${ordinal >> 8}.${ordinal & 255}:9000` as Endpoint;
-    const rented = { info: { id, endpoint, type, zone, spot }, rentedAt, up: false };
-    this.machines.set(id, rented);
-    this.host.runtime.clock.after(bootMs, () => {
+    const machine = { info: { id, endpoint, type, zone, spot }, createdAt, up: false };
+    this.machines.set(id, machine);
+    this.options.host.runtime.clock.after(bootMs, () => {
       if (!this.machines.has(id)) return;
-      rented.up = true;
-      this.events.up(rented.info);
+      machine.up = true;
+      this.options.onMachineUp(machine.info);
     });
     return id;
   }
 
   private get now(): number {
-    return this.host.runtime.clock.now;
+    return this.options.host.runtime.clock.now;
   }
 
-  private answer(target: string, body: unknown): HttpResponse {
+  private respond(target: string, body: unknown): HttpResponse {
     const path = target.split('?')[0];
-    if (path === '/machine_types') {
-      const breeds = this.types.map((t) => ({
-        label: t.name,
-        vcpus: t.cpus,
-        accelerators: t.gpus,
-        memGb: t.memoryGb,
-        cacheGb: t.cacheGb,
-        fetchGbPerS: t.fetchGbPerS,
-        price: t.price,
-        lowPrice: t.spotPrice,
-        startupS: t.bootS,
-        pastures: t.zones,
-      }));
-      return { status: 200, body: { breeds } };
-    }
-    if (path === '/machines/return') {
-      const { stalls } = body as { stalls: MachineId[] };
-      for (const id of stalls) {
-        if (!this.machines.delete(id)) continue;
-        this.deletedAt.set(id, this.now);
-        this.events.gone(id);
-      }
-      return { status: 200 };
+    if (path === '/machine_types')
+      return { status: 200, body: { breeds: this.options.types.map(encodeMachineType) } };
+    if (path === '/machines/return') return this.deleteMachines(body as { stalls: MachineId[] });
+    if (path === '/machines' && body !== null && 'hire' in (body as object))
+      return this.scaleOut(body as ScaleOutBody);
+    return this.list();
+  }
+
+  private deleteMachines({ stalls }: { stalls: MachineId[] }): HttpResponse {
+    for (const id of stalls) {
+      if (!this.machines.delete(id)) continue;
+      this.deletedAt.set(id, this.now);
+      this.options.onMachineDeleted(id);
     }
-    if (path === '/machines' && body !== null && 'hire' in (body as object)) return this.rent(body);
+    return { status: 200 };
+  }
+
+  private list(): HttpResponse {
     const stalls = [...this.machines.values()]
-      .filter((machine) => this.now - machine.rentedAt >= this.lagMs)
-      .map((machine) => ({
-        nameId: machine.info.id,
-        endpoint: machine.info.endpoint,
-        breed: machine.info.type,
-        pasture: machine.info.zone,
-        loaners: machine.info.spot,
-        status: machine.up ? 'running' : 'starting',
-        ageS: (this.now - machine.rentedAt) / 1000,
+      .filter(({ createdAt }) => this.now - createdAt >= this.options.listLagMs)
+      .map(({ info, createdAt, up }) => ({
+        nameId: info.id,
+        endpoint: info.endpoint,
+        breed: info.type,
+        pasture: info.zone,
+        loaners: info.spot,
+        status: up ? 'running' : 'starting',
+        ageS: (this.now - createdAt) / 1000,
       }));
     return { status: 200, body: { stalls, more: false } };
   }
 
-  private rent(body: unknown): HttpResponse {
-    const request = body as {
-      hire: string;
-      breed: MachineTypeName;
-      pasture: Zone;
-      loaners: boolean;
-      number: number;
-    };
-    const known = this.hires.get(request.hire);
+  private scaleOut({ hire, breed, pasture, loaners, number }: ScaleOutBody): HttpResponse {
+    const known = this.machinesByRequest.get(hire);
     if (known) return { status: 200, body: { stalls: known } };
-    const bootMs = (this.types.find((t) => t.name === request.breed)?.bootS ?? 30) * 1000;
-    const room = Math.min(request.number, this.capacity - this.machines.size);
-    if (room <= 0) return { status: 503, body: { error: 'no capacity' } };
-    const stalls = Array.from({ length: room }, () =>
-      this.addMachine(request.breed, request.pasture, request.loaners, bootMs),
-    );
-    this.scaledOutCount += room;
-    this.hires.set(request.hire, stalls);
+    const { types, capacity } = this.options;
+    const bootMs = (types.find((type) => type.name === breed)?.bootS ?? DEFAULT_BOOT_S) * 1000;
+    const count = Math.min(number, capacity - this.machines.size);
+    if (count <= 0) return { status: 503, body: { error: 'no capacity' } };
+    const stalls = Array.from({ length: count }, () => this.addMachine(breed, pasture, loaners, bootMs));
+    this.scaledOutCount += count;
+    this.machinesByRequest.set(hire, stalls);
     return { status: 200, body: { stalls } };
   }
 }
--- a/src/test/sim/simulated-key-value-store.ts
+++ b/src/test/sim/simulated-key-value-store.ts
@@ -1,5 +1,5 @@
 // Stand-in for the state service: transactions, leases, watches; outages, refusals of one host, late transactions.
-import type { SimulatedHost } from './simulation-runtime.js';
+import type { SimulatedHost } from './simulated-host.js';
 import { startHttpServer, type HttpResponse } from './http-server.js';
 import type { KeyValueStoreLimits } from '../../config/platform.js';
 import { TokenBucket } from '../../runtime/key-value-store/token-bucket.js';
--- a/src/test/sim/simulated-network.ts
+++ b/src/test/sim/simulated-network.ts
@@ -1,202 +1,91 @@
-// Connections between hosts on virtual time. Each pair of hosts can be cut on its own: packets are held and come
-// later in order, connections are refused, or those that are open are reset.
-import { EventEmitter } from 'node:events';
+/**
+ * The network between the hosts of a simulation, on virtual time. Each pair of hosts can have a fault of its own: packets
+ * are held and arrive later in order, are lost, or connections are refused.
+ */
 import type { Socket } from 'node:net';
-import type { SimulatedHost, SimulationRuntime } from './simulation-runtime.js';
+import type { SimulatedHost } from './simulated-host.js';
+import { SimulatedSocket } from './simulated-socket.js';
+import type { SimulationRuntime } from './simulation-runtime.js';
 
+/** Held packets arrive after the fault, lost ones never; `refuse` holds packets and refuses new connections. */
 export type LinkFault = 'hold' | 'refuse' | 'lose';
-const LATENCY_MS = 1;
-
-class SimulatedSocket extends EventEmitter {
-  destroyed = false;
-  connected = false;
-  peer: SimulatedSocket | null = null;
-  private paused = false;
-  private readonly unread: Buffer[] = [];
-  private unsent: Buffer[] = [];
-
-  constructor(
-    private readonly network: SimulatedNetwork,
-    readonly host: SimulatedHost,
-    /** Where the other end is. */
-    readonly other: string,
-  ) {
-    super();
-    host.onKilled.push(() => this.vanish());
-  }
-
-  write(b: Buffer): boolean {
-    if (this.destroyed) return false;
-    if (!this.connected) this.unsent.push(b);
-    else this.network.deliver(this.host.ip, this.other, () => this.peer?.receive(Buffer.from(b)));
-    return true;
-  }
-
-  end(b?: Buffer): void {
-    if (b) this.write(b);
-    this.network.deliver(this.host.ip, this.other, () => this.peer?.closed());
-    this.gone();
-  }
-
-  destroy(): this {
-    if (this.destroyed) return this;
-    if (this.connected) this.network.deliver(this.host.ip, this.other, () => this.peer?.closed());
-    this.gone();
-    return this;
-  }
-
-  established(peer: SimulatedSocket): void {
-    this.connected = true;
-    this.peer = peer;
-    for (const b of this.unsent.splice(0)) this.write(b);
-  }
-
-  receive(b: Buffer): void {
-    if (this.destroyed) return;
-    this.unread.push(b);
-    this.flush();
-  }
-
-  closed(): void {
-    this.host.run(() => this.gone());
-  }
 
-  failed(code: string): void {
-    this.host.run(() => {
-      if (this.destroyed) return;
-      this.emit('error', Object.assign(new Error(code), { code }));
-      this.gone();
-    });
-  }
-
-  pause(): this {
-    this.paused = true;
-    return this;
-  }
-
-  resume(): this {
-    this.paused = false;
-    if (this.unread.length > 0) this.network.runtime.clock.after(0, () => this.flush());
-    return this;
-  }
-
-  unshift(b: Buffer): void {
-    this.unread.unshift(b);
-  }
-
-  setNoDelay(): this {
-    return this;
-  }
+const LATENCY_MS = 1;
+const CONNECT_RETRY_MS = 500;
 
-  setTimeout(): this {
-    return this;
-  }
+/** The same for both directions. */
+const linkOf = (a: string, b: string): string => (a < b ? `${a}|${b}` : `${b}|${a}`);
 
-  private flush(): void {
-    this.host.run(() => {
-      while (!this.paused && !this.destroyed && this.unread.length > 0)
-        this.emit('data', this.unread.shift()!);
-    });
-  }
-
-  /** The process is dead: the other side hears of it, nothing here does. */
-  private vanish(): void {
-    if (this.destroyed) return;
-    this.destroyed = true;
-    if (this.connected) this.network.deliver(this.host.ip, this.other, () => this.peer?.failed('ECONNRESET'));
-  }
-
-  private gone(): void {
-    if (this.destroyed) return;
-    this.destroyed = true;
-    this.network.runtime.clock.after(0, () => this.host.run(() => this.emit('close')));
-  }
-}
+const linksBetween = (some: string[], others: string[]): string[] =>
+  some.flatMap((a) => others.filter((b) => b !== a).map((b) => linkOf(a, b)));
 
+/** Delivers packets between hosts, which are named by their addresses. */
 export class SimulatedNetwork {
   private readonly listeners = new Map<string, { host: SimulatedHost; accept: (socket: Socket) => void }>();
-  private readonly troubles = new Map<string, LinkFault>();
+  private readonly faults = new Map<string, LinkFault>();
   private readonly held = new Map<string, (() => void)[]>();
-  private readonly slowLinks = new Map<string, number>();
+  private readonly slowLatencyMs = new Map<string, number>();
   /** When the last packet on its way from one host to another arrives: packets never overtake one another. */
   private readonly lastArrival = new Map<string, number>();
 
   constructor(readonly runtime: SimulationRuntime) {}
 
-  private key(a: string, b: string): string {
-    return a < b ? `${a}|${b}` : `${b}|${a}`;
-  }
-
-  /** Each of these from each of those; packets that are held come when the trouble ends. */
-  cut(these: string[], those: string[], trouble: LinkFault, forMs: number): void {
-    const pairs = these.flatMap((a) => those.filter((b) => b !== a).map((b) => this.key(a, b)));
-    for (const pair of pairs) this.troubles.set(pair, trouble);
+  /** A fault between each of some hosts and each of others; held packets arrive when it ends. */
+  cut(some: string[], others: string[], fault: LinkFault, forMs: number): void {
+    const links = linksBetween(some, others);
+    for (const link of links) this.faults.set(link, fault);
     this.runtime.clock.after(forMs, () => {
-      for (const pair of pairs) {
-        this.troubles.delete(pair);
-        for (const action of this.held.get(pair)?.splice(0) ?? [])
-          this.runtime.clock.after(LATENCY_MS, action);
+      for (const link of links) {
+        this.faults.delete(link);
+        for (const arrive of this.held.get(link)?.splice(0) ?? [])
+          this.runtime.clock.after(LATENCY_MS, arrive);
       }
     });
   }
 
-  /** Packets between each of these and each of those take up to so long, and stay in order. */
-  slow(these: string[], those: string[], latencyMs: () => number, forMs: number): void {
-    const pairs = these.flatMap((a) => those.filter((b) => b !== a).map((b) => this.key(a, b)));
-    for (const pair of pairs) this.slowLinks.set(pair, latencyMs());
+  /** A longer latency between each of some hosts and each of others, drawn for each pair. */
+  slow(some: string[], others: string[], latencyMs: () => number, forMs: number): void {
+    const links = linksBetween(some, others);
+    for (const link of links) this.slowLatencyMs.set(link, latencyMs());
     this.runtime.clock.after(forMs, () => {
-      for (const pair of pairs) this.slowLinks.delete(pair);
+      for (const link of links) this.slowLatencyMs.delete(link);
     });
   }
 
-  private schedule(from: string, to: string, action: () => void): void {
-    const { clock } = this.runtime;
-    const latencyMs = this.slowLinks.get(this.key(from, to)) ?? LATENCY_MS;
-    const direction = `${from}>${to}`;
-    const arrival = Math.max(clock.now + latencyMs, this.lastArrival.get(direction) ?? 0);
-    this.lastArrival.set(direction, arrival);
-    clock.after(arrival - clock.now, action);
-  }
-
-  deliver(from: string, to: string, action: () => void): void {
-    const pair = this.key(from, to);
-    const trouble = this.troubles.get(pair);
-    if (trouble === 'hold' || trouble === 'refuse') {
-      const held = this.held.get(pair) ?? [];
-      held.push(action);
-      this.held.set(pair, held);
-    } else if (trouble !== 'lose') this.schedule(from, to, action);
+  /** Runs `arrive` when a packet sent now arrives, if it does. */
+  deliver(from: string, to: string, arrive: () => void): void {
+    const link = linkOf(from, to);
+    const fault = this.faults.get(link);
+    if (fault === 'hold' || fault === 'refuse') {
+      const held = this.held.get(link) ?? [];
+      held.push(arrive);
+      this.held.set(link, held);
+    } else if (fault !== 'lose') this.schedule(from, to, arrive);
   }
 
+  /** As `net.connect`, for a process of this host. */
   connect(host: SimulatedHost, { host: ip, port }: { host: string; port: number }): Socket {
-    const here = new SimulatedSocket(this, host, ip);
+    const local = new SimulatedSocket(this, host, ip);
     const attempt = (): void => {
-      if (here.destroyed) return;
-      const trouble = this.troubles.get(this.key(host.ip, ip));
-      if (trouble === 'refuse') {
-        here.failed('ECONNREFUSED');
-        return;
-      }
-      // Behind a cut the attempt is repeated until it is given up.
-      if (trouble !== undefined) {
-        this.runtime.clock.after(500, attempt);
-        return;
-      }
+      if (local.destroyed) return;
+      const fault = this.faults.get(linkOf(host.ip, ip));
       const listener = this.listeners.get(`${ip}:${port}`);
-      if (!listener?.host.alive) {
-        here.failed('ECONNREFUSED');
-        return;
+      // Behind a partition the attempt is repeated until the caller gives it up.
+      if (fault === 'hold' || fault === 'lose') this.runtime.clock.after(CONNECT_RETRY_MS, attempt);
+      else if (fault === 'refuse' || !listener?.host.alive) local.fail('ECONNREFUSED');
+      else {
+        const remote = new SimulatedSocket(this, listener.host, host.ip);
+        remote.onConnected(local);
+        local.onConnected(remote);
+        listener.host.run(() => listener.accept(remote as unknown as Socket));
+        host.run(() => local.emit('connect'));
       }
-      const there = new SimulatedSocket(this, listener.host, host.ip);
-      there.established(here);
-      here.established(there);
-      listener.host.run(() => listener.accept(there as unknown as Socket));
-      host.run(() => here.emit('connect'));
     };
     this.schedule(host.ip, ip, attempt);
-    return here as unknown as Socket;
+    return local as unknown as Socket;
   }
 
+  /** As `net.createServer`, for a process of this host. */
   createServer(host: SimulatedHost, accept: (socket: Socket) => void) {
     const server = {
       on: () => server,
@@ -207,4 +96,13 @@
     };
     return server;
   }
+
+  private schedule(from: string, to: string, arrive: () => void): void {
+    const { clock } = this.runtime;
+    const latencyMs = this.slowLatencyMs.get(linkOf(from, to)) ?? LATENCY_MS;
+    const direction = `${from}>${to}`;
+    const arrival = Math.max(clock.now + latencyMs, this.lastArrival.get(direction) ?? 0);
+    this.lastArrival.set(direction, arrival);
+    clock.after(arrival - clock.now, arrive);
+  }
 }
--- a/src/test/sim/simulated-user.ts
+++ b/src/test/sim/simulated-user.ts
@@ -1,6 +1,6 @@
 // A user of one job: submits it, asks about it, may call it off; retries as the protocol says, at any controller.
 import type { InvariantChecker } from './invariant-checker.js';
-import type { SimulatedHost } from './simulation-runtime.js';
+import type { SimulatedHost } from './simulated-host.js';
 import { parseAddress } from '../../config/platform.js';
 import type { JobSpec } from '../../core/types.js';
 import { HttpClient } from '../../runtime/http/http-client.js';
--- a/src/test/sim/virtual-clock.ts
+++ b/src/test/sim/virtual-clock.ts
@@ -1,4 +1,4 @@
-// Virtual time: events in order of time, then of their making. Nothing sleeps.
+/** Virtual time: events run in order of time, then of their creation. Nothing sleeps. */
 import TinyQueue from 'tinyqueue';
 
 interface Event {
@@ -7,35 +7,39 @@
   run: () => void;
 }
 
+/** A clock that advances from event to event. */
 export class VirtualClock {
   now = 0;
   private readonly queue = new TinyQueue<Event>([], (a, b) => a.at - b.at || a.order - b.order);
   private order = 0;
 
+  /** Schedules the action so much later. */
   after(ms: number, run: () => void): void {
     this.queue.push({ at: this.now + Math.max(0, ms), order: this.order++, run });
   }
 
-  every(ms: number, run: () => void): void {
-    const again = (): void => {
+  /** Repeats the action, the first time after one interval. */
+  every(intervalMs: number, run: () => void): void {
+    const repeat = (): void => {
       run();
-      this.after(ms, again);
+      this.after(intervalMs, repeat);
     };
-    this.after(ms, again);
+    this.after(intervalMs, repeat);
   }
 
   /** Runs the next event, if there is one by then. */
-  step(end: number): boolean {
+  step(endMs: number): boolean {
     const next = this.queue.peek();
-    if (!next || next.at > end) return false;
+    if (!next || next.at > endMs) return false;
     this.queue.pop();
     this.now = next.at;
     next.run();
     return true;
   }
 
-  runUntil(end: number): void {
-    while (this.step(end));
-    this.now = end;
+  /** Runs all events until then. */
+  runUntil(endMs: number): void {
+    while (this.step(endMs));
+    this.now = endMs;
   }
 }
--- a/src/test/sim/worker-host.ts
+++ b/src/test/sim/worker-host.ts
@@ -1,6 +1,6 @@
-// A machine on the simulated network: its worker reports to the controllers and takes direct commands.
-import type { SimulatedHost } from './simulation-runtime.js';
-import { startHttpServer } from './http-server.js';
+/** A machine on the simulated network: its worker sends heartbeats to the controllers and takes direct commands. */
+import type { SimulatedHost } from './simulated-host.js';
+import { startHttpServer, type HttpResponse } from './http-server.js';
 import { SimulatedWorker, type WorkerEnvironment } from './simulated-worker.js';
 import { parseAddress } from '../../config/platform.js';
 import type { Command, MachineInfo, Heartbeat } from '../../core/types.js';
@@ -8,8 +8,13 @@
 import { HttpClient } from '../../runtime/http/http-client.js';
 import { decode, encode } from '../../wire/cbor.js';
 
-const ANSWER_LIMIT_MS = 4000;
-const LOOK_MS = 500;
+const RESPONSE_TIMEOUT_MS = 4000;
+const CHECK_INTERVAL_MS = 500;
+/** Pause before the next controller is tried. */
+const NEXT_CONTROLLER_AFTER_MS = 1000;
+/** How much later than sent a delayed direct command is executed. */
+const MIN_COMMAND_DELAY_MS = 2000;
+const COMMAND_DELAY_RANGE_MS = 14_000;
 
 interface Call {
   call: 'run' | 'kill' | 'reap';
@@ -18,6 +23,12 @@
   slackS?: number;
 }
 
+interface DirectCommandsBody {
+  reins: number;
+  shift: number;
+  calls: Call[];
+}
+
 const commandOf = (call: Call): Command => {
   const [job = '', index = ''] = call.hand.split('/');
   const ref = { job: job as JobId, index: Number(index), attempt: Number(call.try) as Attempt };
@@ -35,7 +46,7 @@
   exited: 'exited',
 };
 
-const reportBody = (heartbeat: Heartbeat) => ({
+const heartbeatBody = (heartbeat: Heartbeat) => ({
   stall: heartbeat.id,
   endpoint: heartbeat.endpoint,
   breed: heartbeat.type,
@@ -54,56 +65,49 @@
   })),
 });
 
+/** The worker of one machine, and what reaches it through the network. */
 export class WorkerHost {
   readonly worker: SimulatedWorker;
-  /** Its reports reach no controller, while direct commands reach it. */
+  /** Its heartbeats reach no controller, while direct commands reach it. */
   heartbeatsDropped = false;
-  /** Given copies of its reports, which arrive again late. */
+  /** Called with each heartbeat that it sends. */
   onHeartbeatSent: ((body: Buffer) => void) | null = null;
-  /** That share of direct commands gets no answer and is carried out once, much later. */
+  /** Until then that fraction of direct commands gets no response and is executed once, much later. */
   delayedCommands = { fraction: 0, until: 0 };
   private readonly clients = new Map<string, HttpClient>();
-  private at: number;
-  private open = false;
-  private nextAt = 0;
-  private lastTasks = '';
-  private readonly held: (() => void)[] = [];
+  private controllerIndex: number;
+  private heartbeatInFlight = false;
+  private nextHeartbeatAt = 0;
+  private lastReportedState = '';
+  /** What goes on once the machine no longer hangs. */
+  private readonly waitingForResume: (() => void)[] = [];
 
   constructor(
     readonly host: SimulatedHost,
     readonly info: MachineInfo,
-    view: WorkerEnvironment,
+    environment: WorkerEnvironment,
     private readonly controllers: { name: string; address: string }[],
     private readonly random: () => number,
   ) {
-    this.worker = new SimulatedWorker(info, view);
-    this.at = Math.floor(random() * controllers.length);
+    this.worker = new SimulatedWorker(info, environment);
+    this.controllerIndex = Math.floor(random() * controllers.length);
     startHttpServer(host, info.endpoint, async (_request, body) => {
-      if (this.worker.hung) await new Promise<void>((resume) => this.held.push(resume));
-      if (this.worker.inboundPartitioned) return null;
-      const message = body as { reins: number; shift: number; calls: Call[] };
-      const carryOut = () =>
-        this.worker.onDirectCommands(message.reins, message.shift, message.calls.map(commandOf));
-      if (this.now < this.delayedCommands.until && this.random() < this.delayedCommands.fraction) {
-        this.host.runtime.clock.after(2000 + this.random() * 14_000, () =>
-          this.host.run(() => void carryOut()),
-        );
-        return null;
-      }
-      const result = carryOut();
-      return { status: result.executed ? 200 : 409, body: reportBody(result.report) };
+      if (this.worker.hung) await this.untilResumed();
+      return this.worker.inboundPartitioned ? null : this.onDirectCommands(body as DirectCommandsBody);
     });
-    host.run(() => setInterval(() => this.look(), LOOK_MS));
+    host.run(() => setInterval(() => this.sendHeartbeatIfDue(), CHECK_INTERVAL_MS));
   }
 
+  /** The machine hangs: nothing on it runs, its tasks included. */
   hang(forMs: number): void {
     this.worker.hung = true;
     this.host.runtime.clock.after(forMs, () => {
       this.worker.hung = false;
-      for (const resume of this.held.splice(0)) this.host.run(resume);
+      for (const resume of this.waitingForResume.splice(0)) this.host.run(resume);
     });
   }
 
+  /** The machine ends with its tasks. */
   terminate(): void {
     this.worker.kill();
     this.host.kill();
@@ -113,58 +117,75 @@
     return this.host.runtime.clock.now;
   }
 
-  private look(): void {
-    if (this.worker.hung || this.open) return;
+  private untilResumed(): Promise<void> {
+    return new Promise<void>((resume) => this.waitingForResume.push(resume));
+  }
+
+  private onDirectCommands({ reins, shift, calls }: DirectCommandsBody): HttpResponse | null {
+    const execute = () => this.worker.onDirectCommands(reins, shift, calls.map(commandOf));
+    if (this.now < this.delayedCommands.until && this.random() < this.delayedCommands.fraction) {
+      const delayMs = MIN_COMMAND_DELAY_MS + this.random() * COMMAND_DELAY_RANGE_MS;
+      this.host.runtime.clock.after(delayMs, () => this.host.run(() => void execute()));
+      return null;
+    }
+    const { executed, report } = execute();
+    return { status: executed ? 200 : 409, body: heartbeatBody(report) };
+  }
+
+  private sendHeartbeatIfDue(): void {
+    if (this.worker.hung || this.heartbeatInFlight) return;
     this.worker.checkLease();
-    const tasks = this.worker.describeState();
-    if (this.now < this.nextAt && tasks === this.lastTasks) return;
-    this.lastTasks = tasks;
-    this.nextAt = this.now + this.worker.heartbeatIntervalMs * (0.75 + 0.5 * this.random());
-    void this.report();
+    const state = this.worker.describeState();
+    if (this.now < this.nextHeartbeatAt && state === this.lastReportedState) return;
+    this.lastReportedState = state;
+    this.nextHeartbeatAt = this.now + this.worker.heartbeatIntervalMs * (0.75 + 0.5 * this.random());
+    void this.sendHeartbeat();
   }
 
-  private async report(): Promise<void> {
-    this.open = true;
+  private async sendHeartbeat(): Promise<void> {
+    this.heartbeatInFlight = true;
     const sentAt = this.now;
     const { incarnation } = this.worker;
-    const body = encode(reportBody(this.worker.nextHeartbeat()));
+    const body = encode(heartbeatBody(this.worker.nextHeartbeat()));
     this.onHeartbeatSent?.(body);
-    const to = this.controllers[this.at];
-    const client = this.clients.get(to.name) ?? new HttpClient(parseAddress(to.address), 1, 60_000);
-    this.clients.set(to.name, client);
     const result = this.heartbeatsDropped
       ? ({ ok: false } as const)
-      : await client.request('POST', '/checkin', body, ANSWER_LIMIT_MS);
-    if (this.worker.hung) await new Promise<void>((resume) => this.held.push(resume));
-    this.open = false;
+      : await this.client().request('POST', '/checkin', body, RESPONSE_TIMEOUT_MS);
+    if (this.worker.hung) await this.untilResumed();
+    this.heartbeatInFlight = false;
     if (this.worker.inboundPartitioned) {
-      await new Promise((resolve) => setTimeout(resolve, ANSWER_LIMIT_MS));
-      this.next(null);
+      await new Promise((resolve) => setTimeout(resolve, RESPONSE_TIMEOUT_MS));
+      this.useNextController(null);
       return;
     }
     if (!result.ok) {
-      this.next(null);
+      this.useNextController(null);
       return;
     }
-    const answer = decode(result.body) as { reins?: number; calls?: Call[]; foreman?: string };
-    if (result.status === 200 && this.now - sentAt <= ANSWER_LIMIT_MS)
-      this.worker.onHeartbeatResponse(
-        Number(answer.reins),
-        (answer.calls ?? []).map(commandOf),
-        sentAt,
-        incarnation,
-      );
-    else if (result.status !== 200) this.next(result.status === 421 ? (answer.foreman ?? null) : null);
+    const response = decode(result.body) as { reins?: number; calls?: Call[]; foreman?: string };
+    const commands = (response.calls ?? []).map(commandOf);
+    if (result.status === 200 && this.now - sentAt <= RESPONSE_TIMEOUT_MS)
+      this.worker.onHeartbeatResponse(Number(response.reins), commands, sentAt, incarnation);
+    else if (result.status !== 200)
+      this.useNextController(result.status === 421 ? (response.foreman ?? null) : null);
+  }
+
+  private client(): HttpClient {
+    const { name, address } = this.controllers[this.controllerIndex];
+    const client = this.clients.get(name) ?? new HttpClient(parseAddress(address), 1, 60_000);
+    this.clients.set(name, client);
+    return client;
   }
 
-  private next(named: string | null): void {
-    const there = this.controllers.findIndex((controller) => controller.name === named);
-    if (there >= 0 && there !== this.at) {
-      this.at = there;
-      this.nextAt = this.now;
+  /** Goes on with the controller that was named, at once, or else with the next one. */
+  private useNextController(named: string | null): void {
+    const namedIndex = this.controllers.findIndex((controller) => controller.name === named);
+    if (namedIndex >= 0 && namedIndex !== this.controllerIndex) {
+      this.controllerIndex = namedIndex;
+      this.nextHeartbeatAt = this.now;
       return;
     }
-    this.at = (this.at + 1) % this.controllers.length;
-    this.nextAt = this.now + 1000;
+    this.controllerIndex = (this.controllerIndex + 1) % this.controllers.length;
+    this.nextHeartbeatAt = this.now + NEXT_CONTROLLER_AFTER_MS;
   }
 }
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -3,10 +3,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { teams as dayTeams, jobSpec, types } from './sim/fixtures.js';
-import { startMixedWork, runScenario, type Scenario } from './sim/scenario.js';
 import { submitPipelines } from './sim/pipeline-scenarios.js';
+import { runScenario, startMixedWork, type Scenario } from './sim/scenario.js';
 import { loadProductionVersion, type ProgramVersion } from './sim/production-version.js';
-import type { ClusterSetup } from './sim/cluster-simulation.js';
+import type { ClusterSetup } from './sim/cluster-setup.js';
 import type { KeyValueStoreLimits } from '../config/platform.js';
 import type { JobRecord } from '../core/types.js';
 import type {
@@ -68,13 +68,13 @@
 };
 
 const playUpgrade = async (seed: number, script: (scenario: Scenario) => void, over = lowered) => {
-  const { sim, broken, unfinished } = await runScenario(
+  const { cluster, violations, unfinished } = await runScenario(
     seed,
     { setup: over, faultsEndMs: 160_000, endMs: 380_000 },
     script,
   );
-  assert.deepEqual({ seed, broken, unfinished }, { seed, broken: [], unfinished: [] });
-  return sim;
+  assert.deepEqual({ seed, violations, unfinished }, { seed, violations: [], unfinished: [] });
+  return cluster;
 };
 
 /** Short jobs all the while, so that each version finishes what the other took in. */
@@ -90,14 +90,14 @@
 test('an upgrade under load; then the limits fall, and pipelines are submitted', async () => {
   for (const seed of [1, 2]) {
     let before = { accepted: 0 };
-    const sim = await playUpgrade(seed, (scenario) => {
+    const cluster = await playUpgrade(seed, (scenario) => {
       before = countAcceptedBeforeRoll(scenario);
       steadyWork(scenario);
       roll(scenario);
     });
     assert.ok(before.accepted > 0, 'the version in production takes jobs');
     assert.equal(
-      sim.keyValueStore.rejectedForSize,
+      cluster.keyValueStore.rejectedForSize,
       0,
       'nothing was written that the service does not take any more',
     );
@@ -137,7 +137,7 @@
 const cancelLargeRecord = async (nextLimits: Partial<KeyValueStoreLimits>) => {
   let id = 'wk-0' as JobId;
   const others = Array.from({ length: 99 }, (_item, i) => `another-type-${i}` as MachineTypeName);
-  const { sim, broken } = await runScenario(
+  const { cluster, violations } = await runScenario(
     1,
     { setup: { ...lowered, announcedKeyValueStoreLimits: nextLimits }, faultsEndMs: 120_000, endMs: 200_000 },
     (scenario) => {
@@ -155,12 +155,16 @@
       scenario.cluster.at(70_000, () => scenario.cluster.cancel(id));
     },
   );
-  return { status: sim.users.get(id)!.status, broken, tooLarge: sim.keyValueStore.rejectedForSize };
+  return {
+    status: cluster.users.get(id)!.status,
+    violations,
+    tooLarge: cluster.keyValueStore.rejectedForSize,
+  };
 };
 
 test('a record from before the limits fell can still be cancelled; not so where they were not announced', async () => {
   const announced = await cancelLargeRecord({ valueKb: 2, txnOps: 5, writeRps: 25 });
-  assert.deepEqual(announced, { status: 'cancelled', broken: [], tooLarge: 0 });
+  assert.deepEqual(announced, { status: 'cancelled', violations: [], tooLarge: 0 });
   const surprised = await cancelLargeRecord({});
   assert.notEqual(surprised.status, 'cancelled');
   assert.ok(surprised.tooLarge > 0);
--- a/src/test/zone-partition.test.ts
+++ b/src/test/zone-partition.test.ts
@@ -5,7 +5,7 @@
 import { types } from './sim/fixtures.js';
 import { runScenario, type Scenario } from './sim/scenario.js';
 import type { LinkFault } from './sim/simulated-network.js';
-import type { ClusterSetup } from './sim/cluster-simulation.js';
+import type { ClusterSetup } from './sim/cluster-setup.js';
 import { LeaderRoutes } from '../runtime/peers/leader-route.js';
 import type { JobId, Zone } from '../core/units.js';
 
@@ -26,7 +26,7 @@
 const FENCED_MS = PARTED_MS + FOR_MS - 5000;
 
 interface Seen {
-  broken: string[];
+  violations: string[];
   unfinished: string[];
   /** Machines given back to the cloud while the zones were apart. */
   fenced: number;
@@ -60,13 +60,13 @@
     { setup: { ...over, operator }, faultsEndMs: 110_000, endMs: 330_000 },
     script,
   );
-  return { broken: day.broken, unfinished: day.unfinished, fenced, running };
+  return { violations: day.violations, unfinished: day.unfinished, fenced, running };
 };
 
 for (const trouble of ['hold', 'refuse'] as const) {
   test(`zone partition (${trouble}): the far zone is commanded through the third controller, and keeps its machines`, async () => {
     for (const seed of [1, 2, 3])
-      assert.deepEqual(await part(trouble, seed), { broken: [], unfinished: [], fenced: 0, running: 4 });
+      assert.deepEqual(await part(trouble, seed), { violations: [], unfinished: [], fenced: 0, running: 4 });
   });
 }
 
