--- a/src/test/decision-log.test.ts
+++ b/src/test/decision-log.test.ts
@@ -6,18 +6,18 @@
 const RUN_MS = 1000;
 
 test('a task can be followed through the log by job, task, attempt and machine', () => {
-  const day = new LeaderHarness(1, RUN_MS);
-  const worker = day.workers[0];
-  const job = day.submit('wk-1', { tasks: 2, gpus: 5 });
-  const direct = day.tickWithCommands(worker);
-  day.onCommandsExecuted(direct, day.executeCommands(worker, direct));
-  day.advance(FETCH_MS + RUN_MS);
+  const harness = new LeaderHarness(1, RUN_MS);
+  const worker = harness.workers[0];
+  const job = harness.submit('wk-1', { tasks: 2, gpus: 5 });
+  const direct = harness.tickWithCommands(worker);
+  harness.onCommandsExecuted(direct, harness.executeCommands(worker, direct));
+  harness.advance(FETCH_MS + RUN_MS);
   for (let i = 0; i < 8; i++) {
-    day.exchangeHeartbeat(worker);
-    day.saveProgress(day.tick());
+    harness.exchangeHeartbeat(worker);
+    harness.saveProgress(harness.tick());
   }
   const { attempt } = direct.commands[0];
-  const lines = day.logEntries
+  const lines = harness.logEntries
     .filter(({ fields }) => fields['job'] === job && fields['task'] === 0 && fields['attempt'] === attempt)
     .map(({ text, fields }) => {
       assert.equal(fields['machine'], worker.info.id);
@@ -32,13 +32,13 @@
 });
 
 test('the members of a gang are logged with the attempt that they share', () => {
-  const day = new LeaderHarness(2, RUN_MS);
-  const job = day.submit('wk-1', { kind: 'gang', tasks: 2, gpus: 8 });
-  const effects = day.tick();
+  const harness = new LeaderHarness(2, RUN_MS);
+  const job = harness.submit('wk-1', { kind: 'gang', tasks: 2, gpus: 8 });
+  const effects = harness.tick();
   const started = effects
     .flatMap((effect) => (effect.kind === 'send-direct-commands' ? effect.commands : []))
     .map((command) => command.attempt);
-  const placed = day.logEntries.filter(({ text, fields }) => text === 'placed' && fields['job'] === job);
+  const placed = harness.logEntries.filter(({ text, fields }) => text === 'placed' && fields['job'] === job);
   assert.equal(new Set(started).size, 1);
   assert.deepEqual(
     placed.map(({ fields }) => fields['attempt']),
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -262,7 +262,7 @@
 /** Everything is full of borrowed work; then a team asks for what it is guaranteed. */
 const playOwed = async (): Promise<{ violations: string[]; unfinished: string[]; running: number }> => {
   let running = 0;
-  const day = await runScenario(
+  const result = await runScenario(
     1,
     { setup: over, faultsEndMs: 60_000, endMs: 700_000 },
     (scenario: Scenario) => {
@@ -284,7 +284,7 @@
       );
     },
   );
-  return { violations: day.violations, unfinished: day.unfinished, running };
+  return { violations: result.violations, unfinished: result.unfinished, running };
 };
 
 test('three teams, gangs and arrays: a team gets its guarantee at once, and every job ends', async () => {
--- a/src/test/in-flight-starts.test.ts
+++ b/src/test/in-flight-starts.test.ts
@@ -8,76 +8,76 @@
 
 /** One start is on its way straight to the worker, and another one in the answer to a report, over a slow link. */
 const twoStartsOnTheirWay = (machines: number) => {
-  const day = new LeaderHarness(machines, LONG_MS);
-  const first = day.submit('wk-1', { cpus: 64 });
-  const worker = day.workers[0];
-  const direct = day.tickWithCommands(worker);
+  const harness = new LeaderHarness(machines, LONG_MS);
+  const first = harness.submit('wk-1', { cpus: 64 });
+  const worker = harness.workers[0];
+  const direct = harness.tickWithCommands(worker);
   // Placed while the direct command is on its way: its start goes with the answer to the next report.
-  const second = day.submit('wk-2', { cpus: 0, gpus: 1, types: null });
-  day.tick();
-  const slowAnswer = day.sendHeartbeat(worker);
+  const second = harness.submit('wk-2', { cpus: 0, gpus: 1, types: null });
+  harness.tick();
+  const slowAnswer = harness.sendHeartbeat(worker);
   assert.ok(startsJob(direct.commands, first) && startsJob(slowAnswer.commands, second));
-  return { day, worker, direct, slowAnswer, second };
+  return { harness, worker, direct, slowAnswer, second };
 };
 
 test('a task moved for an interruption notice does not run twice, though its start is still in flight', () => {
-  const { day, worker, direct, slowAnswer, second } = twoStartsOnTheirWay(2);
+  const { harness, worker, direct, slowAnswer, second } = twoStartsOnTheirWay(2);
   // The notice comes with the answer to the direct command.
   worker.interruptionNoticeS = 30;
-  day.onCommandsExecuted(direct, day.executeCommands(worker, direct));
-  const other = day.workers[1];
+  harness.onCommandsExecuted(direct, harness.executeCommands(worker, direct));
+  const other = harness.workers[1];
   for (let i = 0; i < 3; i++) {
-    day.tick();
-    day.exchangeHeartbeat(other);
+    harness.tick();
+    harness.exchangeHeartbeat(other);
   }
-  day.advance(FETCH_MS);
-  day.deliverResponse(worker, slowAnswer);
-  day.advance(FETCH_MS);
-  assert.deepEqual(day.checker.violations, []);
+  harness.advance(FETCH_MS);
+  harness.deliverResponse(worker, slowAnswer);
+  harness.advance(FETCH_MS);
+  assert.deepEqual(harness.checker.violations, []);
   // A report that was sent later settles it: the answer has been executed, or never will be.
-  day.exchangeHeartbeat(worker);
-  day.exchangeHeartbeat(worker);
-  day.tick();
-  day.exchangeHeartbeat(other);
-  day.advance(FETCH_MS);
-  assert.deepEqual(day.checker.violations, []);
-  assert.deepEqual(day.checker.machinesOf(second), [other.info.id]);
+  harness.exchangeHeartbeat(worker);
+  harness.exchangeHeartbeat(worker);
+  harness.tick();
+  harness.exchangeHeartbeat(other);
+  harness.advance(FETCH_MS);
+  assert.deepEqual(harness.checker.violations, []);
+  assert.deepEqual(harness.checker.machinesOf(second), [other.info.id]);
 });
 
 test('a cancelled task stays known while its start may still arrive', () => {
-  const { day, worker, direct, slowAnswer, second } = twoStartsOnTheirWay(1);
-  day.cancel(second);
-  day.onCommandsExecuted(direct, day.executeCommands(worker, direct));
-  day.tick();
-  assert.ok(day.hasPlacement(second), 'the start is on its way');
-  day.deliverResponse(worker, slowAnswer);
-  day.exchangeHeartbeat(worker);
-  day.exchangeHeartbeat(worker);
-  assert.ok(!day.hasPlacement(second));
-  day.advance(FETCH_MS);
-  assert.equal(day.checker.startsAfterCancellation, 0);
+  const { harness, worker, direct, slowAnswer, second } = twoStartsOnTheirWay(1);
+  harness.cancel(second);
+  harness.onCommandsExecuted(direct, harness.executeCommands(worker, direct));
+  harness.tick();
+  assert.ok(harness.hasPlacement(second), 'the start is on its way');
+  harness.deliverResponse(worker, slowAnswer);
+  harness.exchangeHeartbeat(worker);
+  harness.exchangeHeartbeat(worker);
+  assert.ok(!harness.hasPlacement(second));
+  harness.advance(FETCH_MS);
+  assert.equal(harness.checker.startsAfterCancellation, 0);
 });
 
 test('a completed task is not started again by a late duplicate, though a later one was never sent', () => {
-  const day = new LeaderHarness(1, SHORT_MS);
-  const worker = day.workers[0];
+  const harness = new LeaderHarness(1, SHORT_MS);
+  const worker = harness.workers[0];
   // Its second task has no room, so the job goes on when the first has completed.
-  const job = day.submit('wk-1', { tasks: 2, gpus: 5 });
-  const late = day.tickWithCommands(worker);
-  day.onCommandsUnanswered(late);
-  day.submit('wk-2');
-  const repeated = day.tickWithCommands(worker);
+  const job = harness.submit('wk-1', { tasks: 2, gpus: 5 });
+  const late = harness.tickWithCommands(worker);
+  harness.onCommandsUnanswered(late);
+  harness.submit('wk-2');
+  const repeated = harness.tickWithCommands(worker);
   assert.ok(startsJob(late.commands, job) && startsJob(repeated.commands, job));
-  day.onCommandsUnsent(repeated);
-  day.exchangeHeartbeat(worker);
+  harness.onCommandsUnsent(repeated);
+  harness.exchangeHeartbeat(worker);
   for (let i = 0; i < 2; i++) {
-    day.advance(FETCH_MS + SHORT_MS);
+    harness.advance(FETCH_MS + SHORT_MS);
     for (let j = 0; j < 8; j++) {
-      day.exchangeHeartbeat(worker);
-      day.saveProgress(day.tick());
+      harness.exchangeHeartbeat(worker);
+      harness.saveProgress(harness.tick());
     }
   }
-  day.executeCommands(worker, late);
-  day.advance(FETCH_MS);
-  assert.deepEqual(day.checker.violations, []);
+  harness.executeCommands(worker, late);
+  harness.advance(FETCH_MS);
+  assert.deepEqual(harness.checker.violations, []);
 });
--- a/src/test/invariant-checker.test.ts
+++ b/src/test/invariant-checker.test.ts
@@ -132,12 +132,12 @@
         );
     }
   }
-  const day = new LeaderSimulation(8, (...a) => new Deaf(...a));
-  day.submit(jobSpec('wk-1', { kind: 'service', tasks: 2, estimateS: 0 }));
-  day.clock.after(90_000, () => day.cancel('wk-1' as JobId));
-  day.clock.runUntil(180_000);
+  const simulation = new LeaderSimulation(8, (...a) => new Deaf(...a));
+  simulation.submit(jobSpec('wk-1', { kind: 'service', tasks: 2, estimateS: 0 }));
+  simulation.clock.after(90_000, () => simulation.cancel('wk-1' as JobId));
+  simulation.clock.runUntil(180_000);
   assert.ok(
-    day.checker.violations.some((b) => b.startsWith('ran_cancelled')),
+    simulation.checker.violations.some((b) => b.startsWith('ran_cancelled')),
     'the broken variant is caught',
   );
 });
--- a/src/test/large-cluster.test.ts
+++ b/src/test/large-cluster.test.ts
@@ -17,10 +17,10 @@
 
 /** One task for each machine, in jobs of equal size, some urgent; a change of leader, and some work cancelled. */
 const largeDay = (machines: number): LeaderSimulation => {
-  const day = new LeaderSimulation(31);
-  day.capacity.set('large', 0);
+  const simulation = new LeaderSimulation(31);
+  simulation.machines.capacity.set('large', 0);
   for (let i = 0; i < JOBS; i++)
-    day.submit(
+    simulation.submit(
       jobSpec(`wk-${i}`, {
         ...whole,
         tasks: machines / JOBS,
@@ -28,19 +28,19 @@
         estimateS: 400,
       }),
     );
-  day.clock.after(150_000, () => day.crashLeader(5000));
-  return day;
+  simulation.clock.after(150_000, () => simulation.crashLeader(5000));
+  return simulation;
 };
 
 test('4,000 machines are created and filled, and a failover starts nothing twice', () => {
-  const day = largeDay(MACHINES);
-  day.clock.runUntil(140_000);
-  assert.ok(day.workers.size >= MACHINES);
-  assert.equal(day.checker.startCount, MACHINES);
-  day.clock.runUntil(200_000);
-  assert.equal(day.checker.startCount, MACHINES, 'nothing was started again');
-  assert.deepEqual(day.checker.violations, []);
-  assert.ok(day.leader!.jobs.size === JOBS);
+  const simulation = largeDay(MACHINES);
+  simulation.clock.runUntil(140_000);
+  assert.ok(simulation.machines.running.size >= MACHINES);
+  assert.equal(simulation.checker.startCount, MACHINES);
+  simulation.clock.runUntil(200_000);
+  assert.equal(simulation.checker.startCount, MACHINES, 'nothing was started again');
+  assert.deepEqual(simulation.checker.violations, []);
+  assert.ok(simulation.leader!.jobs.size === JOBS);
 });
 
 /** What a cycle costs where every machine is full and 300 jobs of a few kinds wait. */
--- a/src/test/sim/leader-simulation.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -1,141 +1,128 @@
-// A day on virtual time: the real core between stand-ins for state service, cloud, workers and users.
+/** The real leader on virtual time, between stand-ins for key-value store, cloud provider, workers and users. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
+import { teams, types } from './fixtures.js';
 import { InvariantChecker } from './invariant-checker.js';
+import { SimulatedMachines } from './simulated-machines.js';
+import { NETWORK_LATENCY_MS, SimulatedWorkerLink } from './simulated-worker-link.js';
 import { VirtualClock } from './virtual-clock.js';
-import { teams, types } from './fixtures.js';
-import { SimulatedWorker, type WorkerEnvironment } from './simulated-worker.js';
 import { Leader, type Effect } from '../../core/leader/leader.js';
 import type { FinalState, JobRecord, JobSpec, MachineInfo } from '../../core/types.js';
-import type {
-  Endpoint,
-  JobId,
-  MachineId,
-  SegmentName,
-  MonotonicTime,
-  Term,
-  MachineTypeName,
-  WallTime,
-  Zone,
-} from '../../core/units.js';
+import type { JobId, MonotonicTime, SegmentName, Term, WallTime } from '../../core/units.js';
 
-const times = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
-const NETWORK_MS = 5;
+const EPOCH_MS = 1_700_000_000_000;
+const TICK_INTERVAL_MS = 200;
+const CHECK_INTERVAL_MS = 1000;
+const FIRST_LIST_MS = 100;
+const LIST_INTERVAL_MS = 4000;
+const CLOUD_LATENCY_MS = 100;
+/** A user whose submission was refused comes back. */
+const RESUBMIT_AFTER_MS = 1000;
+const WATCH_RETRY_MS = 500;
 
-interface RunningMachine {
-  worker: SimulatedWorker;
-  listedFrom: number;
-  rentedAt: number;
-}
+type LeaderArguments = ConstructorParameters<typeof Leader>;
 
+/** A leader with its surroundings; tests inject faults by setting fields and calling methods. */
 export class LeaderSimulation {
   readonly clock = new VirtualClock();
+  readonly timings = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
   readonly checker: InvariantChecker;
   readonly specs = new Map<JobId, JobSpec>();
   readonly finalStates = new Map<JobId, FinalState>();
   readonly trace: string[] = [];
-  readonly workers = new Map<MachineId, RunningMachine>();
+  readonly machines: SimulatedMachines;
+  readonly link = new SimulatedWorkerLink(this);
   keyValueStoreUnavailable = false;
   cloudUnavailable = false;
-  commandLossFraction = 0;
-  /** Machines looked at in the dearest cycle so far. */
+  /** Work of the most expensive scheduling cycle so far. */
   maxCycleWork = 0;
-  holdCommands = false;
-  /** Share of reports, and of orders that were carried out, of which a copy arrives once more, much later. */
-  duplicateFraction = 0;
-  /** Machines that the cloud has of each type, if not without limit. */
-  readonly capacity = new Map<string, number>();
   leader: Leader | null = null;
-  private term = 0;
+  term = 0;
   private revision = 1;
-  private leaderStamp = 0;
-  private machineCount = 0;
-  private readonly records = new Map<JobId, { record: JobRecord; stamp: number }>();
-  private readonly roster = new Map<string, MachineInfo[]>();
+  private readonly records = new Map<JobId, { record: JobRecord; revision: number }>();
+  private readonly registry = new Map<string, MachineInfo[]>();
   private readonly progress = new Map<string, { job: JobId; segment: SegmentName; bytes: Uint8Array }>();
-  private readonly rentals = new Map<string, MachineId[]>();
-  private held: (() => void)[] = [];
-  private readonly rng;
-  private readonly world: WorkerEnvironment;
+  private readonly generator;
 
   constructor(
     seed: number,
-    private readonly make: (...a: ConstructorParameters<typeof Leader>) => Leader = (...a) =>
-      new Leader(...a),
+    private readonly createLeader = (...leaderArguments: LeaderArguments): Leader =>
+      new Leader(...leaderArguments),
   ) {
-    this.rng = xoroshiro128plus(seed);
-    this.checker = new InvariantChecker(this.specs, teams, times.cancelS, () => this.clock.now);
-    this.world = {
-      clock: this.clock,
-      checker: this.checker,
-      timings: times,
-      specs: this.specs,
-      gangs: new Map(),
-      capacity: (name) => types.find((t) => t.name === name)!,
-      runMs: (job) => this.specs.get(job)!.estimateS * 1000 * (0.7 + 0.6 * this.random()),
-      fetchMs: (_item, job) => this.specs.get(job)!.imageGb * 1000,
-    };
-    this.clock.every(1000, () => this.checker.checkPeriodically());
+    this.generator = xoroshiro128plus(seed);
+    this.checker = new InvariantChecker(this.specs, teams, this.timings.cancelS, () => this.clock.now);
+    this.machines = this.createMachines();
+    this.clock.every(CHECK_INTERVAL_MS, () => this.checker.checkPeriodically());
     this.electLeader();
-    this.clock.every(200, () => this.tick());
-    this.clock.after(100, () => this.list());
-    this.clock.every(4000, () => this.list());
+    this.clock.every(TICK_INTERVAL_MS, () => this.tick());
+    this.clock.after(FIRST_LIST_MS, () => this.listMachines());
+    this.clock.every(LIST_INTERVAL_MS, () => this.listMachines());
   }
 
+  private createMachines(): SimulatedMachines {
+    return new SimulatedMachines({
+      environment: {
+        clock: this.clock,
+        checker: this.checker,
+        timings: this.timings,
+        specs: this.specs,
+        gangs: new Map(),
+        capacity: (typeName) => types.find((type) => type.name === typeName)!,
+        runMs: (job) => this.specs.get(job)!.estimateS * 1000 * (0.7 + 0.6 * this.random()),
+        fetchMs: (_machine, job) => this.specs.get(job)!.imageGb * 1000,
+      },
+      random: () => this.random(),
+      addTraceLine: (line) => this.addTraceLine(line),
+      sendHeartbeat: (worker) => this.link.sendHeartbeat(worker),
+    });
+  }
+
+  /** The next random number of this seed. */
   random(): number {
-    return uniformFloat64(this.rng);
+    return uniformFloat64(this.generator);
+  }
+
+  get monotonicNow(): MonotonicTime {
+    return this.clock.now as MonotonicTime;
+  }
+
+  private get wallClockNow(): WallTime {
+    return (EPOCH_MS + this.clock.now) as WallTime;
   }
 
+  /** Adds what happened to the trace. */
   addTraceLine(line: string): void {
     this.trace.push(`${(this.clock.now / 1000).toFixed(2).padStart(7)}  ${line}`);
   }
 
-  // ---- users -----------------------------------------------------------------------------------------------
-
+  /** A user submits a job, again and again while the key-value store is unavailable. */
   submit(spec: JobSpec): void {
     if (this.keyValueStoreUnavailable) {
-      this.clock.after(1000, () => this.submit(spec)); // answered 503: the user comes back
+      this.clock.after(RESUBMIT_AFTER_MS, () => this.submit(spec));
       return;
     }
     this.specs.set(spec.id, spec);
     this.checker.onJobAccepted(spec.id);
-    const record: JobRecord = { spec, submittedAt: this.wall(), cancelledAt: null };
-    this.put(spec.id, record);
+    this.writeRecord(spec.id, { spec, submittedAt: this.wallClockNow, cancelledAt: null });
     this.addTraceLine(`user submits ${spec.id} (${spec.kind}, ${spec.tasks} tasks, ${spec.priority})`);
   }
 
+  /** A user cancels a job, unless it has ended or the key-value store is unavailable. */
   cancel(id: JobId): void {
     const known = this.records.get(id);
     if (!known || this.keyValueStoreUnavailable) return;
-    this.put(id, { ...known.record, cancelledAt: this.wall() });
+    this.writeRecord(id, { ...known.record, cancelledAt: this.wallClockNow });
     this.checker.onCancellationReported(id);
     this.addTraceLine(`user cancels ${id}`);
   }
 
-  private put(id: JobId, record: JobRecord): void {
-    const stamp = ++this.revision;
-    this.records.set(id, { record, stamp });
-    this.watchEvent(id, record, stamp);
-  }
-
-  /** An open watch waits through an outage and goes on afterwards. */
-  private watchEvent(id: JobId, record: JobRecord, stamp: number): void {
-    this.clock.after(NETWORK_MS, () => {
-      if (this.keyValueStoreUnavailable) this.clock.after(500, () => this.watchEvent(id, record, stamp));
-      else this.leader?.applyJobRecord(id, record, stamp, false, this.steady(), this.wall());
-    });
-  }
-
-  // ---- controllers -----------------------------------------------------------------------------------------
-
-  /** A new leader takes over from what the state service holds; the old one is gone without a word. */
+  /** A new leader takes over from what the key-value store holds; its predecessor ends without notice. */
   electLeader(): void {
     this.term++;
-    this.leaderStamp = ++this.revision;
-    const leader = this.make(
-      { term: this.term as Term, keyRevision: this.leaderStamp },
+    const leader = this.createLeader(
+      { term: this.term as Term, keyRevision: ++this.revision },
       {
-        workers: times,
+        workers: this.timings,
         teams,
         objectives: [],
         idleHoldS: 30,
@@ -149,43 +136,60 @@
         cycleWorkLimit: 200_000,
         random: () => this.random(),
       },
-      this.steady(),
+      this.monotonicNow,
     );
-    leader.setMachineTypes(types);
-    for (const [page, machines] of this.roster) {
-      for (const machine of machines) leader.loadMachine(machine, page, this.steady());
-    }
-    for (const [id, { record, stamp }] of this.records) {
-      leader.applyJobRecord(id, record, stamp, true, this.steady(), this.wall());
-    }
-    for (const record of this.progress.values())
-      leader.loadProgress(record.job, record.segment, record.bytes);
+    this.load(leader);
     this.leader = leader;
     this.addTraceLine(`leader of term ${this.term} begins`);
   }
 
-  crashLeader(backAfterMs: number): void {
+  /** The leader crashes; another one is elected later. */
+  crashLeader(electedAfterMs: number): void {
     this.leader = null;
     this.addTraceLine('leader crashes');
-    this.clock.after(backAfterMs, () => this.electLeader());
+    this.clock.after(electedAfterMs, () => this.electLeader());
   }
 
-  private tick(): void {
-    const leader = this.leader;
-    if (!leader || this.keyValueStoreUnavailable) return;
-    leader.tick(this.steady(), this.wall());
-    this.maxCycleWork = Math.max(this.maxCycleWork, leader.lastCycleWork);
-    leader.takeEffects().forEach((effect) => this.carryOut(leader, effect));
+  /** Runs the action later, if this leader still leads then. */
+  laterFor(leader: Leader, ms: number, action: () => void): void {
+    this.clock.after(ms, () => {
+      if (this.leader === leader) action();
+    });
   }
 
-  private later(leader: Leader, ms: number, run: () => void): void {
-    this.clock.after(ms, () => {
-      if (this.leader === leader) run();
+  private load(leader: Leader): void {
+    leader.setMachineTypes(types);
+    for (const [page, machines] of this.registry)
+      for (const machine of machines) leader.loadMachine(machine, page, this.monotonicNow);
+    for (const [id, { record, revision }] of this.records)
+      leader.applyJobRecord(id, record, revision, true, this.monotonicNow, this.wallClockNow);
+    for (const { job, segment, bytes } of this.progress.values()) leader.loadProgress(job, segment, bytes);
+  }
+
+  private writeRecord(id: JobId, record: JobRecord): void {
+    const revision = ++this.revision;
+    this.records.set(id, { record, revision });
+    this.sendWatchEvent(id, record, revision);
+  }
+
+  /** An open watch waits through an outage and continues afterwards. */
+  private sendWatchEvent(id: JobId, record: JobRecord, revision: number): void {
+    this.clock.after(NETWORK_LATENCY_MS, () => {
+      if (this.keyValueStoreUnavailable)
+        this.clock.after(WATCH_RETRY_MS, () => this.sendWatchEvent(id, record, revision));
+      else this.leader?.applyJobRecord(id, record, revision, false, this.monotonicNow, this.wallClockNow);
     });
   }
 
-  private carryOut(leader: Leader, effect: Effect): void {
-    const now = (): MonotonicTime => this.steady();
+  private tick(): void {
+    const { leader } = this;
+    if (!leader || this.keyValueStoreUnavailable) return;
+    leader.tick(this.monotonicNow, this.wallClockNow);
+    this.maxCycleWork = Math.max(this.maxCycleWork, leader.lastCycleWork);
+    leader.takeEffects().forEach((effect) => this.execute(leader, effect));
+  }
+
+  private execute(leader: Leader, effect: Effect): void {
     const ok = !this.keyValueStoreUnavailable;
     switch (effect.kind) {
       case 'log':
@@ -193,224 +197,74 @@
           this.addTraceLine(`  ${effect.text} ${JSON.stringify(effect.fields)}`);
         return;
       case 'write-registry-page':
-        if (effect.machines.length === 0) this.roster.delete(effect.page);
-        else this.roster.set(effect.page, effect.machines);
-        this.later(leader, NETWORK_MS, () => leader.onRegistryPageWritten(effect.page, ok));
+        if (effect.machines.length === 0) this.registry.delete(effect.page);
+        else this.registry.set(effect.page, effect.machines);
+        this.laterFor(leader, NETWORK_LATENCY_MS, () => leader.onRegistryPageWritten(effect.page, ok));
         return;
-      case 'write-progress':
-        this.progress.set(`${effect.job}/${effect.segment}`, {
-          job: effect.job,
-          segment: effect.segment,
-          bytes: effect.bytes,
-        });
-        this.later(leader, NETWORK_MS, () =>
-          leader.onProgressWritten(effect.job, effect.segment, effect.bytes, ok),
-        );
+      case 'write-progress': {
+        const { job, segment, bytes } = effect;
+        this.progress.set(`${job}/${segment}`, { job, segment, bytes });
+        this.laterFor(leader, NETWORK_LATENCY_MS, () => leader.onProgressWritten(job, segment, bytes, ok));
         return;
+      }
       case 'write-final-record':
-        this.finish(leader, effect);
+        this.writeFinalRecord(leader, effect);
         return;
       case 'read-final-record': {
         const final = ok ? (this.finalStates.get(effect.job) ?? null) : null;
-        this.later(leader, NETWORK_MS, () => leader.onFinalRecordRead(effect.job, final, now()));
+        this.laterFor(leader, NETWORK_LATENCY_MS, () =>
+          leader.onFinalRecordRead(effect.job, final, this.monotonicNow),
+        );
         return;
       }
       case 'create-machines':
-        this.later(leader, 100, () => {
-          if (this.cloudUnavailable) leader.onScaleOutResult(effect.request, 'retry', now());
-          else {
-            const machines = this.rent(effect.request, effect.order);
-            leader.onScaleOutResult(
-              effect.request,
-              machines.length === 0 ? 'no-capacity' : { machines },
-              now(),
-            );
-          }
-        });
+        this.laterFor(leader, CLOUD_LATENCY_MS, () => this.createMachinesFor(leader, effect));
         return;
       case 'delete-machines': {
-        const down = this.cloudUnavailable;
-        if (!down) for (const id of effect.machines) this.removeMachine(id);
-        this.later(leader, 100, () => leader.onDeletionResult(effect.machines, !down, now()));
+        const deleted = !this.cloudUnavailable;
+        if (deleted) for (const id of effect.machines) this.machines.remove(id);
+        this.laterFor(leader, CLOUD_LATENCY_MS, () =>
+          leader.onDeletionResult(effect.machines, deleted, this.monotonicNow),
+        );
         return;
       }
       case 'send-direct-commands':
-        this.order(leader, effect);
+        this.link.sendCommands(leader, effect);
         return;
     }
   }
 
-  private finish(leader: Leader, effect: Extract<Effect, { kind: 'write-final-record' }>): void {
-    const known = this.records.get(effect.job);
-    if (known && known.stamp !== effect.revision) {
-      this.later(leader, NETWORK_MS, () =>
-        leader.onFinalRecordWritten(
-          effect.job,
-          { kind: 'changed', record: known.record, revision: known.stamp },
-          this.steady(),
-        ),
+  private writeFinalRecord(leader: Leader, effect: Extract<Effect, { kind: 'write-final-record' }>): void {
+    const { job, state } = effect;
+    const known = this.records.get(job);
+    if (known && known.revision !== effect.revision) {
+      const outcome = { kind: 'changed', record: known.record, revision: known.revision } as const;
+      this.laterFor(leader, NETWORK_LATENCY_MS, () =>
+        leader.onFinalRecordWritten(job, outcome, this.monotonicNow),
       );
       return;
     }
-    this.records.delete(effect.job);
-    this.finalStates.set(effect.job, effect.state);
-    this.checker.onStatusReported(effect.job, effect.state);
-    this.addTraceLine(`${effect.job} is ${effect.state}`);
-    this.later(leader, NETWORK_MS, () =>
-      leader.onFinalRecordWritten(effect.job, { kind: 'ok', state: effect.state }, this.steady()),
+    this.records.delete(job);
+    this.finalStates.set(job, state);
+    this.checker.onStatusReported(job, state);
+    this.addTraceLine(`${job} is ${state}`);
+    this.laterFor(leader, NETWORK_LATENCY_MS, () =>
+      leader.onFinalRecordWritten(job, { kind: 'ok', state }, this.monotonicNow),
     );
   }
 
-  private order(leader: Leader, effect: Extract<Effect, { kind: 'send-direct-commands' }>): void {
-    const worker = this.workers.get(effect.machine)?.worker;
-    const term = leader.leadership.term;
-    for (const command of effect.commands)
-      this.addTraceLine(`order to ${effect.machine}: ${command.op} ${command.job}/${command.index}`);
-    const arrive = (): void => {
-      if (!worker?.alive) return;
-      const run = (): ReturnType<SimulatedWorker['onDirectCommands']> =>
-        worker.onDirectCommands(term, Number(effect.incarnation), effect.commands);
-      const result = run();
-      if (this.duplicateFraction > 0 && this.random() < this.duplicateFraction)
-        this.lateCopy(() => worker.alive && !worker.unreachable && run());
-      const kind = result.executed ? 'executed' : 'refused';
-      this.later(leader, NETWORK_MS, () => {
-        leader.onDirectCommandResult(
-          effect.machine,
-          effect.commands,
-          { kind, report: result.report },
-          this.steady(),
-        );
-      });
-    };
-    const silent =
-      !worker?.alive ||
-      worker.unreachable ||
-      worker.inboundPartitioned ||
-      this.holdCommands ||
-      this.random() < this.commandLossFraction;
-    if (!silent) {
-      this.clock.after(NETWORK_MS, arrive);
-      return;
-    }
-    if (worker?.inboundPartitioned) {
-      this.later(leader, 2500, () => {
-        leader.onDirectCommandResult(effect.machine, effect.commands, { kind: 'unknown' }, this.steady());
-      });
+  private createMachinesFor(leader: Leader, effect: Extract<Effect, { kind: 'create-machines' }>): void {
+    if (this.cloudUnavailable) {
+      leader.onScaleOutResult(effect.request, 'retry', this.monotonicNow);
       return;
     }
-    // Held back by the network: given up here, and perhaps delivered minutes later.
-    this.held.push(
-      () => worker?.alive && worker.onDirectCommands(term, Number(effect.incarnation), effect.commands),
-    );
-    this.later(leader, 2500, () => {
-      leader.onDirectCommandResult(effect.machine, effect.commands, { kind: 'unknown' }, this.steady());
-    });
-  }
-
-  /** A copy of a message: seconds to well over a lease later. */
-  private lateCopy(run: () => unknown): void {
-    this.clock.after(1000 + this.random() * times.leaseS * 4000, () => void run());
-  }
-
-  /** The network delivers what it held back. */
-  deliverHeldCommands(): void {
-    const held = this.held;
-    this.held = [];
-    this.addTraceLine(`${held.length} held orders arrive`);
-    for (const run of held) run();
-  }
-
-  // ---- cloud and workers -----------------------------------------------------------------------------------
-
-  private rent(
-    request: string,
-    order: { type: MachineTypeName; zone: Zone; spot: boolean; count: number },
-  ): MachineId[] {
-    const known = this.rentals.get(request);
-    if (known) return known;
-    const ids: MachineId[] = [];
-    for (let i = 0; i < order.count; i++) {
-      const left = this.capacity.get(order.type) ?? Infinity;
-      if (left <= 0) break;
-      this.capacity.set(order.type, left - 1);
-      const id = `host-${String(this.machineCount++).padStart(4, '0')}` as MachineId;
-      const { type, zone, spot } = order;
-      const info = { id, endpoint: `10.0.0.1:${9000 + this.machineCount}` as Endpoint, type, zone, spot };
-      ids.push(id);
-      this.clock.after(20_000 * (0.6 + 0.9 * this.random()), () => this.boot(info));
-    }
-    this.rentals.set(request, ids);
-    this.addTraceLine(`rents ${order.count} ${order.type} in ${order.zone}${order.spot ? ' (spot)' : ''}`);
-    return ids;
-  }
-
-  private readonly returned = new Set<MachineId>();
-
-  private boot(info: MachineInfo): void {
-    if (this.returned.has(info.id)) return;
-    const worker = new SimulatedWorker(info, this.world);
-    this.workers.set(info.id, { worker, listedFrom: this.clock.now + 4000, rentedAt: this.clock.now });
-    const round = (): void => {
-      if (!worker.alive) return;
-      this.reportFrom(worker);
-      this.clock.after(times.heartbeatIntervalS * 1000 * (0.75 + 0.5 * this.random()), round);
-    };
-    round();
-  }
-
-  private reportFrom(worker: SimulatedWorker): void {
-    const report = worker.nextHeartbeat();
-    const sentAt = this.clock.now;
-    if (worker.unreachable) return;
-    if (this.duplicateFraction > 0 && this.random() < this.duplicateFraction)
-      this.lateCopy(() => this.leader?.onHeartbeat(report, this.steady()));
-    this.clock.after(NETWORK_MS, () => {
-      const leader = this.leader;
-      if (!leader) {
-        // Another controller keeps the worker alive under the last token, without commands.
-        this.clock.after(NETWORK_MS, () =>
-          worker.onHeartbeatResponse(this.term, [], sentAt, Number(report.incarnation)),
-        );
-        return;
-      }
-      const term = leader.leadership.term;
-      let commands: ReturnType<Leader['onHeartbeat']> = [];
-      if (this.keyValueStoreUnavailable) leader.onHeartbeatWithoutAuthority(report, this.steady());
-      else commands = leader.onHeartbeat(report, this.steady());
-      this.clock.after(NETWORK_MS, () => {
-        if (!worker.unreachable)
-          worker.onHeartbeatResponse(term, commands, sentAt, Number(report.incarnation));
-      });
-    });
-  }
-
-  removeMachine(id: MachineId): void {
-    const worker = this.workers.get(id)?.worker;
-    const left = worker ? this.capacity.get(worker.info.type) : undefined;
-    if (worker && left !== undefined) this.capacity.set(worker.info.type, left + 1);
-    this.returned.add(id);
-    worker?.kill();
-    this.workers.delete(id);
-  }
-
-  private list(): void {
-    if (!this.leader || this.cloudUnavailable) return;
-    const listed = [...this.workers.values()]
-      .filter((running) => running.listedFrom <= this.clock.now)
-      .map((running) => ({
-        ...running.worker.info,
-        status: 'running' as const,
-        ageS: (this.clock.now - running.rentedAt) / 1000,
-      }));
-    this.leader.onMachineList(listed, this.steady());
-  }
-
-  private steady(): MonotonicTime {
-    return this.clock.now as MonotonicTime;
+    const machines = this.machines.create(effect.request, effect.order);
+    const result = machines.length === 0 ? 'no-capacity' : { machines };
+    leader.onScaleOutResult(effect.request, result, this.monotonicNow);
   }
 
-  private wall(): WallTime {
-    return (1_700_000_000_000 + this.clock.now) as WallTime;
+  private listMachines(): void {
+    if (this.leader && !this.cloudUnavailable)
+      this.leader.onMachineList(this.machines.list(), this.monotonicNow);
   }
 }
--- a/src/test/zone-partition.test.ts
+++ b/src/test/zone-partition.test.ts
@@ -55,12 +55,12 @@
   };
   // Nothing is given back for being idle.
   const operator = { scaling: [{ idle_hold_s: 600 }] };
-  const day = await runScenario(
+  const result = await runScenario(
     seed,
     { setup: { ...over, operator }, faultsEndMs: 110_000, endMs: 330_000 },
     script,
   );
-  return { violations: day.violations, unfinished: day.unfinished, fenced, running };
+  return { violations: result.violations, unfinished: result.unfinished, fenced, running };
 };
 
 for (const trouble of ['hold', 'refuse'] as const) {
