--- a/src/core/leader/effects.ts
+++ b/src/core/leader/effects.ts
@@ -63,7 +63,7 @@
 export interface LeaderSettings {
   workers: WorkerTimings;
   teams: TeamQuota[];
-  objectives: { kind: string; class?: string; within_s?: number }[];
+  objectives: { kind: string; class?: string; withinS?: number }[];
   /** How long an idle machine is kept. */
   idleHoldS: number;
   /** How long the operators want the cloud provider left alone after it had no capacity. */
--- a/src/core/leader/scheduling-queue.ts
+++ b/src/core/leader/scheduling-queue.ts
@@ -26,7 +26,7 @@
   readonly finishObjectivesS = new Map<string, number[]>();
 
   constructor(private readonly state: LeaderState) {
-    for (const { kind, class: name, within_s: withinS } of state.settings.objectives) {
+    for (const { kind, class: name, withinS } of state.settings.objectives) {
       if (kind !== 'finished' || name === undefined || withinS === undefined) continue;
       this.finishObjectivesS.set(name, [...(this.finishObjectivesS.get(name) ?? []), withinS]);
     }
