--- a/src/runtime/leadership/effect-executor.ts
+++ b/src/runtime/leadership/effect-executor.ts
@@ -129,7 +129,7 @@
     if (reply.ok) {
       const heartbeat = parseHeartbeat(tryDecode(reply.body));
       const kind = reply.status === HTTP_OK ? 'executed' : 'refused';
-      const result = { kind, report: heartbeat.ok ? heartbeat.value : null } as const;
+      const result = { kind, heartbeat: heartbeat.ok ? heartbeat.value : null } as const;
       leader.onDirectCommandResult(machine, commands, result, monotonicNow());
     } else {
       const result = { kind: reply.sent ? 'unknown' : 'unsent' } as const;
--- a/src/test/large-cluster.test.ts
+++ b/src/test/large-cluster.test.ts
@@ -96,6 +96,6 @@
   const kind = (effect: (typeof first)[number]): string => `${effect.order.type} ${effect.order.zone}`;
   assert.ok(!requests(10).some((effect) => kind(effect) === kind(first[0])), 'not before the rest is over');
   assert.ok(
-    renting['refusedUntil'].get(capacityKey(first[0].order.type, first[0].order.zone, false))! <= 16_000,
+    renting['unavailableUntil'].get(capacityKey(first[0].order.type, first[0].order.zone, false))! <= 16_000,
   );
 });
--- a/src/test/sim/leader-simulation.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -162,7 +162,11 @@
     for (const [page, machines] of this.registry)
       for (const machine of machines) leader.loadMachine(machine, page, this.monotonicNow);
     for (const [id, { record, revision }] of this.records)
-      leader.applyJobRecord(id, record, revision, true, this.monotonicNow, this.wallClockNow);
+      leader.applyJobRecord(
+        { id, record, revision, fromEarlierLeader: true },
+        this.monotonicNow,
+        this.wallClockNow,
+      );
     for (const { job, segment, bytes } of this.progress.values()) leader.loadProgress(job, segment, bytes);
   }
 
@@ -177,7 +181,12 @@
     this.clock.after(NETWORK_LATENCY_MS, () => {
       if (this.keyValueStoreUnavailable)
         this.clock.after(WATCH_RETRY_MS, () => this.sendWatchEvent(id, record, revision));
-      else this.leader?.applyJobRecord(id, record, revision, false, this.monotonicNow, this.wallClockNow);
+      else
+        this.leader?.applyJobRecord(
+          { id, record, revision, fromEarlierLeader: false },
+          this.monotonicNow,
+          this.wallClockNow,
+        );
     });
   }
 
@@ -193,7 +202,7 @@
     const ok = !this.keyValueStoreUnavailable;
     switch (effect.kind) {
       case 'log':
-        if (effect.level === 'info' && effect.text !== 'fleet')
+        if (effect.level === 'info' && effect.text !== 'machine usage')
           this.addTraceLine(`  ${effect.text} ${JSON.stringify(effect.fields)}`);
         return;
       case 'write-registry-page':
