--- a/src/runtime/health-check.ts
+++ b/src/runtime/health-check.ts
@@ -1,4 +1,5 @@
 /** Whether this controller can serve, for its load balancer and its peers. */
+import { monotonicNow } from './clock.js';
 import type { MachineTypeCatalog } from './cloud/machine-type-catalog.js';
 import type { KeyValueStoreClient } from './key-value-store/key-value-store-client.js';
 import type { PeerLink } from './peers/peer-link.js';
@@ -19,7 +20,7 @@
 
   /** The key-value store answered lately. */
   isStoreAvailable(): boolean {
-    return performance.now() - this.dependencies.store.lastAnswerAt < STORE_TIMEOUT_MS;
+    return monotonicNow() - this.dependencies.store.lastAnswerAt < STORE_TIMEOUT_MS;
   }
 
   /** While the store is down for everybody, leaving the load balancer would only delay the return. */
@@ -27,7 +28,7 @@
     const { store, links, machineTypes } = this.dependencies;
     if (machineTypes.current.length === 0) return false;
     if (this.isStoreAvailable()) return true;
-    const now = performance.now();
+    const now = monotonicNow();
     const reached = links.filter((link) => link.isAlive(now));
     // Cut off from the store and from every peer: it is this controller that is cut off, and others can serve.
     if (links.length > 0 && reached.length === 0) return false;
--- a/src/runtime/key-value-store/key-value-store-client.ts
+++ b/src/runtime/key-value-store/key-value-store-client.ts
@@ -1,10 +1,11 @@
 /** Client of the key-value store: reads, compare-and-swap transactions, leases and watches, within the rate limits. */
-import { HttpClient, type HttpResult } from '../http/http-client.js';
-import { RequestBudget } from './request-budget.js';
 import type { PlatformSettings } from '../../config/platform.js';
 import type { Revision, Uint64 } from '../../core/units.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
 import * as wire from '../../wire/key-value-store.js';
+import { monotonicNow } from '../clock.js';
+import { HttpClient, type HttpResult } from '../http/http-client.js';
+import { RequestBudget } from './request-budget.js';
 
 /** How a read, a watch or a call about a lease ended. */
 export type StoreOutcome<T> =
@@ -152,12 +153,12 @@
   private outcome<T>(reply: HttpResult, parse: (raw: unknown) => T | null): StoreOutcome<T> {
     if (!reply.ok) return reply.sent ? { kind: 'unknown' } : { kind: 'refused' };
     if (reply.status === STATUS.notFound || reply.status === STATUS.gone) {
-      this.lastAnswerAt = performance.now();
+      this.lastAnswerAt = monotonicNow();
       return { kind: 'gone' };
     }
     if (reply.status !== STATUS.ok && reply.status !== STATUS.created) return { kind: 'refused' };
     const value = parse(reply.body.length === 0 ? {} : tryDecode(reply.body));
-    this.lastAnswerAt = performance.now();
+    this.lastAnswerAt = monotonicNow();
     return value === null ? { kind: 'unknown' } : { kind: 'ok', value };
   }
 
@@ -165,11 +166,11 @@
     switch (status) {
       case STATUS.ok: {
         const revision = wire.parseCommitted(body);
-        this.lastAnswerAt = performance.now();
+        this.lastAnswerAt = monotonicNow();
         return revision === null ? { kind: 'unknown' } : { kind: 'ok', revision };
       }
       case STATUS.conflict:
-        this.lastAnswerAt = performance.now();
+        this.lastAnswerAt = monotonicNow();
         return { kind: 'conflict', failed: wire.parseConflict(body) ?? [] };
       case STATUS.badRequest:
         return { kind: wire.isLeaseGoneError(body) ? 'lease-gone' : 'invalid' };
--- a/src/runtime/key-value-store/request-budget.ts
+++ b/src/runtime/key-value-store/request-budget.ts
@@ -1,6 +1,6 @@
 /** This controller's share of the key-value store's rate limits, which hold for all controllers together. */
 import type { KeyValueStoreLimits } from '../../config/platform.js';
-import { sleep } from '../clock.js';
+import { monotonicNow, sleep } from '../clock.js';
 import { TokenBucket } from './token-bucket.js';
 
 /** A request may wait this long for its turn, and so many may wait; beyond, it is refused at once. */
@@ -29,7 +29,7 @@
   private waiting = 0;
 
   constructor(private readonly limits: KeyValueStoreLimits) {
-    const now = performance.now();
+    const now = monotonicNow();
     this.requests = new TokenBucket(1, 1, now);
     this.writes = new TokenBucket(1, 1, now);
     this.applyRates();
@@ -54,9 +54,9 @@
 
   /** Takes a turn in both budgets, at once or after a short wait; false: the request is not to be sent. */
   async acquire(requests: number, writes: number, reserve: number): Promise<boolean> {
-    const beganAt = performance.now();
+    const beganAt = monotonicNow();
     for (;;) {
-      const now = performance.now();
+      const now = monotonicNow();
       const waitMs = Math.max(
         this.writes.waitMs(writes, now, writes > 0 ? reserve : 0),
         this.requests.waitMs(requests, now, reserve),
@@ -75,7 +75,7 @@
 
   private applyRates(): void {
     const { rps, writeRps } = this.limits;
-    const now = performance.now();
+    const now = monotonicNow();
     const fraction = this.share * this.throttle * USABLE_FRACTION;
     this.requests.setRate(rps * fraction, Math.max(MIN_BURST, rps * fraction), now);
     this.writes.setRate(writeRps * fraction, Math.max(MIN_BURST, writeRps * fraction), now);
--- a/src/runtime/leadership/leadership-manager.ts
+++ b/src/runtime/leadership/leadership-manager.ts
@@ -1,5 +1,6 @@
 /** Begins and ends this controller's leaderships, as the election decides. */
 import type { Leader } from '../../core/leader/leader.js';
+import { monotonicNow } from '../clock.js';
 import type { ImageLocationStore } from '../peers/image-locations.js';
 import type { PeerLink } from '../peers/peer-link.js';
 import { LeaderLoop, type LeaderLoopDependencies } from './leader-loop.js';
@@ -65,7 +66,7 @@
     if (!this.leaderLoop || links.length === 0 || !election.hasAuthority) return;
     const limitMs =
       platform.workers.heartbeatIntervalS * MS_PER_S * UNREACHABLE_INTERVALS + UNREACHABLE_SLACK_MS;
-    if (this.leaderLoop.withoutHeartbeatsForMs(performance.now()) >= limitMs)
+    if (this.leaderLoop.withoutHeartbeatsForMs(monotonicNow()) >= limitMs)
       election.resign('no heartbeat received');
   }
 }
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -1,5 +1,6 @@
 /** Structured log lines on standard error. */
 import { pino } from 'pino';
+import { monotonicNow } from './clock.js';
 
 type Level = 'error' | 'info' | 'debug';
 type Fields = Record<string, unknown>;
@@ -45,7 +46,7 @@
    * the processor.
    */
   rateLimited(key: string, level: Level, fields: Fields, text: string): void {
-    const now = performance.now();
+    const now = monotonicNow();
     const last = this.lastWritten.get(key);
     if (last && now - last.at < MIN_INTERVAL_MS) {
       last.skipped++;
--- a/src/runtime/peers/image-locations.ts
+++ b/src/runtime/peers/image-locations.ts
@@ -1,6 +1,7 @@
 /** Which machine caches which images, as the leader tells its peers page by page; kept for the next leader. */
 import type { ImageLocations } from '../../core/leader/effects.js';
 import type { Leader } from '../../core/leader/leader.js';
+import { monotonicNow } from '../clock.js';
 import type { PeerLink } from './peer-link.js';
 
 const PAGE_MACHINES = 100;
@@ -47,6 +48,6 @@
 ): void => {
   if (!leader) return;
   const locations = store.nextPage(leader.imageLocations());
-  store.merge(locations, performance.now());
+  store.merge(locations, monotonicNow());
   for (const link of links) void link.ask({ kind: 'image-locations', locations }, SHARE_TIMEOUT_MS);
 };
--- a/src/runtime/peers/peer-handler.ts
+++ b/src/runtime/peers/peer-handler.ts
@@ -10,6 +10,7 @@
   type RequestOf,
   type TaskCounts,
 } from '../../wire/peer-messages.js';
+import { monotonicNow } from '../clock.js';
 import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
 import type { LeaderElection } from '../leadership/leader-election.js';
 import type { LeaderLoop } from '../leadership/leader-loop.js';
@@ -96,7 +97,7 @@
 
   /** For a peer that can't reach the leader. Only what goes to a leader, so nothing is forwarded twice. */
   private async forward({ to, request }: RequestOf<'forward'>): Promise<unknown> {
-    const now = performance.now();
+    const now = monotonicNow();
     const link = this.dependencies.links.find((peer) => peer.name === to && peer.isAlive(now));
     return link ? encodePeerResponse(request.kind, await link.ask(request, FORWARD_TIMEOUT_MS)) : null;
   }
@@ -118,7 +119,7 @@
   }
 
   private onImageLocations({ locations }: RequestOf<'image-locations'>): Response<'image-locations'> {
-    this.dependencies.imageLocations.merge(locations, performance.now());
+    this.dependencies.imageLocations.merge(locations, monotonicNow());
     return {};
   }
 
--- a/src/runtime/peers/task-counts.ts
+++ b/src/runtime/peers/task-counts.ts
@@ -1,6 +1,7 @@
 /** How many of a job's tasks are done and running, from the leader: for display only. */
 import type { JobId } from '../../core/units.js';
 import type { TaskCounts } from '../../wire/peer-messages.js';
+import { monotonicNow } from '../clock.js';
 import type { LeadershipManager } from '../leadership/leadership-manager.js';
 import type { PeerLink } from './peer-link.js';
 
@@ -22,7 +23,7 @@
   /** Null without a leader in reach. */
   async counts(id: JobId): Promise<TaskCounts | null> {
     if (this.leadership.leaderLoop) return this.ownCounts(id);
-    const now = performance.now();
+    const now = monotonicNow();
     const leader = this.links.find((link) => link.isAlive(now) && link.status?.leading);
     const response = await leader?.ask({ kind: 'task-counts', job: id }, TIMEOUT_MS);
     return response?.counts ?? null;
--- a/src/runtime/public-router.ts
+++ b/src/runtime/public-router.ts
@@ -1,4 +1,5 @@
 /** Requests on the public address: workers' heartbeats, the load balancer's health checks, and users. */
+import { monotonicNow } from './clock.js';
 import type { HealthCheck } from './health-check.js';
 import type { HttpMessage } from './http/http-parser.js';
 import type { HttpReply } from './http/http-server.js';
@@ -40,7 +41,7 @@
   }
 
   private async route(request: HttpMessage, reply: (reply: HttpReply) => void): Promise<void> {
-    const beganAt = performance.now();
+    const beganAt = monotonicNow();
     const { heartbeatHandler, health, userRequests, heartbeatLatency } = this.dependencies;
     switch (request.target) {
       case HEARTBEAT_PATH:
--- a/src/runtime/request-latency.ts
+++ b/src/runtime/request-latency.ts
@@ -1,5 +1,6 @@
 /** How long requests take to be answered. */
 import { createHistogram, type RecordableHistogram } from 'node:perf_hooks';
+import { monotonicNow } from './clock.js';
 
 const MICROSECONDS_PER_MS = 1000;
 
@@ -16,7 +17,7 @@
 
   /** A request that came at this monotonic time is answered now. */
   record(beganAt: number): void {
-    const elapsed = Math.round((performance.now() - beganAt) * MICROSECONDS_PER_MS);
+    const elapsed = Math.round((monotonicNow() - beganAt) * MICROSECONDS_PER_MS);
     this.microseconds.record(Math.max(1, elapsed));
   }
 
--- a/src/runtime/users/user-request-handler.ts
+++ b/src/runtime/users/user-request-handler.ts
@@ -1,5 +1,6 @@
 /** Users' requests as they come from outside: admitted, answered here or by a peer, and counted. */
 import type { PeerResponses } from '../../wire/peer-messages.js';
+import { monotonicNow } from '../clock.js';
 import type { HttpMessage } from '../http/http-parser.js';
 import type { HttpReply } from '../http/http-server.js';
 import type { Logger } from '../logger.js';
@@ -59,7 +60,7 @@
     const { users, links } = this.dependencies;
     const own = await users.handle(request);
     if (own.status !== UNAVAILABLE) return own;
-    const now = performance.now();
+    const now = monotonicNow();
     const peer = links.find((link) => link.isAlive(now) && link.status?.storeAvailable);
     if (!peer) return own;
     const { method, target, body } = request;
@@ -71,7 +72,7 @@
   private countOutcome({ status, refusalCause }: HttpReply): void {
     const outcome = refusalCause ?? String(status);
     this.outcomes.set(outcome, (this.outcomes.get(outcome) ?? 0) + 1);
-    const now = performance.now();
+    const now = monotonicNow();
     if (now - this.loggedAt < LOG_INTERVAL_MS) return;
     this.loggedAt = now;
     this.dependencies.log.info({ outcomes: Object.fromEntries(this.outcomes) }, 'user requests');
