--- a/src/wire/cancellation-pages.ts
+++ b/src/wire/cancellation-pages.ts
@@ -2,7 +2,7 @@
 import * as v from 'valibot';
 import type { CancellationLogPosition, CancellationLogPage } from '../core/cancellation-log.js';
 import type { JobId } from '../core/units.js';
-import { boundedText, nonNegativeNumber, parseWith, safeInteger } from './common.js';
+import { boundedText, nonNegativeNumber, parseWith, safeInteger, type ParseResult } from './common.js';
 import { isJobId } from './users.js';
 
 const jobs = v.array(v.custom<JobId>((job) => typeof job === 'string' && isJobId(job)));
@@ -15,10 +15,8 @@
   completeAgoMs: v.nullable(nonNegativeNumber),
 });
 
-type ParsedPage = { ok: true; value: CancellationLogPage } | { ok: false; cause: string };
-
 /** A page of a peer's log. */
-export const parseLogPage = (raw: unknown): ParsedPage => {
+export const parseLogPage = (raw: unknown): ParseResult<CancellationLogPage> => {
   const parsed = parseWith(logPage, raw);
   if (!parsed.ok) return parsed;
   const page = parsed.value as CancellationLogPage;
--- a/src/wire/peer-messages.ts
+++ b/src/wire/peer-messages.ts
@@ -5,7 +5,7 @@
  * schema is dropped, and fields that an older version doesn't send have a value that claims nothing.
  */
 import * as v from 'valibot';
-import { nonNegativeNumber, parseWith, safeInteger, boundedText } from './common.js';
+import { nonNegativeNumber, parseWith, safeInteger, boundedText, type ParseResult } from './common.js';
 import type { CancellationLogPosition } from '../core/cancellation-log.js';
 import type { ImageLocations } from '../core/leader/leader.js';
 import type { UnchangedHeartbeat } from '../core/types.js';
@@ -318,13 +318,10 @@
   response: PeerResponses[K] | null,
 ): unknown => (response === null ? null : responseEncoders[kind](response));
 
-/** What was received, or why it is malformed. */
-export type Parsed<T> = { ok: true; value: T } | { ok: false; cause: string };
-
 /** A request as it was received. */
-export const parsePeerRequest = (raw: unknown): Parsed<PeerRequest> =>
-  parseWith(requestSchema, raw) as Parsed<PeerRequest>;
+export const parsePeerRequest = (raw: unknown): ParseResult<PeerRequest> =>
+  parseWith(requestSchema, raw) as ParseResult<PeerRequest>;
 
 /** The response to a request of this kind, as it was received. */
-export const parsePeerResponse = <K extends PeerKind>(kind: K, raw: unknown): Parsed<PeerResponses[K]> =>
-  parseWith(responseSchemas[kind], raw) as Parsed<PeerResponses[K]>;
+export const parsePeerResponse = <K extends PeerKind>(kind: K, raw: unknown): ParseResult<PeerResponses[K]> =>
+  parseWith(responseSchemas[kind], raw) as ParseResult<PeerResponses[K]>;
