--- a/src/runtime/leadership/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -143,7 +143,7 @@
     const leaderKey = { key: keys.leader, revision: held.keyRevision };
     const outcome = await store.transact({ conditions: [leaderKey, ...conditions], changes }, reserve);
     if (outcome.kind === 'conflict' && outcome.failed.includes(keys.leader)) {
-      log.info({ term: held.term }, 'write refused: the leader key is not ours any more');
+      log.info({ term: held.term }, 'write refused: the leader key has changed');
       election.onLeaderKeyChanged();
       return { kind: 'refused' };
     }
