--- a/src/test/sim/cluster-setup.ts
+++ b/src/test/sim/cluster-setup.ts
@@ -6,8 +6,11 @@
 import type { MachineType, TeamQuota } from '../../core/types.js';
 import type { JobId, NodeName, Zone } from '../../core/units.js';
 
+/** The address of the simulated key-value store. */
 export const KEY_VALUE_STORE_IP = '10.2.0.1';
+/** The address of the simulated cloud provider. */
 export const CLOUD_PROVIDER_IP = '10.2.0.2';
+/** Wall clocks of controllers are off by at most this. */
 export const CLOCK_ERROR_MS = 100;
 const DEFAULT_SOCKET_LIMIT = 1000;
 const DEFAULT_KEY_VALUE_STORE_LIMITS: KeyValueStoreLimits = {
--- a/src/test/sim/fixtures.ts
+++ b/src/test/sim/fixtures.ts
@@ -1,12 +1,14 @@
-// Teams, machine types and a plain job, for tests that need some and don't care which.
+/** Teams, machine types and a plain job, for tests that need some and don't care which. */
 import type { JobSpec, MachineType, TeamQuota } from '../../core/types.js';
 import type { JobId, Team, MachineTypeName, Zone } from '../../core/units.js';
 
+/** One team with a guarantee and a limit, one without. */
 export const teams: TeamQuota[] = [
   { name: 'blue' as Team, cpus: 0, cpusMax: 0, gpus: 4, gpusMax: 20 },
   { name: 'green' as Team, cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
 ];
 
+/** Two machine types, each in two zones. */
 export const types: MachineType[] = [
   {
     name: 'small' as MachineTypeName,
@@ -34,6 +36,7 @@
   },
 ];
 
+/** A single-task array; a test overrides what it is about. */
 export const jobSpec = (id: string, over: Partial<JobSpec> = {}): JobSpec => ({
   id: id as JobId,
   class: 'batch',
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -1,5 +1,7 @@
-// A leader's core and stand-in workers, driven step by step: the test says which message arrives when, and the checker
-// sees which rules the workers' tasks break.
+/**
+ * A leader and simulated workers, driven step by step: the test decides which message arrives when, and the invariant
+ * checker sees what the workers' tasks do.
+ */
 import { InvariantChecker } from './invariant-checker.js';
 import { VirtualClock } from './virtual-clock.js';
 import { jobSpec, teams, types } from './fixtures.js';
@@ -19,22 +21,25 @@
 
 const TERM = 3 as Term;
 const TICK_MS = 200;
+/** How long a worker fetches an image. */
 export const FETCH_MS = 500;
 const times = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
 
-/** The commands of one request that goes straight to a worker. */
+/** The commands of one request straight to a worker. */
 export type DirectCommands = Extract<Effect, { kind: 'send-direct-commands' }>;
 
-/** The answer to a worker's report, which the test delivers when it likes. */
+/** The response to a worker's heartbeat, which the test delivers when it likes. */
 export interface HeartbeatResponse {
   heartbeat: Heartbeat;
   sentAt: number;
   commands: Command[];
 }
 
+/** Whether one of the commands starts a task of the job. */
 export const startsJob = (commands: Command[], job: JobId): boolean =>
   commands.some((command) => command.op === 'start' && command.job === job);
 
+/** One leader with machines that are up and registered. */
 export class LeaderHarness {
   readonly clock = new VirtualClock();
   readonly checker: InvariantChecker;
@@ -89,7 +94,7 @@
     return this.clock.now as MonotonicTime;
   }
 
-  /** All machines are known, under this leader's token, and in the durable roster. */
+  /** All machines are known, under this leader's fencing token, and in the durable registry. */
   private enroll(): void {
     const listed = this.workers.map(({ info }) => ({ ...info, status: 'running' as const, ageS: 60 }));
     this.leader.onMachineList(listed, this.now);
@@ -98,6 +103,7 @@
       if (effect.kind === 'write-registry-page') this.leader.onRegistryPageWritten(effect.page, true);
   }
 
+  /** A user submits a job of spot tasks without checkpoints. */
   submit(id: string, over: Partial<JobSpec> = {}): JobId {
     const spec = jobSpec(id, { spot: true, checkpointS: 0, ...over });
     this.specs.set(spec.id, spec);
@@ -107,6 +113,7 @@
     return spec.id;
   }
 
+  /** A user cancels the job, and is told so. */
   cancel(job: JobId): void {
     this.leader.applyCancellation(job, this.now);
     this.checker.onCancellationReported(job);
@@ -117,11 +124,12 @@
     this.checker.onStatusReported(job, 'done');
   }
 
+  /** Lets some time pass. */
   advance(ms: number): void {
     this.clock.runUntil(this.clock.now + ms);
   }
 
-  /** Some time goes by, and the leader acts; what it decides on is carried out but for commands to workers. */
+  /** Some time passes, and the leader acts; its effects are returned and not executed. */
   tick(): Effect[] {
     this.advance(TICK_MS);
     this.leader.tick(this.now, this.clock.now as WallTime);
@@ -139,40 +147,45 @@
     return sent;
   }
 
-  /** A report arrives at the leader; its answer is not delivered yet. */
+  /** A heartbeat arrives at the leader; the response is not delivered yet. */
   sendHeartbeat(worker: SimulatedWorker): HeartbeatResponse {
-    const report = worker.nextHeartbeat();
-    return { heartbeat: report, sentAt: this.clock.now, commands: this.leader.onHeartbeat(report, this.now) };
+    const heartbeat = worker.nextHeartbeat();
+    return { heartbeat, sentAt: this.clock.now, commands: this.leader.onHeartbeat(heartbeat, this.now) };
   }
 
+  /** The response arrives at the worker. */
   deliverResponse(worker: SimulatedWorker, { heartbeat, sentAt, commands }: HeartbeatResponse): void {
     worker.onHeartbeatResponse(TERM, commands, sentAt, Number(heartbeat.incarnation));
   }
 
+  /** A heartbeat and its response arrive at once. */
   exchangeHeartbeat(worker: SimulatedWorker): HeartbeatResponse {
-    const answer = this.sendHeartbeat(worker);
-    this.deliverResponse(worker, answer);
-    return answer;
+    const response = this.sendHeartbeat(worker);
+    this.deliverResponse(worker, response);
+    return response;
   }
 
-  /** The worker executes the commands; the leader hears nothing of it. */
+  /** The worker executes the commands; the leader is told nothing of it. */
   executeCommands(worker: SimulatedWorker, sent: DirectCommands): Heartbeat {
     return worker.onDirectCommands(TERM, Number(sent.incarnation), sent.commands).report;
   }
 
+  /** The leader is told that the commands were executed. */
   onCommandsExecuted(sent: DirectCommands, report: Heartbeat): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'executed', report }, this.now);
   }
 
+  /** The leader is told that the commands got no response. */
   onCommandsUnanswered(sent: DirectCommands): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unknown' }, this.now);
   }
 
+  /** The leader is told that the commands were never sent. */
   onCommandsUnsent(sent: DirectCommands): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unsent' }, this.now);
   }
 
-  /** The completions that the leader knows of are written to the state service. */
+  /** The completions that the leader knows of are written to the key-value store. */
   saveProgress(effects: Effect[]): void {
     for (const effect of effects)
       if (effect.kind === 'write-progress')
--- a/src/test/sim/leader-scenarios.ts
+++ b/src/test/sim/leader-scenarios.ts
@@ -43,9 +43,10 @@
 
 /** Injects a fault at the present time. */
 export type LeaderFault = (simulation: LeaderSimulation) => void;
-const randomWorkers = (simulation: LeaderSimulation, share: number) =>
+
+const randomWorkers = (simulation: LeaderSimulation, fraction: number) =>
   [...simulation.machines.running.values()]
-    .filter(() => simulation.random() < share)
+    .filter(() => simulation.random() < fraction)
     .map((running) => running.worker);
 
 /** Faults by name; the order of the entries belongs to the seeds of the pairs. */
@@ -105,9 +106,9 @@
 
 /** A whole machine for each of two tasks, behind a stream of small work of higher priority that never ends. */
 export const crowdedSimulation = (
-  make?: ConstructorParameters<typeof LeaderSimulation>[1],
+  createLeader?: ConstructorParameters<typeof LeaderSimulation>[1],
 ): LeaderSimulation => {
-  const simulation = new LeaderSimulation(11, make);
+  const simulation = new LeaderSimulation(11, createLeader);
   simulation.machines.capacity.set('large', 4);
   simulation.machines.capacity.set('small', 0);
   let submitted = 0;
--- a/src/test/sim/platform-toml.ts
+++ b/src/test/sim/platform-toml.ts
@@ -1,4 +1,4 @@
-// A controller's settings as the platform hands them over.
+/** A controller's settings as the platform hands them over. */
 
 /** Complete settings, and what a test adds at their end. */
 export const platformToml = (extra = ''): string => `
--- a/src/test/sim/production-version.ts
+++ b/src/test/sim/production-version.ts
@@ -1,4 +1,4 @@
-// The version in production, built from the repository's history, so that controllers of both versions can run together.
+/** The version in production, built from the repository's history, so that controllers of both versions can run together. */
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, renameSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
--- a/src/test/sim/scenario.ts
+++ b/src/test/sim/scenario.ts
@@ -15,6 +15,7 @@
 const DEPENDENCY_CHECK_INTERVAL_MS = 50;
 const MAX_VIOLATIONS_SHOWN = 5;
 
+/** One team without a guarantee or a limit, one with both. */
 export const teams: TeamQuota[] = [
   { name: 'green' as Team, cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
   { name: 'blue' as Team, cpus: 0, cpusMax: 0, gpus: 4, gpusMax: 8 },
--- a/src/test/sim/scheduling-cycle-fixtures.ts
+++ b/src/test/sim/scheduling-cycle-fixtures.ts
@@ -1,4 +1,4 @@
-// Single scheduling cycles on machines and jobs made for a test.
+/** Single scheduling cycles on machines and jobs made for a test. */
 import { teams as dayTeams } from './fixtures.js';
 import { jobSpec, types } from './fixtures.js';
 import { Machine } from '../../core/machine.js';
@@ -19,8 +19,10 @@
   Zone,
 } from '../../core/units.js';
 
+/** The time of every cycle. */
 export const now = 100_000 as MonotonicTime;
 
+/** A machine that is up and reconciled. */
 export const makeMachine = (id: string, type: string, zone: string, spot = false): Machine => {
   const info = {
     id: id as MachineId,
@@ -38,11 +40,13 @@
   return machine;
 };
 
+/** A job known since `now`. */
 export const makeJob = (id: string, over: Partial<JobSpec> = {}): Job => {
   const spec = jobSpec(id, over);
   return new Job(spec.id, { spec, submittedAt: 0 as WallTime, cancelledAt: null }, 1, false, now);
 };
 
+/** Places a running task of the job on the machine. */
 export const placeRunningTask = (machine: Machine, j: Job, index: number): Placement => {
   const placement = newPlacement(index, machine.id, (index + 1) as Attempt, now);
   placement.observed = placement.running = true;
@@ -52,6 +56,7 @@
   return placement;
 };
 
+/** Runs one scheduling cycle over these machines and jobs. */
 export const runTestCycle = (
   machines: Machine[],
   jobs: Job[],
@@ -83,6 +88,7 @@
   });
 };
 
+/** What a cycle decided, one line each. */
 export const describeDecisions = (result: CycleResult): string[] => [
   ...result.placed.map((placed) => `${placed.job.id}/${placed.index} -> ${placed.machine.id}`),
   ...result.victims.map((v) => `stop ${v.job.id}/${v.placement.index}`),
--- a/src/test/sim/simulated-key-value-store.ts
+++ b/src/test/sim/simulated-key-value-store.ts
@@ -1,4 +1,7 @@
-// Stand-in for the state service: transactions, leases, watches; outages, refusals of one host, late transactions.
+/**
+ * Stand-in for the key-value store, written from the published protocol: transactions, leases and watches; outages, refusals
+ * of one host, transactions executed late and lost responses.
+ */
 import type { SimulatedHost } from './simulated-host.js';
 import { startHttpServer, type HttpResponse } from './http-server.js';
 import type { KeyValueStoreLimits } from '../../config/platform.js';
@@ -13,16 +16,25 @@
   ttlMs: number;
   endsAt: number;
 }
+
 type Change = { put: string; data: unknown; permit?: number | bigint } | { delete: string };
-interface Multi {
+interface Transaction {
   if: { key: string; stamp: number | bigint }[];
   then: Change[];
 }
 
-const SWEEP_MS = 50;
+const LEASE_CHECK_INTERVAL_MS = 50;
+const MAX_PAGE_ITEMS = 1000;
+const MAX_CONDITIONS_PER_OPERATION = 4;
+/** How much later than sent a delayed transaction is executed. */
+const MIN_TRANSACTION_DELAY_MS = 2000;
+const TRANSACTION_DELAY_RANGE_MS = 10_000;
+/** An open watch whose host can't be answered is checked so often. */
+const UNAVAILABLE_WATCH_CHECK_MS = 1000;
 const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
-const trouble: HttpResponse = { status: 503, body: { error: 'trouble' } };
+const unavailableResponse: HttpResponse = { status: 503, body: { error: 'trouble' } };
 
+/** The stored items, and the HTTP interface to them. */
 export class SimulatedKeyValueStore {
   readonly items = new Map<string, Item>();
   private readonly leases = new Map<number, Lease>();
@@ -31,21 +43,21 @@
   )[] = [];
   private ledger = 1;
   private nextLease = 1;
-  private down = false;
-  private readonly refused = new Set<string>();
-  private lateShare = 0;
-  private lostAnswerShare = 0;
-  /** Every answer takes this much longer. */
+  private unavailable = false;
+  private readonly refusedHosts = new Set<string>();
+  private delayedFraction = 0;
+  private lostResponseFraction = 0;
+  /** Every response takes this much longer. */
   responseDelayMs = 0;
   private watchers: (() => void)[] = [];
-  /** What it takes; null: anything. */
+  /** What it accepts; null: anything. */
   limits: KeyValueStoreLimits | null = null;
   /** Transactions that were refused for their size. */
   rejectedForSize = 0;
-  /** Transactions that were refused since there were too many. */
+  /** Transactions that were refused for their rate. */
   rejectedForRate = 0;
   private readonly writes = new TokenBucket(Infinity, Infinity, 0);
-  /** Transactions without an answer that were carried out late. */
+  /** Transactions without a response that were executed late. */
   lateTransactions = 0;
 
   constructor(
@@ -54,53 +66,57 @@
     private readonly random: () => number,
   ) {
     startHttpServer(host, address, async (request, body, from) => {
-      const out = (): boolean => this.down || this.refused.has(from);
+      const isUnavailable = (): boolean => this.unavailable || this.refusedHosts.has(from);
       if (this.responseDelayMs > 0) await sleep(this.responseDelayMs);
-      if (out()) return trouble;
-      return this.answer(request.method, request.target, body, out);
+      if (isUnavailable()) return unavailableResponse;
+      return this.respond(request.method, request.target, body, isUnavailable);
     });
-    host.run(() => setInterval(() => this.sweep(), SWEEP_MS));
+    host.run(() => setInterval(() => this.endExpiredLeases(), LEASE_CHECK_INTERVAL_MS));
   }
 
+  /** Nothing is answered for so long; leases last at least their time to live beyond it. */
   startOutage(forMs: number): void {
-    this.down = true;
+    this.unavailable = true;
     this.host.runtime.clock.after(forMs, () => {
-      this.down = false;
+      this.unavailable = false;
       for (const lease of this.leases.values()) lease.endsAt = this.now + lease.ttlMs;
-      this.wake();
+      this.notifyWatchers();
     });
   }
 
+  /** Requests of this host alone are refused. */
   refuseHost(ip: string, forMs: number): void {
-    this.refused.add(ip);
+    this.refusedHosts.add(ip);
     this.host.runtime.clock.after(forMs, () => {
-      this.refused.delete(ip);
-      this.wake();
+      this.refusedHosts.delete(ip);
+      this.notifyWatchers();
     });
   }
 
-  delayTransactions(share: number, forMs: number): void {
-    this.lateShare = share;
-    this.host.runtime.clock.after(forMs, () => (this.lateShare = 0));
+  /** That fraction of the transactions gets no response and is executed seconds later. */
+  delayTransactions(fraction: number, forMs: number): void {
+    this.delayedFraction = fraction;
+    this.host.runtime.clock.after(forMs, () => (this.delayedFraction = 0));
   }
 
-  /** That share of the transactions is carried out at once, and only the answer is lost. */
-  loseResponses(share: number, forMs: number): void {
-    this.lostAnswerShare = share;
-    this.host.runtime.clock.after(forMs, () => (this.lostAnswerShare = 0));
+  /** That fraction of the transactions is executed at once, and only the response is lost. */
+  loseResponses(fraction: number, forMs: number): void {
+    this.lostResponseFraction = fraction;
+    this.host.runtime.clock.after(forMs, () => (this.lostResponseFraction = 0));
   }
 
   private get now(): number {
     return this.host.runtime.clock.now;
   }
 
-  private wake(): void {
+  private notifyWatchers(): void {
     for (const notify of this.watchers.splice(0)) notify();
   }
 
-  private sweep(): void {
-    if (this.down) return;
-    for (const [id, lease] of this.leases) if (this.now > lease.endsAt + SWEEP_MS) this.endLease(id);
+  private endExpiredLeases(): void {
+    if (this.unavailable) return;
+    for (const [id, lease] of this.leases)
+      if (this.now > lease.endsAt + LEASE_CHECK_INTERVAL_MS) this.endLease(id);
   }
 
   private endLease(id: number): void {
@@ -118,56 +134,63 @@
         this.log.push({ put: change.put, data: change.data, stamp });
       } else if (this.items.delete(change.delete)) this.log.push({ delete: change.delete, stamp });
     }
-    this.wake();
+    this.notifyWatchers();
   }
 
-  private refusal(t: Multi): HttpResponse | null {
+  private refusal(transaction: Transaction): HttpResponse | null {
     if (!this.limits) return null;
     const { writeRps, valueKb, txnOps } = this.limits;
     const fits = (change: Change): boolean =>
       !('put' in change) || Buffer.byteLength(JSON.stringify(change.data)) <= valueKb * 1024;
-    if (t.then.length > txnOps || t.if.length > 4 * txnOps || !t.then.every(fits)) {
+    if (
+      transaction.then.length > txnOps ||
+      transaction.if.length > MAX_CONDITIONS_PER_OPERATION * txnOps ||
+      !transaction.then.every(fits)
+    ) {
       this.rejectedForSize++;
       return { status: 400, body: { error: 'too large' } };
     }
     this.writes.setRate(writeRps, writeRps, this.now);
-    if (this.writes.take(t.then.length, this.now)) return null;
+    if (this.writes.take(transaction.then.length, this.now)) return null;
     this.rejectedForRate++;
     return { status: 429 };
   }
 
-  private transact(t: Multi): HttpResponse {
-    const refusal = this.refusal(t);
+  private transact(transaction: Transaction): HttpResponse {
+    const refusal = this.refusal(transaction);
     if (refusal) return refusal;
-    const failed = t.if
+    const failed = transaction.if
       .filter((condition) => (this.items.get(condition.key)?.stamp ?? 0) !== Number(condition.stamp))
       .map((condition) => condition.key);
     if (failed.length > 0) return { status: 409, body: { failed, ledger: this.ledger } };
-    for (const change of t.then) {
+    for (const change of transaction.then) {
       if ('put' in change && change.permit !== undefined && !this.leases.has(Number(change.permit)))
         return { status: 400, body: { error: 'no such lease' } };
     }
-    if (t.then.length > 0) this.apply(t.then);
+    if (transaction.then.length > 0) this.apply(transaction.then);
     return { status: 200, body: { ledger: this.ledger } };
   }
 
-  private async answer(
+  private async respond(
     method: string,
     target: string,
     body: unknown,
-    out: () => boolean,
+    isUnavailable: () => boolean,
   ): Promise<HttpResponse | null> {
     const [path = '', search = ''] = target.split('?');
     const query = new URLSearchParams(search);
     if (path === '/multi') {
-      if (this.random() < this.lateShare) {
+      if (this.random() < this.delayedFraction) {
         this.lateTransactions++;
-        this.host.runtime.clock.after(2000 + this.random() * 10_000, () => this.transact(body as Multi));
+        this.host.runtime.clock.after(
+          MIN_TRANSACTION_DELAY_MS + this.random() * TRANSACTION_DELAY_RANGE_MS,
+          () => this.transact(body as Transaction),
+        );
         return null;
       }
-      const answer = this.transact(body as Multi);
-      // Drawn only while it matters: days without lost answers keep their random numbers.
-      const lost = this.lostAnswerShare > 0 && this.random() < this.lostAnswerShare;
+      const answer = this.transact(body as Transaction);
+      // Drawn only while responses are lost: other runs keep their random numbers.
+      const lost = this.lostResponseFraction > 0 && this.random() < this.lostResponseFraction;
       return lost ? null : answer;
     }
     if (path === '/leases') {
@@ -184,7 +207,7 @@
       else held.endsAt = this.now + held.ttlMs;
       return { status: 200 };
     }
-    if (path === '/changes') return this.changes(query, out);
+    if (path === '/changes') return this.changes(query, isUnavailable);
     const under = query.get('under');
     if (path === '/store' && under !== null) return this.list(under, query);
     const item = this.items.get(path.slice('/store/'.length));
@@ -194,7 +217,7 @@
 
   private list(under: string, query: URLSearchParams): HttpResponse {
     const since = query.get('since') ?? '';
-    const most = Number(query.get('most') ?? 1000);
+    const most = Number(query.get('most') ?? MAX_PAGE_ITEMS);
     const all = [...this.items]
       .filter(([key]) => key.startsWith(under) && key > since)
       .sort(([a], [b]) => (a < b ? -1 : 1));
@@ -203,7 +226,7 @@
   }
 
   /** An open watch stays open through an outage, and through a refusal of its host. */
-  private async changes(query: URLSearchParams, out: () => boolean): Promise<HttpResponse> {
+  private async changes(query: URLSearchParams, isUnavailable: () => boolean): Promise<HttpResponse> {
     const under = query.get('under') ?? '';
     const since = Number(query.get('since'));
     const until = this.now + Number(query.get('blockMs') ?? 0);
@@ -211,11 +234,11 @@
       const log = this.log.filter(
         (entry) => entry.stamp > since && ('put' in entry ? entry.put : entry.delete).startsWith(under),
       );
-      if (!out() && (log.length > 0 || this.now >= until))
+      if (!isUnavailable() && (log.length > 0 || this.now >= until))
         return { status: 200, body: { ledger: this.ledger, log } };
       await new Promise<void>((resolve) => {
         this.watchers.push(resolve);
-        setTimeout(resolve, out() ? 1000 : Math.max(0, until - this.now));
+        setTimeout(resolve, isUnavailable() ? UNAVAILABLE_WATCH_CHECK_MS : Math.max(0, until - this.now));
       });
     }
   }
--- a/src/test/sim/simulated-user.ts
+++ b/src/test/sim/simulated-user.ts
@@ -1,4 +1,4 @@
-// A user of one job: submits it, asks about it, may call it off; retries as the protocol says, at any controller.
+/** A user of one job, written from the published protocol: submits it, queries it, may cancel it; retries at any controller. */
 import type { InvariantChecker } from './invariant-checker.js';
 import type { SimulatedHost } from './simulated-host.js';
 import { parseAddress } from '../../config/platform.js';
@@ -6,14 +6,20 @@
 import { HttpClient } from '../../runtime/http/http-client.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
 
-const POLL_MS = 5000;
-const gaits = { array: 'array', gang: 'group', service: 'service' };
+const POLL_INTERVAL_MS = 5000;
+const RETRY_AFTER_MS = 1000;
+const WRITE_TIMEOUT_MS = 5000;
+const READ_TIMEOUT_MS = 2000;
+const MAX_SUBMISSIONS = 60;
+const MAX_CANCELLATIONS = 90;
+const jobKindNames = { array: 'array', gang: 'group', service: 'service' };
 
+/** The job as a user submits it. */
 export const jobBody = (spec: JobSpec): Record<string, unknown> => ({
   nameId: spec.id,
   herd: spec.class,
   outfit: spec.team,
-  gait: gaits[spec.kind],
+  gait: jobKindNames[spec.kind],
   rank: spec.priority,
   hands: spec.tasks,
   vcpus: spec.cpus,
@@ -33,23 +39,25 @@
   ...(spec.dependsOn.length > 0 ? { awaits: spec.dependsOn } : {}),
 });
 
+/** A controller's response to a user. */
 export interface UserResponse {
   status: number;
   body: unknown;
   requestedAt: number;
 }
 
+/** The user of one job; what it is told goes to the invariant checker. */
 export class SimulatedUser {
   status = 'not submitted';
   accepted = false;
   /** Called when the job is accepted. */
   onAccepted: () => void = () => undefined;
-  /** When a question about the job was last answered. */
+  /** When a request about the job was last answered. */
   lastResponseAt = -Infinity;
   private readonly clients: HttpClient[];
-  /** Its user has asked to cancel it. */
+  /** It has asked to cancel the job. */
   cancellationRequested = false;
-  private finalAt: number | null = null;
+  private finalReportedAt: number | null = null;
 
   constructor(
     private readonly host: SimulatedHost,
@@ -61,36 +69,38 @@
     this.clients = addresses.map((a) => new HttpClient(parseAddress(a), 2, 30_000));
   }
 
+  /** Submits the job, and queries it until it has ended. */
   start(): void {
     this.host.run(() => void this.submit());
   }
 
+  /** Asks to cancel the job until a controller confirms it. */
   cancel(): void {
-    this.host.run(() => void this.abort());
+    this.host.run(() => void this.requestCancellation());
   }
 
-  /** The submission and a question once more, at every controller. */
+  /** Submits and queries the job once more, at every controller. */
   queryAllControllers(): void {
     for (const [at] of this.clients.entries()) {
       this.host.run(() => {
-        void this.sendRequest('POST', '/v1/jobs', jobBody(this.spec), 5000, at).then((response) =>
-          this.check(response),
+        void this.sendRequest('POST', '/v1/jobs', jobBody(this.spec), WRITE_TIMEOUT_MS, at).then((response) =>
+          this.checkStillKnown(response),
         );
-        void this.sendRequest('GET', `/v1/jobs/${this.spec.id}`, null, 2000, at).then((response) =>
-          this.check(response),
+        void this.sendRequest('GET', `/v1/jobs/${this.spec.id}`, null, READ_TIMEOUT_MS, at).then((response) =>
+          this.checkStillKnown(response),
         );
       });
     }
   }
 
-  private check(response: UserResponse | null): void {
+  private checkStillKnown(response: UserResponse | null): void {
     if (!response || !this.accepted) return;
     if (response.status === 404 || response.status === 400 || response.status === 422)
       this.checker.reportForgottenJob(this.spec.id, String(response.status));
-    else if (response.status === 200) this.take(response);
+    else if (response.status === 200) this.onStatus(response);
   }
 
-  /** Asks one controller, whichever state the job is in. */
+  /** Sends a request to one controller, whichever state the job is in. */
   async sendRequest(
     method: string,
     path: string,
@@ -111,61 +121,61 @@
   }
 
   private async submit(): Promise<void> {
-    for (let tries = 0; tries < 60 && !this.accepted; tries++) {
-      const response = await this.sendRequest('POST', '/v1/jobs', jobBody(this.spec), 5000);
+    for (let tries = 0; tries < MAX_SUBMISSIONS && !this.accepted; tries++) {
+      const response = await this.sendRequest('POST', '/v1/jobs', jobBody(this.spec), WRITE_TIMEOUT_MS);
       if (response && (response.status === 201 || response.status === 200)) {
         this.accepted = true;
         this.checker.onJobAccepted(this.spec.id);
-        this.take(response);
+        this.onStatus(response);
         this.onAccepted();
       } else if (response && (response.status === 400 || response.status === 422)) {
         this.status = String(response.status);
         return;
-      } else await new Promise((resolve) => setTimeout(resolve, 1000));
+      } else await new Promise((resolve) => setTimeout(resolve, RETRY_AFTER_MS));
     }
     void this.poll();
   }
 
   private async poll(): Promise<void> {
     while (this.status !== 'done' && this.status !== 'cancelled') {
-      await new Promise((resolve) => setTimeout(resolve, POLL_MS));
-      const response = await this.sendRequest('GET', `/v1/jobs/${this.spec.id}`, null, 2000);
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
+      const response = await this.sendRequest('GET', `/v1/jobs/${this.spec.id}`, null, READ_TIMEOUT_MS);
       if (response?.status === 404 && this.accepted) this.checker.reportForgottenJob(this.spec.id, '404');
-      else if (response?.status === 200) this.take(response);
+      else if (response?.status === 200) this.onStatus(response);
     }
   }
 
-  private async abort(): Promise<void> {
+  private async requestCancellation(): Promise<void> {
     if (this.cancellationRequested) return;
     this.cancellationRequested = true;
     this.checker.onCancellationRequested(this.spec.id);
-    for (let tries = 0; tries < 90; tries++) {
-      // Only what was accepted before it was asked has to be known: an answer may be overtaken by the acceptance.
+    for (let tries = 0; tries < MAX_CANCELLATIONS; tries++) {
+      // Only what was accepted before the request has to be known: a response may be overtaken by the acceptance.
       const acceptedBefore = this.accepted;
-      const response = await this.sendRequest('POST', `/v1/jobs/${this.spec.id}/abort`, {}, 5000);
+      const response = await this.sendRequest('POST', `/v1/jobs/${this.spec.id}/abort`, {}, WRITE_TIMEOUT_MS);
       if (response?.status === 200) {
-        this.take(response);
+        this.onStatus(response);
         return;
       }
       if (response?.status === 404 && acceptedBefore)
         this.checker.reportForgottenJob(this.spec.id, '404 to a cancellation');
-      await new Promise((resolve) => setTimeout(resolve, 1000));
+      await new Promise((resolve) => setTimeout(resolve, RETRY_AFTER_MS));
     }
   }
 
-  private take(response: UserResponse): void {
+  private onStatus(response: UserResponse): void {
     const { now } = this.host.runtime.clock;
     this.lastResponseAt = now;
-    // Asked before a final answer came, and overtaken by it: older by right.
-    if (this.finalAt !== null && response.requestedAt <= this.finalAt) return;
+    // Requested before a final response arrived, and overtaken by it: rightly older.
+    if (this.finalReportedAt !== null && response.requestedAt <= this.finalReportedAt) return;
     const { status } = response.body as { status: string };
     this.status = status === 'withdrawn' ? 'cancelled' : status;
     if (this.status === 'cancelled' && this.cancellationRequested)
       this.checker.onCancellationReported(this.spec.id);
     else if (this.status === 'cancelled') this.checker.onUnrequestedCancellation(this.spec.id);
-    // Asked before, and only answered now: what was true then is no older than it should be.
+    // Requested before, and only answered now: it may be as old as the request.
     else if (this.status !== 'done') this.checker.onUnfinishedReported(this.spec.id, response.requestedAt);
     else this.checker.onStatusReported(this.spec.id, this.status);
-    if (this.status === 'done' || this.status === 'cancelled') this.finalAt ??= now;
+    if (this.status === 'done' || this.status === 'cancelled') this.finalReportedAt ??= now;
   }
 }
--- a/src/test/sim/simulated-worker-link.ts
+++ b/src/test/sim/simulated-worker-link.ts
@@ -6,6 +6,7 @@
 
 type DirectCommands = Extract<Effect, { kind: 'send-direct-commands' }>;
 
+/** How long each message takes. */
 export const NETWORK_LATENCY_MS = 5;
 const COMMAND_TIMEOUT_MS = 2500;
 const MIN_DUPLICATE_DELAY_MS = 1000;
--- a/src/test/sim/simulated-worker.ts
+++ b/src/test/sim/simulated-worker.ts
@@ -1,4 +1,4 @@
-// Stand-in for a worker, written from the published protocol.
+/** Stand-in for a worker, written from the published protocol. */
 import type { InvariantChecker } from './invariant-checker.js';
 import type { VirtualClock } from './virtual-clock.js';
 import type {
@@ -12,6 +12,11 @@
 } from '../../core/types.js';
 import type { Attempt, JobId } from '../../core/units.js';
 
+const HUNG_RETRY_MS = 1000;
+const FAILED_TASK_RUN_MS = 500;
+const CAPACITY_TOLERANCE = 1e-6;
+
+/** A task that the worker holds, until a controller has it forget it. */
 export interface WorkerTask {
   job: JobId;
   index: number;
@@ -29,6 +34,7 @@
   started: boolean;
 }
 
+/** What surrounds a worker. */
 export interface WorkerEnvironment {
   clock: VirtualClock;
   checker: InvariantChecker;
@@ -40,6 +46,7 @@
   fetchMs: (machine: MachineInfo, job: JobId) => number;
 }
 
+/** The worker of one machine: its tasks, its lease and its incarnation. */
 export class SimulatedWorker {
   incarnation = 1;
   private sequence = 0;
@@ -49,30 +56,31 @@
   unreachable = false;
   interruptionNoticeS: number | null = null;
   failsTasks = false;
-  /** Its reports arrive, but answers and commands don't reach it. */
+  /** Its heartbeats arrive, but responses and commands don't reach it. */
   inboundPartitioned = false;
-  /** Executes nothing, its tasks included, until it goes on. */
+  /** Executes nothing, its tasks included, until it resumes. */
   hung = false;
   private readonly tasks = new Map<string, WorkerTask>();
-  private leaseFrom: number;
+  private leaseRenewedAt: number;
 
   constructor(
     readonly info: MachineInfo,
     private readonly environment: WorkerEnvironment,
   ) {
-    this.leaseFrom = environment.clock.now;
+    this.leaseRenewedAt = environment.clock.now;
   }
 
   get heartbeatIntervalMs(): number {
     return this.environment.timings.heartbeatIntervalS * 1000;
   }
 
-  /** Changes whenever a report would tell something new. */
+  /** Changes whenever a heartbeat would report something new. */
   describeState(): string {
     const tasks = [...this.tasks].map(([key, t]) => `${key} ${t.state}`);
     return `${this.incarnation} ${this.fencingToken} ${this.interruptionNoticeS !== null} ${tasks.join(',')}`;
   }
 
+  /** The heartbeat that the worker sends now. */
   nextHeartbeat(): Heartbeat {
     this.checkLease();
     return {
@@ -87,42 +95,50 @@
     };
   }
 
-  /** The answer to a report sent at `sentAt`. */
-  onHeartbeatResponse(token: number, commands: Command[], sentAt: number, session: number): void {
+  /** The response to a heartbeat sent at `sentAt`. */
+  onHeartbeatResponse(fencingToken: number, commands: Command[], sentAt: number, incarnation: number): void {
     this.checkLease();
-    if (!this.alive || this.inboundPartitioned || session !== this.incarnation || token < this.fencingToken)
+    if (
+      !this.alive ||
+      this.inboundPartitioned ||
+      incarnation !== this.incarnation ||
+      fencingToken < this.fencingToken
+    )
       return;
-    this.fencingToken = token;
-    this.leaseFrom = Math.max(this.leaseFrom, sentAt);
+    this.fencingToken = fencingToken;
+    this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
     this.execute(commands);
   }
 
+  /** Executes commands that came straight from a leader, unless they are outdated. */
   onDirectCommands(
-    token: number,
-    session: number,
+    fencingToken: number,
+    incarnation: number,
     commands: Command[],
   ): { executed: boolean; report: Heartbeat } {
     this.checkLease();
-    const executed = token >= this.fencingToken && session === this.incarnation;
+    const executed = fencingToken >= this.fencingToken && incarnation === this.incarnation;
     if (executed) {
-      this.fencingToken = token;
+      this.fencingToken = fencingToken;
       this.execute(commands);
     }
     return { executed, report: this.nextHeartbeat() };
   }
 
+  /** Ends all tasks and begins a new incarnation if the lease has expired. */
   checkLease(): void {
     if (
       !this.alive ||
       this.hung ||
-      this.environment.clock.now - this.leaseFrom <= this.environment.timings.leaseS * 1000
+      this.environment.clock.now - this.leaseRenewedAt <= this.environment.timings.leaseS * 1000
     )
       return;
     this.incarnation++;
-    this.leaseFrom = this.environment.clock.now;
+    this.leaseRenewedAt = this.environment.clock.now;
     this.dropAll();
   }
 
+  /** The worker ends with its tasks. */
   kill(): void {
     this.alive = false;
     this.dropAll();
@@ -140,12 +156,12 @@
   private execute(commands: Command[]): void {
     for (const command of commands) {
       const key = `${command.job}/${command.index}#${command.attempt}`;
-      const held = this.tasks.get(key);
+      const task = this.tasks.get(key);
       if (command.op === 'forget') {
-        if (held?.state === 'exited') this.forget(key, held);
+        if (task?.state === 'exited') this.forget(key, task);
       } else if (command.op === 'stop') {
-        if (held) this.stop(held, command.gracePeriodS);
-      } else if (!held) {
+        if (task) this.stop(task, command.gracePeriodS);
+      } else if (!task) {
         this.start(command.job, command.index, command.attempt, key);
       }
     }
@@ -158,7 +174,7 @@
 
   private start(job: JobId, index: number, attempt: Attempt, key: string): void {
     const spec = this.environment.specs.get(job);
-    const held: WorkerTask = {
+    const task: WorkerTask = {
       job,
       index,
       attempt,
@@ -169,53 +185,53 @@
       gang: null,
     };
     const refuse = (cause: ExitCause): void => {
-      held.state = 'exited';
-      held.cause = cause;
+      task.state = 'exited';
+      task.cause = cause;
     };
-    const twin = [...this.tasks.values()].some(
+    const duplicate = [...this.tasks.values()].some(
       (t) => t.job === job && t.index === index && t.state !== 'exited',
     );
-    this.tasks.set(key, held);
+    this.tasks.set(key, task);
     if (!spec) {
       refuse('no_such');
       return;
     }
-    if (twin) {
+    if (duplicate) {
       refuse('in_use');
       return;
     }
-    if (!this.hasCapacity(spec, held)) {
+    if (!this.hasCapacity(spec, task)) {
       refuse('no_room');
       return;
     }
     this.environment.clock.after(this.environment.fetchMs(this.info, job), () => {
-      if (this.tasks.get(key) !== held || held.state !== 'fetching') return;
-      held.place = this.environment.checker.onTaskStarted(this.info, job, index);
+      if (this.tasks.get(key) !== task || task.state !== 'fetching') return;
+      task.place = this.environment.checker.onTaskStarted(this.info, job, index);
       if (spec.kind === 'gang' && !this.failsTasks) {
-        this.joinGang(held, spec);
+        this.joinGang(task, spec);
         return;
       }
-      held.state = 'running';
+      task.state = 'running';
       if (spec.kind === 'service') return;
-      const ms = this.failsTasks ? 500 : this.environment.runMs(job);
-      this.environment.clock.after(ms, () => this.complete(key, held));
+      const ms = this.failsTasks ? FAILED_TASK_RUN_MS : this.environment.runMs(job);
+      this.environment.clock.after(ms, () => this.complete(key, task));
     });
   }
 
-  private joinGang(held: WorkerTask, spec: JobSpec): void {
-    const key = `${held.job}#${held.attempt}`;
+  private joinGang(task: WorkerTask, spec: JobSpec): void {
+    const key = `${task.job}#${task.attempt}`;
     const gang = this.environment.gangs.get(key) ?? { members: new Set<WorkerTask>(), started: false };
     this.environment.gangs.set(key, gang);
-    held.state = 'waiting';
-    held.gang = gang;
-    gang.members.add(held);
+    task.state = 'waiting';
+    task.gang = gang;
+    gang.members.add(task);
     this.environment.clock.after(this.environment.timings.gangWaitS * 1000, () => {
-      if (held.state === 'waiting') this.exit(held, 'incomplete');
+      if (task.state === 'waiting') this.exit(task, 'incomplete');
     });
     if (gang.members.size < spec.tasks) return;
     gang.started = true;
     for (const task of gang.members) task.state = 'running';
-    this.environment.clock.after(this.environment.runMs(held.job), () => this.completeGang(gang, spec));
+    this.environment.clock.after(this.environment.runMs(task.job), () => this.completeGang(gang, spec));
   }
 
   private completeGang(gang: GangAttempt, spec: JobSpec): void {
@@ -227,55 +243,56 @@
   }
 
   /** Out of its gang: of a running one, the others notice within gang_peer_s and exit. */
-  private leaveGang(held: WorkerTask): void {
-    const gang = held.gang;
-    held.gang = null;
-    if (!gang?.members.delete(held) || !gang.started) return;
+  private leaveGang(task: WorkerTask): void {
+    const gang = task.gang;
+    task.gang = null;
+    if (!gang?.members.delete(task) || !gang.started) return;
     this.environment.clock.after(this.environment.timings.gangPeerS * 1000, () => {
       for (const task of [...gang.members]) if (task.state === 'running') this.exit(task, 'peers');
     });
   }
 
-  private complete(key: string, held: WorkerTask): void {
+  private complete(key: string, task: WorkerTask): void {
     if (this.hung) {
-      this.environment.clock.after(1000, () => this.complete(key, held));
+      this.environment.clock.after(HUNG_RETRY_MS, () => this.complete(key, task));
       return;
     }
     this.checkLease();
-    if (this.tasks.get(key) !== held || held.state !== 'running') return;
-    if (!this.failsTasks) this.environment.checker.onTaskCompleted(held.job, held.index);
-    this.exit(held, this.failsTasks ? 'error' : 'done');
+    if (this.tasks.get(key) !== task || task.state !== 'running') return;
+    if (!this.failsTasks) this.environment.checker.onTaskCompleted(task.job, task.index);
+    this.exit(task, this.failsTasks ? 'error' : 'done');
   }
 
-  private stop(held: WorkerTask, graceS: number): void {
-    const spec = this.environment.specs.get(held.job);
-    if (held.state === 'exited') return;
-    const saves = held.state === 'running' && spec && spec.checkpointS > 0 && graceS >= spec.saveS;
+  private stop(task: WorkerTask, graceS: number): void {
+    const spec = this.environment.specs.get(task.job);
+    if (task.state === 'exited') return;
+    const saves = task.state === 'running' && spec && spec.checkpointS > 0 && graceS >= spec.saveS;
     if (!saves) {
-      this.exit(held, 'stopped');
+      this.exit(task, 'stopped');
       return;
     }
-    held.state = 'saving';
+    task.state = 'saving';
     this.environment.clock.after(spec.saveS * 1000, () => {
-      if (held.state !== 'saving') return;
-      held.saved = true;
-      this.exit(held, 'stopped');
+      if (task.state !== 'saving') return;
+      task.saved = true;
+      this.exit(task, 'stopped');
     });
   }
 
-  private exit(held: WorkerTask, cause: ExitCause): void {
-    held.state = 'exited';
-    held.cause = cause;
-    this.leaveGang(held);
-    this.environment.checker.onTaskEnded(held.place);
-    held.place = null;
+  private exit(task: WorkerTask, cause: ExitCause): void {
+    task.state = 'exited';
+    task.cause = cause;
+    this.leaveGang(task);
+    this.environment.checker.onTaskEnded(task.place);
+    task.place = null;
   }
 
-  /** How many tasks of the job it holds, in whatever state but exited. */
+  /** How many tasks of the job it holds that have not exited. */
   activeTaskCount(job: JobId): number {
     return [...this.tasks.values()].filter((t) => t.job === job && t.state !== 'exited').length;
   }
 
+  /** Whether a task of the job fits beside the others. */
   hasCapacity(spec: JobSpec, self: WorkerTask | null = null): boolean {
     const free = { ...this.environment.capacity(this.info.type) };
     for (const t of this.tasks.values()) {
@@ -286,7 +303,9 @@
       free.memoryGb -= other?.memoryGb ?? 0;
     }
     return (
-      spec.cpus <= free.cpus + 1e-6 && spec.gpus <= free.gpus + 1e-6 && spec.memoryGb <= free.memoryGb + 1e-6
+      spec.cpus <= free.cpus + CAPACITY_TOLERANCE &&
+      spec.gpus <= free.gpus + CAPACITY_TOLERANCE &&
+      spec.memoryGb <= free.memoryGb + CAPACITY_TOLERANCE
     );
   }
 }
--- a/src/test/sim/trace-file.ts
+++ b/src/test/sim/trace-file.ts
@@ -1,3 +1,4 @@
+/** Kept traces of simulated runs, in `src/test/traces`. */
 import assert from 'node:assert/strict';
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
