--- a/src/test/sim/simulated-user.ts
+++ b/src/test/sim/simulated-user.ts
@@ -1,7 +1,7 @@
 /** A user of one job, written from the published protocol: submits it, queries it, may cancel it; retries at any controller. */
 import type { InvariantChecker } from './invariant-checker.js';
 import type { SimulatedHost } from './simulated-host.js';
-import { parseAddress } from '../../config/platform.js';
+import { parseAddress } from '../../config/address.js';
 import type { JobSpec } from '../../core/types.js';
 import { HttpClient } from '../../runtime/http/http-client.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -116,3 +116,6 @@
 
 /** Sends a worker to another controller: to the named one, or to whichever it finds. */
 export const redirectBody = (leader: NodeName | null) => (leader === null ? {} : { foreman: leader });
+
+/** Path of a worker's direct commands. */
+export const DIRECT_COMMANDS_TARGET = '/orders';
