--- a/src/core/job.ts
+++ b/src/core/job.ts
@@ -207,7 +207,7 @@
     for (const index of this.placements.keys()) if (!this.isCompleted(index)) this.placedNotCompleted++;
   }
 
-  /** The first tasks, up to so many, that are neither completed nor placed; they stay pending. */
+  /** The first tasks, `maxTasks` at the most, that are neither completed nor placed; they stay pending. */
   firstPending(maxTasks: number): number[] {
     const pending: number[] = [];
     for (const index of this.requeued) {
--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -20,8 +20,8 @@
 /** Between two plans. */
 const SCALE_INTERVAL_MS = 500;
 /**
- * New machines planned at once: at least so many, and one for so many waiting tasks where that is more. Guards against
- * large clusters that start slowly.
+ * The most new machines planned at once: this minimum, or one for this many waiting tasks if that is more. Guards
+ * against large clusters that start slowly.
  */
 const MIN_NEW_MACHINES = 60;
 const WAITING_TASKS_PER_NEW_MACHINE = 16;
@@ -31,11 +31,11 @@
 const MAX_MACHINES_PER_REQUEST = 50;
 /** A refused kind of machine is asked for again after the operators' time, or this many times as long at the most. */
 const MAX_REFUSAL_BACKOFF_FACTOR = 4;
-/** As in scheduling: nothing is placed on a machine without a heartbeat for so many heartbeat intervals. */
+/** As in scheduling: nothing is placed on a machine without a heartbeat for this many heartbeat intervals. */
 const UNREACHABLE_INTERVALS = 2.5;
-/** For so long a leader that got no list of machines doesn't scale out. */
+/** A leader that has got no list of machines doesn't scale out for this long. */
 const UNLISTED_MS = 10_000;
-/** A machine is kept for at least so long after it was provisioned. */
+/** A machine is kept for at least this long after it was provisioned. */
 const MIN_MACHINE_AGE_MS = 60_000;
 
 interface Capacity {
--- a/src/core/leader/detection-timeouts.ts
+++ b/src/core/leader/detection-timeouts.ts
@@ -1,24 +1,24 @@
 /** After which time without a heartbeat a machine counts as unreachable, and as failed. */
 import type { WorkerTimings } from '../types.js';
 
-/** The longest time between two heartbeats of a worker, in heartbeat intervals. */
-const LONGEST_INTERVALS = 1.25;
+/** The longest time between two heartbeats of a worker, in heartbeat intervals: workers spread them. */
+const LONGEST_GAP_INTERVALS = 1.25;
 /** How long a heartbeat may take to the leader. */
 const DELIVERY_MARGIN_MS = 750;
-/** A machine has missed a heartbeat after so many of the longest intervals, and a margin. */
-const MISSED_LONGEST_INTERVALS = 1.5;
+/** A machine has missed a heartbeat after this many of the longest gaps, and a margin. */
+const MISSED_LONGEST_GAPS = 1.5;
 const MISSED_MARGIN_S = 0.5;
-/** For so many heartbeat intervals, and a margin, after a partition its end is awaited: see `recoveryMs`. */
+/** A partition or mass failure counts as going on for this many heartbeat intervals, and a margin, after its last sign. */
 const RECOVERY_INTERVALS = 2.5;
 const RECOVERY_MARGIN_MS = 5000;
-/** A single machine has failed after so many of the longest intervals, and a margin, or this part of a lease. */
-const FAILED_LONGEST_INTERVALS = 3;
+/** A single machine has failed after this many of the longest gaps and a margin, or this part of a lease if longer. */
+const FAILED_LONGEST_GAPS = 3;
 const FAILED_MARGIN_S = 1;
 const FAILED_LEASE_FRACTION = 0.6;
-/** What is unreachable with many others is fenced after this part of cancel_s, and not before so many leases. */
+/** Machines unreachable with many others are fenced after this part of cancel_s, or this many leases if longer. */
 const MASS_FAILURE_CANCEL_FRACTION = 0.6;
 const MASS_FAILURE_LEASES = 1.6;
-/** A machine of a partitioned zone is fenced after so many times cancel_s. */
+/** A machine of a partitioned zone is fenced after this multiple of cancel_s. */
 const PARTITION_CANCEL_FACTOR = 1.2;
 /** A machine must be fenced when it has held a cancelled task for this part of cancel_s. */
 const OVERDUE_CANCEL_FRACTION = 0.5;
@@ -33,13 +33,13 @@
 
   /** Within this time a worker that is up has reported, whenever it did before. */
   get heartbeatRoundMs(): number {
-    return this.workers.heartbeatIntervalS * (LONGEST_INTERVALS * 1000) + DELIVERY_MARGIN_MS;
+    return this.workers.heartbeatIntervalS * (LONGEST_GAP_INTERVALS * 1000) + DELIVERY_MARGIN_MS;
   }
 
   /** A partition cuts off a whole zone at one moment, but each machine is noticed at its own next heartbeat. */
   get missedHeartbeatMs(): number {
-    const intervalS = this.workers.heartbeatIntervalS * LONGEST_INTERVALS;
-    return (intervalS * MISSED_LONGEST_INTERVALS + MISSED_MARGIN_S) * 1000;
+    const longestGapS = this.workers.heartbeatIntervalS * LONGEST_GAP_INTERVALS;
+    return (longestGapS * MISSED_LONGEST_GAPS + MISSED_MARGIN_S) * 1000;
   }
 
   /** When a partition heals, the last machines to report again are few: they still get time to find a controller. */
@@ -50,9 +50,9 @@
   /** For a machine that is unreachable while most others report. */
   get failedMs(): number {
     const { heartbeatIntervalS, leaseS } = this.workers;
-    const intervalS = heartbeatIntervalS * LONGEST_INTERVALS;
+    const longestGapS = heartbeatIntervalS * LONGEST_GAP_INTERVALS;
     return (
-      Math.max(intervalS * FAILED_LONGEST_INTERVALS + FAILED_MARGIN_S, leaseS * FAILED_LEASE_FRACTION) * 1000
+      Math.max(longestGapS * FAILED_LONGEST_GAPS + FAILED_MARGIN_S, leaseS * FAILED_LEASE_FRACTION) * 1000
     );
   }
 
@@ -75,7 +75,7 @@
     return Math.max(this.massFailureMs, this.workers.cancelS * PARTITION_CANCEL_FACTOR * 1000);
   }
 
-  /** A cancelled task must be gone within cancel_s: so much of it is left to waiting, the remainder to the fence. */
+  /** A cancelled task must be gone within cancel_s: this much of it is left to waiting, the remainder to the fence. */
   get overdueCancelMs(): number {
     return this.workers.cancelS * 1000 * OVERDUE_CANCEL_FRACTION;
   }
@@ -86,7 +86,7 @@
   }
 
   /**
-   * For a machine that may hold a task cancelled for so long. What users wait for began with the cancellation, not with
+   * For a machine that may hold a task that was cancelled `cancelledForMs` ago. What users wait for began with the cancellation, not with
    * this leadership. Guards against leaders that change, or lose and regain their authority, faster than each one's
    * timeout: none would ever fence. A missed heartbeat is waited for, and when time is up one round of heartbeats.
    */
--- a/src/core/leader/effects.ts
+++ b/src/core/leader/effects.ts
@@ -68,7 +68,7 @@
   idleHoldS: number;
   /** How long the operators want the cloud provider left alone after it had no capacity. */
   capacityRetryS: number;
-  /** After so long without a start, a job goes before the others and capacity is reserved for it. */
+  /** After this long without a start, a job goes before the others and capacity is reserved for it. */
   agingS: number;
   /** By how much the cloud provider's list of machines lags. */
   listLagS: number;
--- a/src/core/leader/leader.ts
+++ b/src/core/leader/leader.ts
@@ -42,7 +42,7 @@
 
 export type { Effect, FinalRecordOutcome, ImageLocations, LeaderSettings } from './effects.js';
 
-/** From so many machines on, no heartbeat from any of them means something. */
+/** From this many machines on, it means something when no heartbeat arrives from any of them. */
 const MIN_MACHINES_TO_EXPECT_HEARTBEATS = 3;
 
 /** One controller's leadership. */
--- a/src/core/leader/machine-commands.ts
+++ b/src/core/leader/machine-commands.ts
@@ -5,7 +5,7 @@
 import type { Command, TaskStatus } from '../types.js';
 import { taskId, type JobId, type MonotonicTime } from '../units.js';
 
-/** Grace ends after so many times what was granted, and a margin for the command's way to the worker. */
+/** Grace ends after this multiple of what was granted, and a margin for the command's way to the worker. */
 const GRACE_FACTOR = 1.5;
 const GRACE_MARGIN_MS = 4000;
 
--- a/src/core/leader/machine-pool.ts
+++ b/src/core/leader/machine-pool.ts
@@ -9,15 +9,15 @@
 const DELETE_INTERVAL_MS = 1500;
 /** Machines named in one request (PROTOCOL, cloud). */
 const MAX_DELETIONS_PER_REQUEST = 100;
-/** A deleted machine is remembered for so long: lists and heartbeats that name it may still arrive. */
+/** A deleted machine is remembered for this long: lists and heartbeats that name it may still arrive. */
 const DELETED_KEPT_MS = 1_800_000;
-/** A machine once listed, and missing for so many times the lists' lag, is most likely gone. */
+/** A machine first listed more than this many list lags ago, and missing from the list, is most likely gone. */
 const MISSING_LIST_LAGS = 2.5;
-/** A machine not up after so many times its type's boot time, or this time where that is longer, has failed. */
+/** A machine that isn't up after this multiple of its type's boot time, or this minimum if longer, has failed. */
 const FAILED_BOOT_FACTOR = 4;
 const FAILED_BOOT_MIN_MS = 90_000;
 const DEFAULT_BOOT_S = 60;
-/** Within so many leases and heartbeat intervals a worker that is up has reported to a new leader. */
+/** Within this many leases and heartbeat intervals a worker that is up has reported to a new leader. */
 const FIRST_HEARTBEAT_LEASES = 2;
 const FIRST_HEARTBEAT_INTERVALS = 2;
 
--- a/src/core/leader/one-way-partition-detector.ts
+++ b/src/core/leader/one-way-partition-detector.ts
@@ -15,12 +15,12 @@
 const TOKEN_ADOPTION_LEASES = 1.5;
 /** Part of a lease of gapless replies after which a lease that expires shows that none of them arrived. */
 const LEASE_EXPIRY_FRACTION = 0.9;
-/** Fences because of one-way partitions are counted over so many leases. */
+/** Fences because of one-way partitions are counted over this many leases. */
 const FENCE_WINDOW_LEASES = 3;
-/** At most so many machines are fenced within the window, or this part of all of them where that is more. */
+/** Within the window at most this many machines are fenced, or this part of all of them if that is more. */
 const FENCE_WINDOW_MIN_MACHINES = 2;
 const FENCE_WINDOW_MACHINE_FRACTION = 0.1;
-/** Between replies without a gap lie at most a reply's timeout, so many heartbeat intervals and a margin. */
+/** Between replies without a gap lie at most a reply's timeout, this many heartbeat intervals and a margin. */
 const REPLY_GAP_INTERVALS = 1.5;
 const REPLY_GAP_MARGIN_MS = 1500;
 
--- a/src/core/leader/progress-writer.ts
+++ b/src/core/leader/progress-writer.ts
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Writes so many segments with new completions, but for those being written already; returns how many it wrote. */
+  /** Writes up to `maxSegments` segments with new completions, except those being written already; returns the number. */
   private writeSegments(job: Job, maxSegments: number): number {
     const { segmentBytes } = this.state.settings;
     const { completedBits, segmentsBeingWritten, unpersisted } = job.progress;
--- a/src/core/leader/reachability.ts
+++ b/src/core/leader/reachability.ts
@@ -2,12 +2,12 @@
 import type { Machine } from '../machine.js';
 import type { Zone } from '../units.js';
 
-/** A zone is partitioned where so many of its machines missed a heartbeat, and at least this part of them. */
+/** A zone is partitioned where at least this many of its machines, and this part of them, missed a heartbeat. */
 const PARTITION_MIN_MACHINES = 2;
 const PARTITION_ZONE_FRACTION = 0.5;
 /** Of a zone that is cut off as a whole this part, or more, is unreachable: new machines that aren't up don't count. */
 const WHOLE_ZONE_FRACTION = 0.9;
-/** Unreachable together are more than so many machines, and more than this part of those that are up. */
+/** A mass failure: more than this many machines, and more than this part of those that are up, are unreachable. */
 const MASS_FAILURE_MIN_MACHINES = 3;
 const MASS_FAILURE_MACHINE_FRACTION = 0.1;
 
@@ -24,7 +24,7 @@
   private readonly upByZone = new Map<Zone, number>();
   private readonly unreachableByZone = new Map<Zone, number>();
 
-  /** Counts a machine that is up and without a heartbeat for so long. */
+  /** Counts a machine that is up, and whose last heartbeat is `sinceHeartbeatMs` old. */
   add(machine: Machine, sinceHeartbeatMs: number, heartbeatRoundMs: number, missedHeartbeatMs: number): void {
     this.up++;
     increment(this.upByZone, machine.info.zone);
--- a/src/core/leader/scheduling-queue.ts
+++ b/src/core/leader/scheduling-queue.ts
@@ -5,7 +5,7 @@
 import type { MonotonicTime, Team, WallTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
-/** A job that can't be in time any more counts as due so long after its submission. */
+/** A job that can't be in time any more counts as due this long after its submission. */
 const UNATTAINABLE_DUE_MS = 86_400_000;
 
 /** Gangs before jobs that start task by task, which would take the capacity reserved for them; then by age. */
--- a/src/core/leader/scheduling-round.ts
+++ b/src/core/leader/scheduling-round.ts
@@ -25,11 +25,11 @@
 
 /** Tasks of one job considered in a cycle. */
 const MAX_TASKS_PER_JOB = 40;
-/** A job that was not placed waits for so long, twice as long with each further rejection. */
+/** Back-off of a job that could not be placed; doubled with each further rejection, up to the maximum. */
 const BACKOFF_MS = 400;
 const BACKOFF_MAX_MS = 5000;
 const BACKOFF_MAX_DOUBLINGS = 10;
-/** Nothing is placed on a machine without a heartbeat for so many heartbeat intervals. */
+/** Nothing is placed on a machine whose last heartbeat is older than this many heartbeat intervals. */
 const UNREACHABLE_INTERVALS = 2.5;
 /** Without any change, the autoscaler runs again after this time. */
 const RESCALE_MS = 1000;
--- a/src/core/leader/task-failure-handler.ts
+++ b/src/core/leader/task-failure-handler.ts
@@ -6,9 +6,9 @@
 import type { LeaderState } from './leader-state.js';
 import type { MachinePool } from './machine-pool.js';
 
-/** Tasks of so many jobs failing on a machine condemn it; one job alone doesn't. */
+/** A machine on which tasks of this many jobs failed is quarantined. */
 const QUARANTINE_FAILED_JOBS = 2;
-/** A job whose tasks failed on so many machines is put into back-off, longer each time. */
+/** A job whose tasks failed on this many machines is put into back-off, longer each time. */
 const BACKOFF_FAILED_MACHINES = 3;
 const ERROR_BACKOFF_MS = 2000;
 const ERROR_BACKOFF_MAX_MS = 60_000;
--- a/src/core/reply-tracker.ts
+++ b/src/core/reply-tracker.ts
@@ -4,7 +4,7 @@
  */
 import type { MonotonicTime } from './units.js';
 
-/** After so many replies with a start that had no effect, nothing is placed on a machine. */
+/** After this many replies in a row with a start that had no effect, nothing is placed on a machine. */
 export const UNACKNOWLEDGED_REPLIES_LIMIT = 2;
 
 /** A worker gives up on a reply after this time (PROTOCOL, workers). */
