--- a/src/runtime/http/http-client.ts
+++ b/src/runtime/http/http-client.ts
@@ -1,32 +1,38 @@
+/** An HTTP/1.1 client for one address. */
 import { connect, type Socket } from 'node:net';
-import { HttpParser, type HttpMessage } from './http-parser.js';
 import type { Address } from '../../config/address.js';
+import { HttpParser } from './http-parser.js';
+import type { HttpMessage } from './http-message.js';
 
+/** What became of a request; one that failed with `sent: false` was certainly not carried out. */
 export type HttpResult =
   { ok: true; status: number; body: Buffer } | { ok: false; cause: string; sent: boolean };
 
-interface Connection {
+interface ClientConnection {
   socket: Socket;
   parser: HttpParser;
-  done: ((r: HttpResult) => void) | null;
+  /** Ends the request in progress; null while there is none. */
+  settle: ((result: HttpResult) => void) | null;
   idleSince: number;
   connected: boolean;
 }
 
+const DEFAULT_MAX_IDLE_MS = 30_000;
 const RESPONSE_LIMITS = { headerBytes: 16_384, headerCount: 100, bodyBytes: 16 * 1024 * 1024 };
 
 /** A small pool of kept-alive connections to one address. Never pipelines. */
 export class HttpClient {
-  private idle: Connection[] = [];
+  private idle: ClientConnection[] = [];
   private open = 0;
 
   constructor(
     private readonly address: Address,
     private readonly maxOpen: number,
-    private readonly maxIdleMs = 30_000,
+    private readonly maxIdleMs = DEFAULT_MAX_IDLE_MS,
     private readonly bodyBytes = RESPONSE_LIMITS.bodyBytes,
   ) {}
 
+  /** Sends one request, at once or not at all; after `timeoutMs` its connection is dropped. */
   request(method: string, target: string, body: Buffer | null, timeoutMs: number): Promise<HttpResult> {
     return new Promise((resolve) => {
       const connection = this.take();
@@ -34,92 +40,96 @@
         resolve({ ok: false, cause: 'all connections are in use', sent: false });
         return;
       }
-      const late = (): void =>
-        finish({ ok: false, cause: 'no answer in time', sent: connection.connected }, true);
-      const timer = setTimeout(late, timeoutMs);
-      const finish = (r: HttpResult, drop: boolean): void => {
-        if (connection.done === null) return;
-        connection.done = null;
+      const onTimeout = (): void =>
+        connection.settle?.({ ok: false, cause: 'no answer in time', sent: connection.connected });
+      const timer = setTimeout(onTimeout, timeoutMs);
+      connection.settle = (result) => {
+        connection.settle = null;
         clearTimeout(timer);
-        if (drop) connection.socket.destroy();
-        resolve(r);
+        if (!result.ok) connection.socket.destroy();
+        resolve(result);
       };
-      connection.done = (r) => finish(r, !r.ok);
-      const head =
-        `${method} ${target} HTTP/1.1\r\nHost: ${this.address.host}:${this.address.port}\r\n` +
-        (body ? `Content-Type: application/cbor\r\nContent-Length: ${body.length}\r\n\r\n` : '\r\n');
-      const bytes = Buffer.from(head, 'latin1');
-      connection.socket.write(body ? Buffer.concat([bytes, body]) : bytes);
+      connection.socket.write(this.render(method, target, body));
     });
   }
 
+  /** Drops the connections that no request uses. */
   close(): void {
-    for (const c of this.idle) c.socket.destroy();
+    for (const { socket } of this.idle) socket.destroy();
     this.idle = [];
   }
 
-  private take(): Connection | null {
+  private render(method: string, target: string, body: Buffer | null): Buffer {
+    const { host, port } = this.address;
+    const head =
+      `${method} ${target} HTTP/1.1\r\nHost: ${host}:${port}\r\n` +
+      (body ? `Content-Type: application/cbor\r\nContent-Length: ${body.length}\r\n\r\n` : '\r\n');
+    const headBytes = Buffer.from(head, 'latin1');
+    return body ? Buffer.concat([headBytes, body]) : headBytes;
+  }
+
+  private take(): ClientConnection | null {
     const now = performance.now();
-    for (;;) {
-      const c = this.idle.pop();
-      if (!c) break;
-      // A connection that idled for long may have been dropped silently by the other side.
-      if (c.socket.destroyed || now - c.idleSince > this.maxIdleMs) c.socket.destroy();
-      else return c;
+    for (let connection = this.idle.pop(); connection; connection = this.idle.pop()) {
+      // A connection that idled for long may have been dropped by the other side without a sign.
+      if (!connection.socket.destroyed && now - connection.idleSince <= this.maxIdleMs) return connection;
+      connection.socket.destroy();
     }
-    if (this.open >= this.maxOpen) return null;
-    return this.dial();
+    return this.open < this.maxOpen ? this.dial() : null;
   }
 
-  private dial(): Connection {
+  private dial(): ClientConnection {
     const socket = connect({ host: this.address.host, port: this.address.port, noDelay: true });
-    const limits = { ...RESPONSE_LIMITS, bodyBytes: this.bodyBytes };
-    const c: Connection = {
+    const connection: ClientConnection = {
       socket,
-      parser: new HttpParser('response', limits),
-      done: null,
+      parser: new HttpParser('response', { ...RESPONSE_LIMITS, bodyBytes: this.bodyBytes }),
+      settle: null,
       idleSince: 0,
       connected: false,
     };
     this.open++;
-    socket.on('data', (chunk) => this.receive(c, chunk));
+    socket.on('data', (chunk) => this.receive(connection, chunk));
     socket.on('connect', () => {
-      c.connected = true;
+      connection.connected = true;
     });
     // A connection attempt that was given up never completes later: nothing was sent on it.
-    socket.on('error', (e) => c.done?.({ ok: false, cause: e.message, sent: c.connected }));
-    socket.on('close', () => {
-      this.open--;
-      const last = c.parser.finish();
-      if (last && c.done) c.done({ ok: true, status: last.status, body: last.body });
-      else c.done?.({ ok: false, cause: 'connection closed', sent: c.connected });
-    });
-    return c;
+    socket.on('error', ({ message }) =>
+      connection.settle?.({ ok: false, cause: message, sent: connection.connected }),
+    );
+    socket.on('close', () => this.onClose(connection));
+    return connection;
+  }
+
+  private onClose({ parser, settle, connected }: ClientConnection): void {
+    this.open--;
+    const last = parser.finish();
+    if (last) settle?.({ ok: true, status: last.status, body: last.body });
+    else settle?.({ ok: false, cause: 'connection closed', sent: connected });
   }
 
-  private receive(c: Connection, chunk: Buffer): void {
+  private receive(connection: ClientConnection, chunk: Buffer): void {
     let messages: HttpMessage[];
     try {
-      messages = c.parser.push(chunk);
-    } catch (e) {
-      c.done?.({ ok: false, cause: String(e), sent: true });
-      c.socket.destroy();
+      messages = connection.parser.push(chunk);
+    } catch (error) {
+      connection.settle?.({ ok: false, cause: String(error), sent: true });
+      connection.socket.destroy();
       return;
     }
-    for (const m of messages) {
-      const done = c.done;
-      if (!done) {
-        c.socket.destroy(); // an answer nobody asked for
-        return;
-      }
-      if (m.keepAlive) {
-        c.idleSince = performance.now();
-        done({ ok: true, status: m.status, body: m.body });
-        this.idle.push(c);
-      } else {
-        done({ ok: true, status: m.status, body: m.body });
-        c.socket.destroy();
-      }
+    for (const message of messages) if (!this.onResponse(connection, message)) return;
+  }
+
+  /** False for a response that no request awaits: its connection is dropped. */
+  private onResponse(connection: ClientConnection, { status, body, keepAlive }: HttpMessage): boolean {
+    const { settle, socket } = connection;
+    if (!settle) {
+      socket.destroy();
+      return false;
     }
+    if (keepAlive) connection.idleSince = performance.now();
+    settle({ ok: true, status, body });
+    if (keepAlive) this.idle.push(connection);
+    else socket.destroy();
+    return true;
   }
 }
--- /dev/null
+++ b/src/runtime/http/http-head.ts
@@ -0,0 +1,77 @@
+/** The head of an HTTP/1.1 message: start line, header fields, and what they say of the body's framing. */
+import { HttpError, type HttpMessage } from './http-message.js';
+
+/** Which of the two forms of message a parser reads. */
+export type HttpMessageKind = 'request' | 'response';
+
+/** How the end of a message's body is found. */
+export type BodyFraming = { kind: 'length'; bytes: number } | { kind: 'chunked' } | { kind: 'until-close' };
+
+const NO_BODY: BodyFraming = { kind: 'length', bytes: 0 };
+const EMPTY = Buffer.alloc(0);
+const TOKEN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
+const REQUEST_LINE = /^([A-Z]{1,20}) (\S{1,4096}) HTTP\/1\.([01])$/;
+const STATUS_LINE = /^HTTP\/1\.([01]) (\d{3})(?: .*)?$/;
+const CONTENT_LENGTH = /^\d{1,15}$/;
+
+/** A message without its body. Throws HttpError on a malformed line. */
+export const parseHead = (kind: HttpMessageKind, lines: readonly string[]): HttpMessage => {
+  const message = kind === 'request' ? parseRequestLine(lines[0]) : parseStatusLine(lines[0]);
+  for (let i = 1; i < lines.length; i++) addHeader(message.headers, lines[i]);
+  const connection = (message.headers.get('connection') ?? '').toLowerCase();
+  if (connection.includes('close')) message.keepAlive = false;
+  return message;
+};
+
+const parseRequestLine = (line: string): HttpMessage => {
+  const match = REQUEST_LINE.exec(line);
+  if (!match) throw new HttpError(400, 'bad request line');
+  const [, method, target, minorVersion] = match;
+  return { method, target, status: 0, headers: new Map(), keepAlive: minorVersion === '1', body: EMPTY };
+};
+
+const parseStatusLine = (line: string): HttpMessage => {
+  const match = STATUS_LINE.exec(line);
+  if (!match) throw new HttpError(400, 'bad status line');
+  const [, minorVersion, status] = match;
+  return {
+    method: '',
+    target: '',
+    status: Number(status),
+    headers: new Map(),
+    keepAlive: minorVersion === '1',
+    body: EMPTY,
+  };
+};
+
+const addHeader = (headers: Map<string, string>, line: string): void => {
+  const colon = line.indexOf(':');
+  if (colon <= 0 || !TOKEN.test(line.slice(0, colon))) throw new HttpError(400, 'bad header field');
+  const name = line.slice(0, colon).toLowerCase();
+  const value = line.slice(colon + 1).trim();
+  // Two lengths that differ would let two readers see two different messages.
+  if (name === 'content-length' && headers.has(name) && headers.get(name) !== value)
+    throw new HttpError(400, 'two content lengths');
+  headers.set(name, value);
+};
+
+/** The framing of a message's body; one that runs to the end of its connection can't keep it alive. */
+export const bodyFraming = (kind: HttpMessageKind, message: HttpMessage, maxBytes: number): BodyFraming => {
+  const coding = message.headers.get('transfer-encoding');
+  const length = message.headers.get('content-length');
+  if (coding !== undefined) {
+    if (coding.toLowerCase() !== 'chunked') throw new HttpError(501, 'unknown transfer coding');
+    if (length !== undefined) throw new HttpError(400, 'two framings');
+    return { kind: 'chunked' };
+  }
+  if (length !== undefined) {
+    if (!CONTENT_LENGTH.test(length)) throw new HttpError(400, 'bad content length');
+    const bytes = Number(length);
+    if (bytes > maxBytes) throw new HttpError(413, 'body too large');
+    return { kind: 'length', bytes };
+  }
+  const bodiless = kind === 'request' || message.status === 204 || message.status === 304;
+  if (bodiless) return NO_BODY;
+  message.keepAlive = false;
+  return { kind: 'until-close' };
+};
--- a/src/runtime/http/http-parser.ts
+++ b/src/runtime/http/http-parser.ts
@@ -1,226 +1,178 @@
-// HTTP/1.1 message parser, for requests and responses. Feed it whatever a socket delivers.
-
-export class HttpError extends Error {
-  constructor(
-    readonly status: number,
-    message: string,
-  ) {
-    super(message);
-  }
-}
-
-export interface HttpMessage {
-  /** Requests: method and target. Responses: empty. */
-  method: string;
-  target: string;
-  /** Responses: the status. Requests: 0. */
-  status: number;
-  headers: Map<string, string>;
-  keepAlive: boolean;
-  body: Buffer;
-}
+/** HTTP/1.1 message parser, for requests and responses. Feed it whatever a socket delivers. */
+import { bodyFraming, parseHead, type HttpMessageKind } from './http-head.js';
+import { HttpError, type HttpMessage } from './http-message.js';
 
+/** The largest message that a parser takes. */
 export interface HttpParserLimits {
   headerBytes: number;
   headerCount: number;
   bodyBytes: number;
 }
 
-type Stage =
+/** What the parser reads next; `remaining` bytes are missing of a body or of a chunk. */
+type ParserState =
   | { at: 'head' }
-  | { at: 'body'; need: number }
+  | { at: 'body'; remaining: number }
   | { at: 'until-close' }
   | { at: 'chunk-size' }
-  | { at: 'chunk-data'; need: number }
+  | { at: 'chunk-data'; remaining: number }
   | { at: 'chunk-end' }
   | { at: 'trailer' };
 
 const EMPTY = Buffer.alloc(0);
 const CRLF = Buffer.from('\r\n');
 const HEAD_END = Buffer.from('\r\n\r\n');
-const MAX_CHUNK_LINE = 256;
-const tokenPattern = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
+const CARRIAGE_RETURN = 13;
+const LINE_FEED = 10;
+const CHUNK_SIZE = /^[0-9a-fA-F]{1,8}$/;
+const MAX_CHUNK_LINE_BYTES = 256;
 
+/** Reads the messages of one connection, one after the other. */
 export class HttpParser {
   private buffer: Buffer = EMPTY;
-  private stage: Stage = { at: 'head' };
+  private state: ParserState = { at: 'head' };
   private message: HttpMessage | null = null;
-  private parts: Buffer[] = [];
-  private size = 0;
+  private bodyParts: Buffer[] = [];
+  private bodySize = 0;
 
   constructor(
-    private readonly kind: 'request' | 'response',
+    private readonly kind: HttpMessageKind,
     private readonly limits: HttpParserLimits,
   ) {}
 
   /** Returns the messages that this piece completes. Throws HttpError on malformed or oversized input. */
   push(chunk: Buffer): HttpMessage[] {
     this.buffer = this.buffer.length === 0 ? chunk : Buffer.concat([this.buffer, chunk]);
-    const out: HttpMessage[] = [];
-    while (this.step(out));
-    return out;
+    const completed: HttpMessage[] = [];
+    while (this.step(completed));
+    return completed;
   }
 
   /** The connection ended: completes a response whose body runs to the end of the connection. */
   finish(): HttpMessage | null {
-    if (this.stage.at !== 'until-close') return null;
-    const out: HttpMessage[] = [];
-    this.complete(out);
-    return out[0] ?? null;
+    if (this.state.at !== 'until-close') return null;
+    const completed: HttpMessage[] = [];
+    this.complete(completed);
+    return completed[0] ?? null;
   }
 
-  private step(out: HttpMessage[]): boolean {
-    switch (this.stage.at) {
+  /** Reads one part of a message; false while more input is needed for it. */
+  private step(completed: HttpMessage[]): boolean {
+    switch (this.state.at) {
       case 'head':
-        return this.head(out);
+        return this.readHead(completed);
       case 'body':
       case 'chunk-data':
-        return this.data(out, this.stage);
+        return this.readData(completed, this.state);
       case 'until-close':
-        if (this.buffer.length === 0) return false;
-        this.take(this.buffer.length);
+        if (this.buffer.length > 0) this.take(this.buffer.length);
         return false;
-      case 'chunk-size': {
-        const line = this.line(MAX_CHUNK_LINE);
-        if (line === null) return false;
-        const hex = line.split(';', 1)[0].trim();
-        if (!/^[0-9a-fA-F]{1,8}$/.test(hex)) throw new HttpError(400, 'bad chunk size');
-        const need = parseInt(hex, 16);
-        if (this.size + need > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
-        this.stage = need === 0 ? { at: 'trailer' } : { at: 'chunk-data', need };
-        return true;
-      }
-      case 'chunk-end': {
-        const line = this.line(MAX_CHUNK_LINE);
-        if (line === null) return false;
-        if (line !== '') throw new HttpError(400, 'bad chunk end');
-        this.stage = { at: 'chunk-size' };
-        return true;
-      }
-      case 'trailer': {
-        const line = this.line(this.limits.headerBytes);
-        if (line === null) return false;
-        if (line === '') this.complete(out);
-        return true;
-      }
+      case 'chunk-size':
+        return this.readChunkSize();
+      case 'chunk-end':
+        return this.readChunkEnd();
+      case 'trailer':
+        return this.readTrailer(completed);
     }
   }
 
-  private head(out: HttpMessage[]): boolean {
+  private readHead(completed: HttpMessage[]): boolean {
     // Stray line ends between messages are allowed by the standard.
-    while (this.buffer.length >= 2 && this.buffer[0] === 13 && this.buffer[1] === 10) {
-      this.buffer = this.buffer.subarray(2);
-    }
+    while (this.buffer.length >= 2 && this.buffer[0] === CARRIAGE_RETURN && this.buffer[1] === LINE_FEED)
+      this.buffer = this.buffer.subarray(CRLF.length);
     const end = this.buffer.indexOf(HEAD_END);
     if (end < 0 || end > this.limits.headerBytes) {
       if (this.buffer.length > this.limits.headerBytes) throw new HttpError(431, 'header too large');
       return false;
     }
     const lines = this.buffer.toString('latin1', 0, end).split('\r\n');
-    this.buffer = this.buffer.subarray(end + 4);
+    this.buffer = this.buffer.subarray(end + HEAD_END.length);
     if (lines.length - 1 > this.limits.headerCount) throw new HttpError(431, 'too many header fields');
-    const message = this.startLine(lines[0]);
-    for (let i = 1; i < lines.length; i++) {
-      const line = lines[i];
-      const colon = line.indexOf(':');
-      if (colon <= 0 || !tokenPattern.test(line.slice(0, colon)))
-        throw new HttpError(400, 'bad header field');
-      const name = line.slice(0, colon).toLowerCase();
-      const value = line.slice(colon + 1).trim();
-      // Two lengths that differ would let two readers see two different messages.
-      if (name === 'content-length' && message.headers.has(name) && message.headers.get(name) !== value) {
-        throw new HttpError(400, 'two content lengths');
-      }
-      message.headers.set(name, value);
-    }
-    const connection = (message.headers.get('connection') ?? '').toLowerCase();
-    if (connection.includes('close')) message.keepAlive = false;
+    const message = parseHead(this.kind, lines);
     this.message = message;
-    this.stage = this.framing(message);
-    if (this.stage.at === 'body' && this.stage.need === 0) this.complete(out);
+    this.state = this.bodyState(message);
+    if (this.state.at === 'body' && this.state.remaining === 0) this.complete(completed);
     return true;
   }
 
-  private startLine(line: string): HttpMessage {
-    const message: HttpMessage = {
-      method: '',
-      target: '',
-      status: 0,
-      headers: new Map(),
-      keepAlive: true,
-      body: EMPTY,
-    };
-    if (this.kind === 'request') {
-      const match = /^([A-Z]{1,20}) (\S{1,4096}) HTTP\/1\.([01])$/.exec(line);
-      if (!match) throw new HttpError(400, 'bad request line');
-      message.method = match[1]!;
-      message.target = match[2]!;
-      message.keepAlive = match[3] === '1';
-    } else {
-      const match = /^HTTP\/1\.([01]) (\d{3})(?: .*)?$/.exec(line);
-      if (!match) throw new HttpError(400, 'bad status line');
-      message.status = Number(match[2]);
-      message.keepAlive = match[1] === '1';
+  private bodyState(message: HttpMessage): ParserState {
+    const framing = bodyFraming(this.kind, message, this.limits.bodyBytes);
+    switch (framing.kind) {
+      case 'length':
+        return { at: 'body', remaining: framing.bytes };
+      case 'chunked':
+        return { at: 'chunk-size' };
+      case 'until-close':
+        return { at: 'until-close' };
     }
-    return message;
   }
 
-  private framing(message: HttpMessage): Stage {
-    const coding = message.headers.get('transfer-encoding');
-    if (coding !== undefined) {
-      if (coding.toLowerCase() !== 'chunked') throw new HttpError(501, 'unknown transfer coding');
-      if (message.headers.has('content-length')) throw new HttpError(400, 'two framings');
-      return { at: 'chunk-size' };
-    }
-    const length = message.headers.get('content-length');
-    if (length !== undefined) {
-      if (!/^\d{1,15}$/.test(length)) throw new HttpError(400, 'bad content length');
-      const need = Number(length);
-      if (need > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
-      return { at: 'body', need };
-    }
-    const bodiless = this.kind === 'request' || message.status === 204 || message.status === 304;
-    if (bodiless) return { at: 'body', need: 0 };
-    message.keepAlive = false;
-    return { at: 'until-close' };
+  private readData(
+    completed: HttpMessage[],
+    state: { at: 'body' | 'chunk-data'; remaining: number },
+  ): boolean {
+    if (this.buffer.length === 0) return false;
+    const available = Math.min(state.remaining, this.buffer.length);
+    this.take(available);
+    state.remaining -= available;
+    if (state.remaining > 0) return false;
+    if (state.at === 'body') this.complete(completed);
+    else this.state = { at: 'chunk-end' };
+    return true;
   }
 
-  private data(out: HttpMessage[], stage: { at: 'body' | 'chunk-data'; need: number }): boolean {
-    if (this.buffer.length === 0) return false;
-    const n = Math.min(stage.need, this.buffer.length);
-    this.take(n);
-    stage.need -= n;
-    if (stage.need > 0) return false;
-    if (stage.at === 'body') this.complete(out);
-    else this.stage = { at: 'chunk-end' };
+  private readChunkSize(): boolean {
+    const line = this.takeLine(MAX_CHUNK_LINE_BYTES);
+    if (line === null) return false;
+    const hex = line.split(';', 1)[0].trim();
+    if (!CHUNK_SIZE.test(hex)) throw new HttpError(400, 'bad chunk size');
+    const remaining = parseInt(hex, 16);
+    if (this.bodySize + remaining > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
+    this.state = remaining === 0 ? { at: 'trailer' } : { at: 'chunk-data', remaining };
+    return true;
+  }
+
+  private readChunkEnd(): boolean {
+    const line = this.takeLine(MAX_CHUNK_LINE_BYTES);
+    if (line === null) return false;
+    if (line !== '') throw new HttpError(400, 'bad chunk end');
+    this.state = { at: 'chunk-size' };
+    return true;
+  }
+
+  private readTrailer(completed: HttpMessage[]): boolean {
+    const line = this.takeLine(this.limits.headerBytes);
+    if (line === null) return false;
+    if (line === '') this.complete(completed);
     return true;
   }
 
-  private take(n: number): void {
-    this.size += n;
-    if (this.size > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
-    this.parts.push(this.buffer.subarray(0, n));
-    this.buffer = this.buffer.subarray(n);
+  /** Moves this many bytes from the input to the body. */
+  private take(byteCount: number): void {
+    this.bodySize += byteCount;
+    if (this.bodySize > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
+    this.bodyParts.push(this.buffer.subarray(0, byteCount));
+    this.buffer = this.buffer.subarray(byteCount);
   }
 
-  private line(max: number): string | null {
+  private takeLine(maxBytes: number): string | null {
     const end = this.buffer.indexOf(CRLF);
-    if (end < 0 || end > max) {
-      if (this.buffer.length > max) throw new HttpError(400, 'line too long');
+    if (end < 0 || end > maxBytes) {
+      if (this.buffer.length > maxBytes) throw new HttpError(400, 'line too long');
       return null;
     }
     const line = this.buffer.toString('latin1', 0, end);
-    this.buffer = this.buffer.subarray(end + 2);
+    this.buffer = this.buffer.subarray(end + CRLF.length);
     return line;
   }
 
-  private complete(out: HttpMessage[]): void {
+  private complete(completed: HttpMessage[]): void {
     const message = this.message!;
-    message.body = this.parts.length === 1 ? this.parts[0] : Buffer.concat(this.parts);
-    out.push(message);
+    message.body = this.bodyParts.length === 1 ? this.bodyParts[0] : Buffer.concat(this.bodyParts);
+    completed.push(message);
     this.message = null;
-    this.parts = [];
-    this.size = 0;
-    this.stage = { at: 'head' };
+    this.bodyParts = [];
+    this.bodySize = 0;
+    this.state = { at: 'head' };
   }
 }
--- a/src/runtime/http/socket-budget.ts
+++ b/src/runtime/http/socket-budget.ts
@@ -1,29 +1,43 @@
-// One budget of sockets for all uses, derived from the platform's limit: no use can take what another needs.
+/** One budget of sockets for all uses, derived from the platform's limit: no use can take what another needs. */
 
 /** Files of the process itself, state service (calls, watches, lease), cloud, and some to spare. */
-const OWN = 80;
+const OWN_FILES = 80;
 /** Each peer dials us, we dial it, and old connections linger behind a cut. */
-const EACH_PEER = 4;
+const SOCKETS_PER_PEER = 4;
 /** Connections to our internal address that are not peers'. */
 export const STATUS_CONNECTIONS = 16;
-const ORDERS_SHARE = 0.15;
-const MOST_ORDERS = 400;
+const MIN_SHARED = 16;
+const DIRECT_COMMAND_FRACTION = 0.15;
+const MIN_DIRECT_COMMANDS = 4;
+const MAX_DIRECT_COMMANDS = 400;
 /** Connections that wait to be accepted are open sockets, too: after a restart all workers and users come at once. */
-const BACKLOG_SHARE = 0.15;
-const MOST_BACKLOG = 256;
+const BACKLOG_FRACTION = 0.15;
+const MIN_BACKLOG = 4;
+const MAX_BACKLOG = 256;
 
+/** Sockets for each use that has a changing number of them. */
 export interface SocketBudget {
   /** Workers and users together, on the public address. */
   public: number;
   /** Those not accepted yet. */
   backlog: number;
-  /** Connections for orders sent straight to workers. */
+  /** Connections for direct commands to workers. */
   directCommands: number;
 }
 
-export const socketBudget = (limit: number, peers: number): SocketBudget => {
-  const left = Math.max(16, limit - OWN - STATUS_CONNECTIONS - EACH_PEER * peers);
-  const orders = Math.max(4, Math.min(MOST_ORDERS, Math.floor(left * ORDERS_SHARE)));
-  const backlog = Math.max(4, Math.min(MOST_BACKLOG, Math.floor(left * BACKLOG_SHARE)));
-  return { public: left - orders - backlog, backlog, directCommands: orders };
+const fractionWithin = (total: number, fraction: number, min: number, max: number): number =>
+  Math.max(min, Math.min(max, Math.floor(total * fraction)));
+
+/** Divides the platform's limit on sockets for a controller with this many peers. */
+export const socketBudget = (limit: number, peerCount: number): SocketBudget => {
+  const reserved = OWN_FILES + STATUS_CONNECTIONS + SOCKETS_PER_PEER * peerCount;
+  const shared = Math.max(MIN_SHARED, limit - reserved);
+  const directCommands = fractionWithin(
+    shared,
+    DIRECT_COMMAND_FRACTION,
+    MIN_DIRECT_COMMANDS,
+    MAX_DIRECT_COMMANDS,
+  );
+  const backlog = fractionWithin(shared, BACKLOG_FRACTION, MIN_BACKLOG, MAX_BACKLOG);
+  return { public: shared - directCommands - backlog, backlog, directCommands };
 };
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -1,7 +1,7 @@
 // Users' requests. Any controller takes them: the job's record in the state service is the truth, and nothing
 // is told to a user that it doesn't hold.
-import type { HttpMessage } from '../http/http-parser.js';
-import type { HttpReply } from '../http/http-server.js';
+import type { HttpMessage } from '../http/http-message.js';
+import type { HttpReply } from '../http/http-reply.js';
 import { JobLookup, type KnownJobs, type JobLookupResult } from './job-lookup.js';
 import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { PlatformSettings } from '../../config/platform.js';
--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -1,7 +1,7 @@
 // Workers' reports, at whichever controller they arrive: the leader answers with commands; others redirect,
 // relay, or keep the worker alive while no leader can be reached.
 import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
-import type { HttpReply } from '../http/http-server.js';
+import type { HttpReply } from '../http/http-reply.js';
 import type { LeaderElection } from '../leadership/leader-election.js';
 import { LeaderRoutes, type LeaderRoute } from '../peers/leader-route.js';
 import type { PeerLink } from '../peers/peer-link.js';
--- a/src/test/http.test.ts
+++ b/src/test/http.test.ts
@@ -2,7 +2,8 @@
 import { createServer, connect, type AddressInfo } from 'node:net';
 import { test } from 'node:test';
 import { HttpClient } from '../runtime/http/http-client.js';
-import { HttpError, HttpParser } from '../runtime/http/http-parser.js';
+import { HttpParser } from '../runtime/http/http-parser.js';
+import { HttpError } from '../runtime/http/http-message.js';
 import { httpConnectionHandler } from '../runtime/http/http-server.js';
 import { Logger } from '../runtime/logger.js';
 
--- a/src/test/sim/http-server.ts
+++ b/src/test/sim/http-server.ts
@@ -2,7 +2,8 @@
 import { createServer } from 'node:net';
 import type { SimulatedHost } from './simulation-runtime.js';
 import { parseAddress } from '../../config/address.js';
-import { HttpParser, type HttpMessage } from '../../runtime/http/http-parser.js';
+import { HttpParser } from '../../runtime/http/http-parser.js';
+import type { HttpMessage } from '../../runtime/http/http-message.js';
 import { decode, encode } from '../../wire/cbor.js';
 
 export interface HttpResponse {
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { HttpMessage } from '../runtime/http/http-parser.js';
+import type { HttpMessage } from '../runtime/http/http-message.js';
 import type { KeyValueStoreClient } from '../runtime/key-value-store/key-value-store-client.js';
 import type { KnownJobs } from '../runtime/users/job-lookup.js';
 import { AdmissionControl } from '../runtime/users/admission-control.js';
