--- a/src/runtime/cloud/machine-type-catalog.ts
+++ b/src/runtime/cloud/machine-type-catalog.ts
@@ -1,7 +1,4 @@
-// The machine types: from the cloud, or while it doesn't answer, from what a leader has kept in the state service.
-import type { CloudProviderClient } from './cloud-provider-client.js';
-import type { LeaderElection } from '../leadership/leader-election.js';
-import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+/** The machine types: from the cloud, or while it doesn't answer, from what a leader has kept in the state service. */
 import type { KeyValueStoreLimits } from '../../config/platform.js';
 import type { MachineType } from '../../core/types.js';
 import {
@@ -11,101 +8,115 @@
   parseTypesPage,
   type Change,
 } from '../../wire/key-value-store.js';
+import { sleep } from '../clock.js';
+import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
+import type { LeaderElection } from '../leadership/leader-election.js';
+import type { CloudProviderClient } from './cloud-provider-client.js';
 
-const REFRESH_MS = 30_000;
-const RETRY_MS = 700;
-
-const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+const REFRESH_INTERVAL_MS = 30_000;
+const RETRY_INTERVAL_MS = 700;
 
-/** In pieces that each fit one value; a single type is never divided. */
-export const splitIntoPages = (types: MachineType[], valueKb: number): MachineType[][] => {
+/** In pages that each fit one value; a single type is never divided. */
+export const splitIntoPages = (types: MachineType[], maxValueKb: number): MachineType[][] => {
   const pages: MachineType[][] = [];
   for (const type of types) {
     const last = pages.at(-1);
-    if (last && fitsValue({ pages: types.length, types: [...last, type] }, valueKb)) last.push(type);
+    if (last && fitsValue({ pages: types.length, types: [...last, type] }, maxValueKb)) last.push(type);
     else pages.push([type]);
   }
   return pages;
 };
 
+/** What the catalog depends on. */
+export interface MachineTypeCatalogDependencies {
+  limits: KeyValueStoreLimits;
+  cloud: CloudProviderClient;
+  store: KeyValueStoreClient;
+  election: LeaderElection;
+  onChange: (types: MachineType[]) => void;
+}
+
 /** Keeps the machine types up to date, and a copy of them for times without the cloud. */
 export class MachineTypeCatalog {
   /** Empty until they are known. */
   current: MachineType[] = [];
 
-  constructor(
-    private readonly limits: KeyValueStoreLimits,
-    private readonly cloud: CloudProviderClient,
-    private readonly state: KeyValueStoreClient,
-    private readonly membership: LeaderElection,
-    private readonly onChange: (types: MachineType[]) => void,
-  ) {}
+  constructor(private readonly dependencies: MachineTypeCatalogDependencies) {}
 
+  /** Begins to read the machine types, and goes on for good. */
   start(): void {
-    void this.follow();
+    void this.refreshForever();
   }
 
-  private async follow(): Promise<void> {
+  private async refreshForever(): Promise<void> {
     for (;;) {
-      if (this.current.length === 0) {
-        const kept = await this.load();
-        if (this.current.length === 0 && kept.length > 0) this.set(kept);
-      }
-      if (this.current.length === 0 || this.membership.holdsLease) {
-        const fresh = await this.cloud.listMachineTypes();
-        if (fresh && fresh.length > 0) {
-          this.set(fresh);
-          await this.store(fresh);
-        }
-      }
-      await sleep(this.current.length === 0 ? RETRY_MS : REFRESH_MS);
+      await this.refresh();
+      await sleep(this.current.length === 0 ? RETRY_INTERVAL_MS : REFRESH_INTERVAL_MS);
+    }
+  }
+
+  private async refresh(): Promise<void> {
+    if (this.current.length === 0) {
+      const stored = await this.load();
+      if (this.current.length === 0 && stored.length > 0) this.setTypes(stored);
     }
+    const { cloud, election } = this.dependencies;
+    if (this.current.length > 0 && !election.holdsLease) return;
+    const offered = await cloud.listMachineTypes();
+    if (!offered || offered.length === 0) return;
+    this.setTypes(offered);
+    await this.save(offered);
   }
 
-  private set(types: MachineType[]): void {
+  private setTypes(types: MachineType[]): void {
     this.current = types;
-    this.onChange(types);
+    this.dependencies.onChange(types);
   }
 
   private async load(): Promise<MachineType[]> {
-    const first = await this.state.get(keys.typesPage(0), budgetReserves.urgent);
+    const { store } = this.dependencies;
+    const first = await store.get(keys.typesPage(0), budgetReserves.urgent);
     const page = first.kind === 'ok' ? parseTypesPage(first.value.data) : null;
-    if (page) return this.loadPages(page.pages, page.types);
-    const whole = await this.state.get(keys.types, budgetReserves.urgent);
+    if (page) return this.loadFurtherPages(page.pages, page.types);
+    const whole = await store.get(keys.types, budgetReserves.urgent);
     return whole.kind === 'ok' ? (parseStoredTypes(whole.value.data) ?? []) : [];
   }
 
-  private async loadPages(count: number, first: MachineType[]): Promise<MachineType[]> {
-    const all = [...first];
-    for (let i = 1; i < count; i++) {
-      const item = await this.state.get(keys.typesPage(i), budgetReserves.urgent);
+  private async loadFurtherPages(pageCount: number, first: MachineType[]): Promise<MachineType[]> {
+    const types = [...first];
+    for (let i = 1; i < pageCount; i++) {
+      const item = await this.dependencies.store.get(keys.typesPage(i), budgetReserves.urgent);
       const page = item.kind === 'ok' ? parseTypesPage(item.value.data) : null;
       if (!page) return [];
-      all.push(...page.types);
+      types.push(...page.types);
     }
-    return all;
+    return types;
   }
 
-  private async store(types: MachineType[]): Promise<void> {
-    if (fitsValue(types, this.limits.valueKb)) {
+  private async save(types: MachineType[]): Promise<void> {
+    const { valueKb } = this.dependencies.limits;
+    if (fitsValue(types, valueKb)) {
       await this.write([{ put: keys.types, data: types }, { delete: keys.typesPage(0) }]);
       return;
     }
-    const pages = splitIntoPages(types, this.limits.valueKb);
+    const pages = splitIntoPages(types, valueKb);
     // The first page names the number of pages and is written last: until then the list before holds.
     for (const [i, page] of [...pages.entries()].reverse()) {
-      if (!(await this.write([{ put: keys.typesPage(i), data: { pages: pages.length, types: page } }])))
-        return;
+      const written = await this.write([
+        { put: keys.typesPage(i), data: { pages: pages.length, types: page } },
+      ]);
+      if (!written) return;
     }
   }
 
-  private async write(then: Change[]): Promise<boolean> {
-    const held = this.membership.electionState.heldLease;
-    if (!held) return false;
-    const r = await this.state.transact({
-      conditions: [{ key: keys.leader, revision: held.keyRevision }],
-      changes: then,
+  /** Writes only while this controller holds the leader's lease. */
+  private async write(changes: Change[]): Promise<boolean> {
+    const { heldLease } = this.dependencies.election.electionState;
+    if (!heldLease) return false;
+    const result = await this.dependencies.store.transact({
+      conditions: [{ key: keys.leader, revision: heldLease.keyRevision }],
+      changes,
     });
-    return r.kind === 'ok';
+    return result.kind === 'ok';
   }
 }
--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -92,13 +92,13 @@
       // just restarted: without it, its workers would lose their leases for want of an answer.
       onLeaderKey: () => this.heartbeatHandler.recordLeaderSeen(operator.leaseMs),
     });
-    this.machineTypes = new MachineTypeCatalog(
-      platform.keyValueStoreLimits,
-      this.cloud,
-      this.store,
-      this.election,
-      (types) => this.leaderLoop?.setMachineTypes(types),
-    );
+    this.machineTypes = new MachineTypeCatalog({
+      limits: platform.keyValueStoreLimits,
+      cloud: this.cloud,
+      store: this.store,
+      election: this.election,
+      onChange: (types) => this.leaderLoop?.setMachineTypes(types),
+    });
     this.cancellations = new CancellationFeed(platform, this.store, this.links, this.log, (jobs) =>
       this.leaderLoop?.applyCancellations(jobs),
     );
@@ -113,14 +113,14 @@
         }),
       );
     }
-    this.users = new UserApi(
+    this.users = new UserApi({
       platform,
-      this.store,
-      () => this.machineTypes.current,
-      (id) => this.counts(id),
-      (id) => this.cancellations.recordConfirmed(id),
-      this.cancellations,
-    );
+      store: this.store,
+      machineTypes: () => this.machineTypes.current,
+      taskCounts: (id) => this.counts(id),
+      onCancellationTold: (id) => this.cancellations.recordConfirmed(id),
+      knownJobs: this.cancellations,
+    });
     this.heartbeatHandler = new HeartbeatHandler(
       platform,
       this.election,
--- a/src/runtime/users/admission-control.ts
+++ b/src/runtime/users/admission-control.ts
@@ -1,42 +1,52 @@
-// The users' stage: so many requests at once, and the rest is answered at once with a time to come back. Nobody is
-// turned away again and again: who was turned away has a part of the stage that others don't get.
-const TURNED_AWAY_KEPT = 5000;
+/**
+ * Admission of users' requests: so many at once, and others are answered at once with a time to come back. Guards
+ * against requests that are refused again and again: one that was refused before has capacity that others don't get.
+ */
 
+/** Guards against names without end from outside. */
+const MAX_REFUSED_KEPT = 5000;
+
+/** Bounds the requests in progress. A request's subject names what it asks about; null where only the body says. */
 export class AdmissionControl {
-  private open = 0;
-  private readonly turnedAway = new Set<string>();
-  refusedCount = 0;
+  private inProgress = 0;
+  private readonly refusedBefore = new Set<string>();
+  private refused = 0;
 
   constructor(
-    private readonly most: number,
+    private readonly limit: number,
+    /** Beyond the limit, for requests that were refused before. */
     private readonly reserved: number,
   ) {}
 
+  /** The number of requests in progress. */
   get openRequests(): number {
-    return this.open;
+    return this.inProgress;
+  }
+
+  /** How many requests were refused since the start. */
+  get refusedCount(): number {
+    return this.refused;
   }
 
-  /** `who` names what the request asks about; null where only the body says. */
-  tryAdmit(who: string | null): boolean {
-    const before = who !== null && this.turnedAway.has(who);
-    if (this.open >= this.most + (before ? this.reserved : 0)) {
-      this.refusedCount++;
-      if (who !== null) {
-        // Bounded: the names come from outside.
-        if (this.turnedAway.size >= TURNED_AWAY_KEPT) this.turnedAway.clear();
-        this.turnedAway.add(who);
-      }
-      return false;
+  /** Admits a request or refuses it; one that is admitted is to be released. */
+  tryAdmit(subject: string | null): boolean {
+    const again = subject !== null && this.refusedBefore.has(subject);
+    if (this.inProgress < this.limit + (again ? this.reserved : 0)) {
+      this.inProgress++;
+      return true;
     }
-    this.open++;
-    return true;
+    this.refused++;
+    if (subject === null) return false;
+    if (this.refusedBefore.size >= MAX_REFUSED_KEPT) this.refusedBefore.clear();
+    this.refusedBefore.add(subject);
+    return false;
   }
 
-  /** Answered with something other than "come back". */
-  release(who: string | null, served: boolean): void {
-    this.open--;
-    if (who === null) return;
-    if (served) this.turnedAway.delete(who);
-    else if (this.turnedAway.size < TURNED_AWAY_KEPT) this.turnedAway.add(who);
+  /** A request ends; `served`: it was answered with something other than "come back". */
+  release(subject: string | null, served: boolean): void {
+    this.inProgress--;
+    if (subject === null) return;
+    if (served) this.refusedBefore.delete(subject);
+    else if (this.refusedBefore.size < MAX_REFUSED_KEPT) this.refusedBefore.add(subject);
   }
 }
--- /dev/null
+++ b/src/runtime/users/submission-check.ts
@@ -0,0 +1,26 @@
+/** Whether a submitted job can ever run, by its team's limit and the machine types on offer. */
+import { canBeSpread, fitsSomeType } from '../../core/scaling/scale-out-plan.js';
+import { withinTeamLimit } from '../../core/scheduler/placement-constraints.js';
+import type { JobSpec, MachineType, TeamQuota } from '../../core/types.js';
+
+/** Undecided while the machine types are unknown. */
+export type SubmissionCheck =
+  { kind: 'runnable' } | { kind: 'undecided' } | { kind: 'never-runnable'; cause: string };
+
+const neverRunnable = (cause: string): SubmissionCheck => ({ kind: 'never-runnable', cause });
+
+/** Checks a job against its team, which may be unknown, and against all machine types. */
+export const checkSubmission = (
+  spec: JobSpec,
+  team: TeamQuota | undefined,
+  types: MachineType[],
+): SubmissionCheck => {
+  if (!team) return neverRunnable('unknown team');
+  const tasksAtOnce = spec.kind === 'array' ? 1 : spec.tasks;
+  const need = { cpus: spec.cpus * tasksAtOnce, gpus: spec.gpus * tasksAtOnce, memoryGb: 0 };
+  if (!withinTeamLimit(need, undefined, team)) return neverRunnable("more than the team's limit");
+  if (types.length === 0) return { kind: 'undecided' };
+  if (!fitsSomeType(spec, types)) return neverRunnable('a task fits no allowed machine type');
+  if (!canBeSpread(spec, types)) return neverRunnable('its tasks can not be spread over the allowed zones');
+  return { kind: 'runnable' };
+};
--- /dev/null
+++ b/src/runtime/users/user-replies.ts
@@ -0,0 +1,35 @@
+/** The replies that users get. */
+import type { JobId } from '../../core/units.js';
+import { encode } from '../../wire/cbor.js';
+import { statusBody, type StatusCounts, type UserStatus } from '../../wire/users.js';
+import type { HttpReply } from '../http/http-reply.js';
+
+const RETRY_AFTER_S = 1;
+const STATUS_OK = 200;
+const STATUS_UNAVAILABLE = 503;
+
+/** Nothing certain can be said now: the user is to come back. */
+export const unavailable = (cause: string): HttpReply => ({
+  status: STATUS_UNAVAILABLE,
+  retryAfterS: RETRY_AFTER_S,
+  refusalCause: cause,
+  body: encode({ error: cause }),
+});
+
+/** The request is refused for good. */
+export const refused = (status: number, cause: string): HttpReply => ({
+  status,
+  body: encode({ error: cause }),
+});
+
+/** The state of a job. */
+export const jobState = (
+  id: JobId,
+  state: UserStatus,
+  counts?: StatusCounts,
+  status = STATUS_OK,
+): HttpReply => ({
+  status,
+  body: encode(statusBody(id, state, counts)),
+  jobStatus: state,
+});
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -87,14 +87,14 @@
   const confirmed: string[] = [];
   const platform = { teams, keyValueStoreLimits: { valueKb: 8 } } as unknown as PlatformSettings;
   const make = (): UserApi =>
-    new UserApi(
+    new UserApi({
       platform,
-      store as unknown as KeyValueStoreClient,
-      () => machineTypes,
-      () => Promise.resolve(null),
-      (id) => confirmed.push(id),
-      known,
-    );
+      store: store as unknown as KeyValueStoreClient,
+      machineTypes: () => machineTypes,
+      taskCounts: () => Promise.resolve(null),
+      onCancellationTold: (id) => confirmed.push(id),
+      knownJobs: known,
+    });
   const call = async (api: UserApi, method: string, target: string, body?: unknown): Promise<string> => {
     const bytes = body === undefined ? Buffer.alloc(0) : encode(body);
     const reply = await api.handle({ method, target, body: bytes } as HttpMessage);
