--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -121,24 +121,24 @@
       onCancellationTold: (id) => this.cancellations.recordConfirmed(id),
       knownJobs: this.cancellations,
     });
-    this.heartbeatHandler = new HeartbeatHandler(
+    this.heartbeatHandler = new HeartbeatHandler({
       platform,
-      this.election,
-      this.links,
-      () => this.leaderLoop,
-      this.log,
-      () => this.storeAvailable(),
-      this.cancellations,
-    );
-    this.leaderlessFencing = new LeaderlessFencing(
+      election: this.election,
+      links: this.links,
+      leaderLoop: () => this.leaderLoop,
+      cancellations: this.cancellations,
+      storeAvailable: () => this.storeAvailable(),
+      log: this.log,
+    });
+    this.leaderlessFencing = new LeaderlessFencing({
       platform,
-      this.heartbeatHandler,
-      this.cancellations,
-      this.links,
-      this.cloud,
-      () => this.storeAvailable(),
-      this.log,
-    );
+      heartbeatHandler: this.heartbeatHandler,
+      cancellations: this.cancellations,
+      links: this.links,
+      cloud: this.cloud,
+      storeAvailable: () => this.storeAvailable(),
+      log: this.log,
+    });
   }
 
   start(): void {
--- a/src/runtime/peers/peer-handler.ts
+++ b/src/runtime/peers/peer-handler.ts
@@ -81,8 +81,8 @@
   }: RequestOf<'forwarded-heartbeat'>): Promise<Response<'forwarded-heartbeat'>> {
     const { election, heartbeatHandler } = this.dependencies;
     if (!election.holdsLease) return null;
-    const { status, body, quiet } = await heartbeatHandler.handleForwarded(Buffer.from(heartbeat));
-    return { status, body: body ?? Buffer.alloc(0), inSync: quiet };
+    const { status, body, inSync } = await heartbeatHandler.handleForwarded(Buffer.from(heartbeat));
+    return { status, body: body ?? Buffer.alloc(0), inSync };
   }
 
   private onUnchangedHeartbeats({
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -1,90 +1,123 @@
-// Guards against a cancelled task on a machine that hangs while nobody leads: the leader ended, and in an outage of
-// the state service none can follow it. A hanging worker heeds no stop, and does not notice the end of its lease.
+/**
+ * Guards against a cancelled task on a machine that hangs while nobody leads: the leader ended, and in an outage of
+ * the state service none can follow it. A hanging worker acts on no stop, and does not notice the end of its lease.
+ */
+import type { PlatformSettings } from '../../config/platform.js';
+import type { MachineId, MonotonicTime } from '../../core/units.js';
 import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
-import type { HeartbeatHandler } from './heartbeat-handler.js';
+import { monotonicNow } from '../clock.js';
 import type { CloudProviderClient } from '../cloud/cloud-provider-client.js';
 import type { Logger } from '../logger.js';
 import type { PeerLink } from '../peers/peer-link.js';
-import type { PlatformSettings } from '../../config/platform.js';
-import type { MachineId, MonotonicTime } from '../../core/units.js';
+import type { HeartbeatHandler } from './heartbeat-handler.js';
 
-/** Later than a leader would, were there one. */
-const OVERDUE_CANCELS = 0.6;
+/** Of the time in which a cancelled task must be gone: later than a leader would act, were there one. */
+const OVERDUE_CANCEL_FRACTION = 0.6;
+/** In multiples of the same time: older cancellations are not considered. */
+const MAX_CANCEL_AGE = 2;
 const ASK_TIMEOUT_MS = 1500;
-const MOST_RETURNED = 100;
-
-/** Within this time a controller that was ended and its workers have found one another again. */
+const MAX_FENCED_AT_ONCE = 100;
+/** Within this many leases a controller that was ended and its workers have found one another again. */
 const SETTLING_LEASES = 1.5;
 
+/** What the fencing without a leader depends on. */
+export interface LeaderlessFencingDependencies {
+  platform: PlatformSettings;
+  heartbeatHandler: HeartbeatHandler;
+  cancellations: Pick<CancellationFeed, 'learnedAtOf' | 'anyLearnedBetween'>;
+  links: PeerLink[];
+  cloud: Pick<CloudProviderClient, 'deleteMachines' | 'listMachines'>;
+  storeAvailable: () => boolean;
+  log: Logger;
+  clock?: () => MonotonicTime;
+}
+
+/** Deletes machines that may hold a cancelled task and send no heartbeats, while no leader can be reached. */
 export class LeaderlessFencing {
-  private open = false;
+  private inProgress = false;
+  private readonly clock: () => MonotonicTime;
   private readonly startedAt: MonotonicTime;
 
-  constructor(
-    private readonly platform: PlatformSettings,
-    private readonly reportHandler: HeartbeatHandler,
-    private readonly cancelled: Pick<CancellationFeed, 'learnedAtOf' | 'anyLearnedBetween'>,
-    private readonly links: PeerLink[],
-    private readonly cloud: Pick<CloudProviderClient, 'deleteMachines' | 'listMachines'>,
-    private readonly storeAvailable: () => boolean,
-    private readonly log: Logger,
-    private readonly clock: () => MonotonicTime = () => performance.now() as MonotonicTime,
-  ) {
-    this.startedAt = clock();
+  constructor(private readonly dependencies: LeaderlessFencingDependencies) {
+    this.clock = dependencies.clock ?? monotonicNow;
+    this.startedAt = this.clock();
   }
 
   /** To be called regularly. */
   async check(): Promise<void> {
     const now = this.clock();
-    if (this.open || this.reportHandler.isLeaderReachable(now)) return;
-    const { cancelS } = this.platform.workers;
-    const before = (now - cancelS * 1000 * OVERDUE_CANCELS) as MonotonicTime;
-    if (!this.cancelled.anyLearnedBetween((now - cancelS * 2000) as MonotonicTime, before)) return;
-    this.open = true;
+    if (this.inProgress || this.dependencies.heartbeatHandler.isLeaderReachable(now)) return;
+    const cancelMs = this.dependencies.platform.workers.cancelS * 1000;
+    const oldest = (now - cancelMs * MAX_CANCEL_AGE) as MonotonicTime;
+    const overdue = (now - cancelMs * OVERDUE_CANCEL_FRACTION) as MonotonicTime;
+    if (!this.dependencies.cancellations.anyLearnedBetween(oldest, overdue)) return;
+    this.inProgress = true;
     try {
-      await this.fence(this.knownToHold(before, now), await this.unheard(now));
+      await this.fence(this.holdingCancelledTasks(overdue, now), await this.neverReported(now));
     } finally {
-      this.open = false;
+      this.inProgress = false;
     }
   }
 
-  private knownToHold(before: MonotonicTime, now: MonotonicTime): MachineId[] {
-    return this.reportHandler
-      .machinesWithoutHeartbeatFor(this.platform.workers.leaseS * 1000, now)
+  /** Machines that send no heartbeats any more, and last held a task whose cancellation is overdue. */
+  private holdingCancelledTasks(overdue: MonotonicTime, now: MonotonicTime): MachineId[] {
+    const { heartbeatHandler, cancellations, platform } = this.dependencies;
+    return heartbeatHandler
+      .machinesWithoutHeartbeatFor(platform.workers.leaseS * 1000, now)
       .filter(([, tasks]) =>
-        tasks.some((t) => t.state !== 'exited' && (this.cancelled.learnedAtOf(t.job) ?? Infinity) < before),
+        tasks.some(
+          (task) => task.state !== 'exited' && (cancellations.learnedAtOf(task.job) ?? Infinity) < overdue,
+        ),
       )
       .map(([id]) => id);
   }
 
   /**
-   * Machines of which nothing is known here. What they held was told to a controller that has ended, and the roster
-   * can't be read in an outage: one that reports to nobody may hang with any task.
+   * Machines of which nothing is known here. What they held was told to a controller that has ended, and the machine
+   * registry can't be read in an outage: one that reports to nobody may hang with any task.
    */
-  private async unheard(now: MonotonicTime): Promise<MachineId[]> {
-    const settlingMs = this.platform.workers.leaseS * 1000 * SETTLING_LEASES;
-    if (this.storeAvailable() || now - this.startedAt < settlingMs) return [];
-    const listed = await this.cloud.listMachines();
-    const up = (listed ?? []).filter((m) => m.status === 'running').map((m) => m.id);
-    const heard = new Set(this.reportHandler.recentlyReporting(up));
-    return up.filter((id) => !heard.has(id));
+  private async neverReported(now: MonotonicTime): Promise<MachineId[]> {
+    const { heartbeatHandler, cloud, platform, storeAvailable } = this.dependencies;
+    const settlingMs = platform.workers.leaseS * 1000 * SETTLING_LEASES;
+    if (storeAvailable() || now - this.startedAt < settlingMs) return [];
+    const listed = await cloud.listMachines();
+    const running = (listed ?? [])
+      .filter((machine) => machine.status === 'running')
+      .map((machine) => machine.id);
+    const reporting = new Set(heartbeatHandler.recentlyReporting(running));
+    return running.filter((id) => !reporting.has(id));
   }
 
-  private async fence(known: MachineId[], unheard: MachineId[]): Promise<void> {
-    const machines = [...new Set([...known, ...unheard])].slice(0, MOST_RETURNED);
+  /** Deletes those of the machines that send heartbeats to nobody. */
+  private async fence(holdingCancelled: MachineId[], neverReported: MachineId[]): Promise<void> {
+    const { heartbeatHandler, cloud, log } = this.dependencies;
+    const machines = [...new Set([...holdingCancelled, ...neverReported])].slice(0, MAX_FENCED_AT_ONCE);
     if (machines.length === 0) return;
     // They may report to another controller by now, which tells them to stop.
-    const answers = await Promise.all(
-      this.links.map((l) => l.ask({ kind: 'recent-heartbeats', machines }, ASK_TIMEOUT_MS)),
+    const { reporting, allPeersAnswered } = await this.askPeers(machines);
+    for (const id of machines) if (reporting.has(id)) heartbeatHandler.forgetHeartbeat(id);
+    // Those that a controller out of reach may get heartbeats from are spared, unless we know that they hold such a task.
+    const silent = machines.filter(
+      (id) => !reporting.has(id) && (allPeersAnswered || holdingCancelled.includes(id)),
     );
-    const heard = new Set(answers.flatMap((answer) => answer?.machines ?? []));
-    for (const id of machines) if (heard.has(id)) this.reportHandler.forgetHeartbeat(id);
-    // Whom a controller out of reach may hear is spared, unless we know that it holds such a task.
-    const all = answers.every((answer) => answer !== null);
-    const silent = machines.filter((id) => !heard.has(id) && (all || known.includes(id)));
     if (silent.length === 0) return;
-    const ok = await this.cloud.deleteMachines(silent);
-    this.log.info({ machines: silent, ok }, 'silent with a cancelled task, and no leader: fenced');
-    if (ok) for (const id of silent) this.reportHandler.forgetHeartbeat(id);
+    const ok = await cloud.deleteMachines(silent);
+    log.info({ machines: silent, ok }, 'machines fenced without a leader');
+    if (ok) for (const id of silent) heartbeatHandler.forgetHeartbeat(id);
+  }
+
+  /** Which of the machines send heartbeats to other controllers, and whether every one of these said so. */
+  private async askPeers(
+    machines: MachineId[],
+  ): Promise<{ reporting: Set<string>; allPeersAnswered: boolean }> {
+    const answers = await Promise.all(
+      this.dependencies.links.map((link) =>
+        link.ask({ kind: 'recent-heartbeats', machines }, ASK_TIMEOUT_MS),
+      ),
+    );
+    return {
+      reporting: new Set(answers.flatMap((answer) => answer?.machines ?? [])),
+      allPeersAnswered: answers.every((answer) => answer !== null),
+    };
   }
 }
--- a/src/runtime/workers/worker-client.ts
+++ b/src/runtime/workers/worker-client.ts
@@ -1,12 +1,12 @@
-// Orders sent straight to workers, over a bounded number of connections.
-import { HttpClient, type HttpResult } from '../http/http-client.js';
+/** Direct commands to workers, over a bounded number of connections. */
 import { parseAddress } from '../../config/address.js';
 import type { Endpoint } from '../../core/units.js';
+import { HttpClient, type HttpResult } from '../http/http-client.js';
 
 const MAX_IDLE_MS = 10_000;
-const MAX_BODY = 1 << 20;
+const MAX_BODY_BYTES = 1 << 20;
 
-interface Line {
+interface WorkerConnection {
   client: HttpClient;
   busy: boolean;
 }
@@ -14,50 +14,54 @@
 /**
  * One connection for each worker lately talked to. Guards against a leader of many machines that runs out of
  * sockets, and can then neither renew its lease nor be reached: beyond the budget the longest unused is closed, and
- * when all are busy the order is not sent; it goes with the answer to the worker's next report.
+ * when all are busy the command is not sent; it goes with the answer to the worker's next heartbeat.
  */
 export class WorkerClient {
   /** In the order of their last use. */
-  private readonly lines = new Map<Endpoint, Line>();
+  private readonly connections = new Map<Endpoint, WorkerConnection>();
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly maxConnections: number) {}
 
+  /** Sends one request to a worker. */
   async request(endpoint: Endpoint, target: string, body: Buffer, timeoutMs: number): Promise<HttpResult> {
-    const line = this.lineTo(endpoint);
-    if (!line) return { ok: false, cause: 'all connections to workers are in use', sent: false };
-    line.busy = true;
-    const r = await line.client.request('POST', target, body, timeoutMs);
-    line.busy = false;
-    return r;
+    const connection = this.connectionTo(endpoint);
+    if (!connection) return { ok: false, cause: 'all connections to workers are in use', sent: false };
+    connection.busy = true;
+    const result = await connection.client.request('POST', target, body, timeoutMs);
+    connection.busy = false;
+    return result;
   }
 
+  /** The number of connections that are kept. */
   get connectionCount(): number {
-    return this.lines.size;
+    return this.connections.size;
   }
 
+  /** Closes all connections that are not in use. */
   close(): void {
-    for (const { client } of this.lines.values()) client.close();
-    this.lines.clear();
+    for (const { client } of this.connections.values()) client.close();
+    this.connections.clear();
   }
 
-  private lineTo(endpoint: Endpoint): Line | null {
-    const known = this.lines.get(endpoint);
+  private connectionTo(endpoint: Endpoint): WorkerConnection | null {
+    const known = this.connections.get(endpoint);
     if (known) {
-      this.lines.delete(endpoint);
-      this.lines.set(endpoint, known);
+      this.connections.delete(endpoint);
+      this.connections.set(endpoint, known);
       return known;
     }
-    if (this.lines.size >= this.most && !this.dropUnused()) return null;
-    const line = { client: new HttpClient(parseAddress(endpoint), 1, MAX_IDLE_MS, MAX_BODY), busy: false };
-    this.lines.set(endpoint, line);
-    return line;
+    if (this.connections.size >= this.maxConnections && !this.closeLongestUnused()) return null;
+    const client = new HttpClient(parseAddress(endpoint), 1, MAX_IDLE_MS, MAX_BODY_BYTES);
+    const connection = { client, busy: false };
+    this.connections.set(endpoint, connection);
+    return connection;
   }
 
-  private dropUnused(): boolean {
-    for (const [endpoint, { client, busy }] of this.lines) {
+  private closeLongestUnused(): boolean {
+    for (const [endpoint, { client, busy }] of this.connections) {
       if (busy) continue;
       client.close();
-      this.lines.delete(endpoint);
+      this.connections.delete(endpoint);
       return true;
     }
     return false;
--- a/src/test/heartbeat-handler.test.ts
+++ b/src/test/heartbeat-handler.test.ts
@@ -40,27 +40,27 @@
       return Promise.resolve({ status: 200, body: encode({ reins: 3, calls: [] }) });
     },
   } as unknown as PeerLink;
-  const membership = {
+  const leaderElection = {
     electionState: election,
     holdsLease: false,
     hasAuthority: false,
   } as unknown as LeaderElection;
   const platform = { zone: 'east', workers, limits: { cpu: 0.25 } } as unknown as PlatformSettings;
   const log = new Logger('test', 'error');
-  const reportHandler = new HeartbeatHandler(
+  const heartbeatHandler = new HeartbeatHandler({
     platform,
-    membership,
-    [link],
-    () => null,
-    log,
-    () => world.stateOk,
-    {
+    election: leaderElection,
+    links: [link],
+    leaderLoop: () => null,
+    cancellations: {
       has: (job) => cancelled.jobs.has(job),
       mayRenewLeases: (now) =>
         now <= cancelled.provenUntil + renewalWindowMs(workers.cancelS, workers.leaseS),
     },
-    () => world.now as MonotonicTime,
-  );
+    storeAvailable: () => world.stateOk,
+    log,
+    clock: () => world.now as MonotonicTime,
+  });
   const report = async (zone: string, reins = 3, hands: unknown[] = []): Promise<string> => {
     const body = {
       stall: 'host-1',
@@ -73,10 +73,10 @@
       reins,
       hands,
     };
-    const reply = await reportHandler.handle(encode(body));
+    const reply = await heartbeatHandler.handle(encode(body));
     return `${reply.status} ${JSON.stringify(reply.body ? decode(reply.body) : null)}`;
   };
-  return { world, cancelled, reportHandler, report };
+  return { world, cancelled, heartbeatHandler, report };
 };
 
 test('heartbeats are forwarded to the leader; a worker of another zone is redirected to its own once', async () => {
@@ -96,8 +96,8 @@
 });
 
 test('without key-value store and peers, a worker is redirected, and its lease renewed only if no one else accepts it', async () => {
-  const { world, reportHandler, report } = follower();
-  reportHandler.recordLeaderSeen();
+  const { world, heartbeatHandler, report } = follower();
+  heartbeatHandler.recordLeaderSeen();
   world.linked = false;
   world.stateOk = false;
   assert.equal(await report('east'), '421 {}');
@@ -107,8 +107,8 @@
 
 test('connections between controllers refused: workers are redirected to the leader', async () => {
   // Found on the bench: followers kept them alive until the window ended, and the leader fenced half the fleet.
-  const { world, reportHandler, report } = follower();
-  reportHandler.recordLeaderSeen();
+  const { world, heartbeatHandler, report } = follower();
+  heartbeatHandler.recordLeaderSeen();
   world.linked = false;
   assert.equal(await report('east'), '200 {"reins":3,"calls":[]}', 'behind a cut they stay');
   world.refuses = true;
@@ -117,18 +117,18 @@
 });
 
 test('a restarted controller renews leases by what its peers know of the leader', async () => {
-  const { world, reportHandler, report } = follower();
+  const { world, heartbeatHandler, report } = follower();
   world.linked = false;
   assert.equal(await report('east'), '503 {}', 'nobody knows when there was a leader');
-  reportHandler.recordLeaderSeen(3000);
-  assert.equal(reportHandler.leaderSeenAgoMs, 3000);
+  heartbeatHandler.recordLeaderSeen(3000);
+  assert.equal(heartbeatHandler.leaderSeenAgoMs, 3000);
   assert.equal(await report('east'), '200 {"reins":3,"calls":[]}');
 });
 
 test('partitioned from the leader, leases are renewed from its last heartbeat on, for a bounded time', async () => {
   // Found on the bench: the time was counted from the last report seen here, and there had been none.
-  const { world, reportHandler, report } = follower();
-  reportHandler.recordLeaderSeen();
+  const { world, heartbeatHandler, report } = follower();
+  heartbeatHandler.recordLeaderSeen();
   world.linked = false;
   const windowMs = (workers.cancelS - workers.leaseS - 2 * workers.heartbeatIntervalS - 4) * 1000;
   world.now += windowMs - 1;
@@ -219,16 +219,17 @@
   } as unknown as PeerLink;
   const election = initialElectionState();
   recordLeader(election, 'stable-1' as NodeName, term);
-  const reportHandler = new HeartbeatHandler(
-    { zone: 'east', workers, limits: { cpu: 0.25 } } as unknown as PlatformSettings,
-    { electionState: election, holdsLease: false, hasAuthority: false } as unknown as LeaderElection,
-    [link],
-    () => null,
-    new Logger('test', 'error'),
-    () => true,
-    { has: () => false, mayRenewLeases: () => true },
-    () => world.now as MonotonicTime,
-  );
+  const leaderElection = { electionState: election, holdsLease: false, hasAuthority: false };
+  const heartbeatHandler = new HeartbeatHandler({
+    platform: { zone: 'east', workers, limits: { cpu: 0.25 } } as unknown as PlatformSettings,
+    election: leaderElection as unknown as LeaderElection,
+    links: [link],
+    leaderLoop: () => null,
+    cancellations: { has: () => false, mayRenewLeases: () => true },
+    storeAvailable: () => true,
+    log: new Logger('test', 'error'),
+    clock: () => world.now as MonotonicTime,
+  });
   const report = async (tally: number, over: Record<string, unknown> = {}): Promise<string> => {
     world.now += 2000;
     asked.length = 0;
@@ -244,7 +245,7 @@
       hands: [],
       ...over,
     };
-    assert.equal((await reportHandler.handle(encode(body))).status, 200);
+    assert.equal((await heartbeatHandler.handle(encode(body))).status, 200);
     await new Promise((resolve) => setImmediate(resolve));
     mock.timers.tick(250);
     await new Promise((resolve) => setImmediate(resolve));
