--- a/src/runtime/users/submission-check.ts
+++ b/src/runtime/users/submission-check.ts
@@ -1,5 +1,5 @@
 /** Whether a submitted job can ever run, by its team's limit and the machine types on offer. */
-import { canBeSpread, fitsSomeType } from '../../core/scaling/scale-out-plan.js';
+import { canBeSpread, fitsSomeType } from '../../core/scheduler/job-feasibility.js';
 import { withinTeamLimit } from '../../core/scheduler/placement-constraints.js';
 import type { JobSpec, MachineType, TeamQuota } from '../../core/types.js';
 
