--- a/src/test/sim/scheduling-cycle-fixtures.ts
+++ b/src/test/sim/scheduling-cycle-fixtures.ts
@@ -34,7 +34,7 @@
     types.find((t) => t.name === type),
     now,
   );
-  machine.up = machine.reconciled = true;
+  machine.contact = 'reconciled';
   return machine;
 };
 
--- a/src/test/sim/simulated-worker-link.ts
+++ b/src/test/sim/simulated-worker-link.ts
@@ -105,7 +105,7 @@
       leader.onDirectCommandResult(
         effect.machine,
         effect.commands,
-        { kind, report },
+        { kind, heartbeat: report },
         this.simulation.monotonicNow,
       );
     });
