--- a/src/runtime/users/user-request-handler.ts
+++ b/src/runtime/users/user-request-handler.ts
@@ -1,8 +1,8 @@
 /** Users' requests as they come from outside: admitted, answered here or by a peer, and counted. */
 import type { PeerResponses } from '../../wire/peer-messages.js';
 import { monotonicNow } from '../clock.js';
-import type { HttpMessage } from '../http/http-parser.js';
-import type { HttpReply } from '../http/http-server.js';
+import type { HttpMessage } from '../http/http-message.js';
+import type { HttpReply } from '../http/http-reply.js';
 import type { Logger } from '../logger.js';
 import type { PeerLink } from '../peers/peer-link.js';
 import type { RequestLatency } from '../request-latency.js';
