--- a/src/runtime/http/http-client.ts
+++ b/src/runtime/http/http-client.ts
@@ -1,6 +1,7 @@
 /** An HTTP/1.1 client for one address. */
 import { connect, type Socket } from 'node:net';
 import type { Address } from '../../config/address.js';
+import { monotonicNow } from '../clock.js';
 import { HttpParser } from './http-parser.js';
 import type { HttpMessage } from './http-message.js';
 
@@ -35,7 +36,7 @@
   /** Sends one request, at once or not at all; after `timeoutMs` its connection is dropped. */
   request(method: string, target: string, body: Buffer | null, timeoutMs: number): Promise<HttpResult> {
     return new Promise((resolve) => {
-      const connection = this.take();
+      const connection = this.takeConnection();
       if (!connection) {
         resolve({ ok: false, cause: 'all connections are in use', sent: false });
         return;
@@ -68,17 +69,17 @@
     return body ? Buffer.concat([headBytes, body]) : headBytes;
   }
 
-  private take(): ClientConnection | null {
-    const now = performance.now();
+  private takeConnection(): ClientConnection | null {
+    const now = monotonicNow();
     for (let connection = this.idle.pop(); connection; connection = this.idle.pop()) {
       // A connection that idled for long may have been dropped by the other side without a sign.
       if (!connection.socket.destroyed && now - connection.idleSince <= this.maxIdleMs) return connection;
       connection.socket.destroy();
     }
-    return this.open < this.maxOpen ? this.dial() : null;
+    return this.open < this.maxOpen ? this.openConnection() : null;
   }
 
-  private dial(): ClientConnection {
+  private openConnection(): ClientConnection {
     const socket = connect({ host: this.address.host, port: this.address.port, noDelay: true });
     const connection: ClientConnection = {
       socket,
@@ -126,7 +127,7 @@
       socket.destroy();
       return false;
     }
-    if (keepAlive) connection.idleSince = performance.now();
+    if (keepAlive) connection.idleSince = monotonicNow();
     settle({ ok: true, status, body });
     if (keepAlive) this.idle.push(connection);
     else socket.destroy();
--- a/src/runtime/workers/last-heartbeats.ts
+++ b/src/runtime/workers/last-heartbeats.ts
@@ -24,8 +24,8 @@
 
   /** Machines whose last heartbeat is at least this old. */
   olderThan(ageMs: number, now: MonotonicTime): MachineTasks[] {
-    const silent = [...this.byMachine].filter(([, last]) => now - last.receivedAt >= ageMs);
-    return silent.map(([id, last]) => [id, last.tasks]);
+    const outdated = [...this.byMachine].filter(([, last]) => now - last.receivedAt >= ageMs);
+    return outdated.map(([id, last]) => [id, last.tasks]);
   }
 
   /** Whether a heartbeat of the machine arrived after this time. */
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -97,13 +97,13 @@
     const { reporting, allPeersAnswered } = await this.askPeers(machines);
     for (const id of machines) if (reporting.has(id)) heartbeatHandler.forgetHeartbeat(id);
     // Those that a controller out of reach may get heartbeats from are spared, unless we know that they hold such a task.
-    const silent = machines.filter(
+    const unreachable = machines.filter(
       (id) => !reporting.has(id) && (allPeersAnswered || holdingCancelled.includes(id)),
     );
-    if (silent.length === 0) return;
-    const ok = await cloud.deleteMachines(silent);
-    log.info({ machines: silent, ok }, 'machines fenced without a leader');
-    if (ok) for (const id of silent) heartbeatHandler.forgetHeartbeat(id);
+    if (unreachable.length === 0) return;
+    const ok = await cloud.deleteMachines(unreachable);
+    log.info({ machines: unreachable, ok }, 'machines fenced without a leader');
+    if (ok) for (const id of unreachable) heartbeatHandler.forgetHeartbeat(id);
   }
 
   /** Which of the machines send heartbeats to other controllers, and whether every one of these said so. */
