--- a/src/runtime/public-router.ts
+++ b/src/runtime/public-router.ts
@@ -1,8 +1,8 @@
 /** Requests on the public address: workers' heartbeats, the load balancer's health checks, and users. */
 import { monotonicNow } from './clock.js';
 import type { HealthCheck } from './health-check.js';
-import type { HttpMessage } from './http/http-parser.js';
-import type { HttpReply } from './http/http-server.js';
+import type { HttpMessage } from './http/http-message.js';
+import type { HttpReply } from './http/http-reply.js';
 import type { Logger } from './logger.js';
 import type { RequestLatency } from './request-latency.js';
 import type { UserRequestHandler } from './users/user-request-handler.js';
--- a/src/test/sim/http-server.ts
+++ b/src/test/sim/http-server.ts
@@ -2,7 +2,8 @@
 import { createServer } from 'node:net';
 import type { SimulatedHost } from './simulated-host.js';
 import { parseAddress } from '../../config/address.js';
-import { HttpParser, type HttpMessage } from '../../runtime/http/http-parser.js';
+import { HttpParser } from '../../runtime/http/http-parser.js';
+import type { HttpMessage } from '../../runtime/http/http-message.js';
 import { decode, encode } from '../../wire/cbor.js';
 
 /** What a stand-in answers; the body is encoded as CBOR. */
