--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -15,7 +15,7 @@
   share?: number;
 }
 
-/** What the state service takes: requests and changes a second, the size of a value, changes in a transaction. */
+/** What the key-value store takes: requests and changes a second, the size of a value, changes in a transaction. */
 export interface KeyValueStoreLimits {
   rps: number;
   writeRps: number;
--- a/src/runtime/cloud/machine-type-catalog.ts
+++ b/src/runtime/cloud/machine-type-catalog.ts
@@ -1,4 +1,4 @@
-/** The machine types: from the cloud, or while it doesn't answer, from what a leader has kept in the state service. */
+/** The machine types: from the cloud, or while it doesn't answer, from a leader's copy in the key-value store. */
 import type { KeyValueStoreLimits } from '../../config/platform.js';
 import type { MachineType } from '../../core/types.js';
 import {
--- a/src/runtime/http/http-server.ts
+++ b/src/runtime/http/http-server.ts
@@ -99,7 +99,7 @@
     const handling = this.state === 'handling';
     this.state = 'ending';
     this.context.log.rateLimited('bad-request', 'debug', { status, cause }, 'malformed request refused');
-    // The reply to a request in progress would come after ours: the connection ends without either.
+    // A reply now would be taken for that of the request in progress: the connection ends without either.
     if (handling) this.socket.destroy();
     else this.socket.end(renderReply({ status }, false));
   }
--- a/src/runtime/http/socket-budget.ts
+++ b/src/runtime/http/socket-budget.ts
@@ -1,6 +1,6 @@
 /** One budget of sockets for all uses, derived from the platform's limit: no use can take what another needs. */
 
-/** Files of the process itself, state service (calls, watches, lease), cloud, and some to spare. */
+/** Files of the process itself, key-value store (calls, watches, lease), cloud, and some to spare. */
 const OWN_FILES = 80;
 /** Each peer dials us, we dial it, and old connections linger behind a cut. */
 const SOCKETS_PER_PEER = 4;
--- a/src/runtime/users/job-lookup.ts
+++ b/src/runtime/users/job-lookup.ts
@@ -7,7 +7,7 @@
 
 const MAX_FINAL_RECORDS_KEPT = 20_000;
 
-/** What the state service says of a job. */
+/** What the key-value store says of a job. */
 export type JobLookupResult =
   | { kind: 'active'; record: JobRecord; revision: Revision }
   | { kind: 'final'; record: FinalRecord }
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -1,5 +1,5 @@
 /**
- * Users' requests. Any controller takes them: the job's record in the state service is the truth, and nothing is told
+ * Users' requests. Any controller takes them: the job's record in the key-value store is the truth, and nothing is told
  * to a user that it doesn't hold.
  */
 import type { PlatformSettings } from '../../config/platform.js';
@@ -173,8 +173,8 @@
   }
 
   /**
-   * Guards against a record from before a limit on values was lowered, which could not be written again: a cancelled job
-   * starts nowhere any more, so the list of its types, alone of unbounded length, may go.
+   * Guards against a record from before a limit on values was lowered, which could not be written again: a cancelled
+   * job starts nowhere any more, so the list of its types, alone of unbounded length, may go.
    */
   private cancelledRecord(record: JobRecord): JobRecord {
     const cancelled = { ...record, cancelledAt: wallClockNow() };
--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -81,19 +81,19 @@
   }
 
   /**
-   * A leader was heard of, by us now or by a peer some time ago: the renewal of leases without a leader is bounded from
-   * here. What a peer knows is all that a controller has that was just restarted.
+   * A leader was known to exist, to us now or to a peer some time ago: the renewal of leases without a leader is
+   * bounded from here. What a peer knows is all that a controller has that was just restarted.
    */
   recordLeaderSeen(agoMs = 0): void {
     this.leaderlessRenewal.recordLeaderSeen(this.clock() - agoMs);
   }
 
-  /** How long ago a leader was last heard of; null if never. */
+  /** How long ago a leader was last known to exist; null if never. */
   get leaderSeenAgoMs(): number | null {
     return this.leaderlessRenewal.leaderSeenAgoMs(this.clock());
   }
 
-  /** Whether workers reach this controller themselves; a cut may spare the peers and the state service. */
+  /** Whether workers reach this controller themselves; a partition may spare the links to peers and store. */
   get receivesHeartbeats(): boolean {
     const toleratedMs = this.dependencies.platform.workers.heartbeatIntervalS * 1000 * MISSED_INTERVALS;
     return this.clock() - this.lastDirectHeartbeatAt < toleratedMs + MISSED_MARGIN_MS;
@@ -167,8 +167,8 @@
   }
 
   /**
-   * Connections between controllers are refused, but the state service says who leads: the worker reports there
-   * itself. Not behind a cut, which answers nothing: there the move would cost the worker its lease.
+   * Connections between controllers are refused, but the key-value store says who leads: the worker reports there
+   * itself. Not behind a partition, which answers nothing: there the move would cost the worker its lease.
    */
   private leaderRefusingConnections(now: MonotonicTime): PeerLink | null {
     const { leader } = this.dependencies.election.electionState;
--- a/src/runtime/workers/last-heartbeats.ts
+++ b/src/runtime/workers/last-heartbeats.ts
@@ -10,7 +10,7 @@
 /** A machine, and the tasks that its last heartbeat named. */
 export type MachineTasks = [machine: MachineId, tasks: Heartbeat['tasks']];
 
-/** Remembers when machines were last heard from, and what they held. */
+/** Remembers when machines sent their last heartbeats, and which tasks these named. */
 export class LastHeartbeats {
   private readonly byMachine = new Map<MachineId, LastHeartbeat>();
 
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -1,6 +1,6 @@
 /**
  * Guards against a cancelled task on a machine that hangs while nobody leads: the leader ended, and in an outage of
- * the state service none can follow it. A hanging worker acts on no stop, and does not notice the end of its lease.
+ * the key-value store none can follow it. A hanging worker acts on no stop, and does not notice the end of its lease.
  */
 import type { PlatformSettings } from '../../config/platform.js';
 import type { MachineId, MonotonicTime } from '../../core/units.js';
@@ -96,7 +96,8 @@
     // They may report to another controller by now, which tells them to stop.
     const { reporting, allPeersAnswered } = await this.askPeers(machines);
     for (const id of machines) if (reporting.has(id)) heartbeatHandler.forgetHeartbeat(id);
-    // Those that a controller out of reach may get heartbeats from are spared, unless we know that they hold such a task.
+    // Those that a controller out of reach may get heartbeats from are spared, unless they are known to hold such a
+    // task.
     const unreachable = machines.filter(
       (id) => !reporting.has(id) && (allPeersAnswered || holdingCancelled.includes(id)),
     );
--- a/src/runtime/workers/leaderless-renewal.ts
+++ b/src/runtime/workers/leaderless-renewal.ts
@@ -61,10 +61,10 @@
   private decide(heartbeat: Heartbeat, now: MonotonicTime): HeartbeatResult {
     const { cancellations, storeAvailable, redirection, election } = this.dependencies;
     if (!cancellations.mayRenewLeases(now)) return unavailable();
-    // Served by the state service, and yet no leader for long: the worker may well reach it where we can't.
+    // The key-value store answers, and yet no leader for long: the worker may well reach one where we can't.
     if (storeAvailable() && now - this.leaderSeenAt > this.windowMs) return unavailable();
-    // Cut off from everybody but the workers: another controller may lead, and they can reach it. If none answers
-    // them they come back, and their leases are renewed.
+    // Partitioned from everybody but the workers: another controller may lead, and they can reach it. If none
+    // answers them they come back, and their leases are renewed.
     if (this.isIsolated(now) && redirection.tryClaimRedirect(heartbeat.id, now)) return redirected(null);
     const term = highestKnownTerm(election.electionState);
     // A token above ours: another controller has a newer leader. A worker that comes back has found none, and is
--- a/src/runtime/workers/worker-redirection.ts
+++ b/src/runtime/workers/worker-redirection.ts
@@ -32,7 +32,7 @@
   }
 
   /**
-   * A controller in the worker's own zone, if workers do reach it. When the zones are cut apart, the worker is then
+   * A controller in the worker's own zone, if workers do reach it. When the zones are partitioned, the worker is then
    * already where its lease can be renewed: trying the others one by one could outlast it.
    */
   closerController(heartbeat: Heartbeat, now: MonotonicTime): PeerLink | null {
