--- a/src/test/cancellations.test.ts
+++ b/src/test/cancellations.test.ts
@@ -1,3 +1,4 @@
+/** Cancellation logs and proofs of coverage between controllers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CancellationLog, renewalWindowMs, type Incarnation } from '../core/cancellation-log.js';
--- a/src/test/cloud-request-budget.test.ts
+++ b/src/test/cloud-request-budget.test.ts
@@ -1,3 +1,4 @@
+/** Which requests take precedence in the cloud provider's request budget. */
 import assert from 'node:assert/strict';
 import { createServer, type AddressInfo } from 'node:net';
 import { test } from 'node:test';
--- a/src/test/decision-log.test.ts
+++ b/src/test/decision-log.test.ts
@@ -1,4 +1,4 @@
-// The log tells what became of each attempt of a task, and why.
+/** The log tells what became of each attempt of a task, and why. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FETCH_MS, LeaderHarness } from './sim/leader-harness.js';
--- a/src/test/dense-faults.test.ts
+++ b/src/test/dense-faults.test.ts
@@ -1,28 +1,30 @@
-// Troubles of all kinds, three at a time and without quiet between, meet pipelines, cancellations and short jobs. The seed
-// is in each test's name; DENSE_FAULT_SEEDS=FIRST-LAST plays other days than those kept here.
+/**
+ * Three faults of all kinds at a time, without pause, during pipelines, cancellations and short jobs. The seed is in each
+ * test's name; DENSE_FAULT_SEEDS=FIRST-LAST runs other seeds than those kept here.
+ */
 import { test } from 'node:test';
 import { submitPipelines } from './sim/pipeline-scenarios.js';
 import { assertScenarioPasses, submitMixedWork, type Scenario } from './sim/scenario.js';
 import { allFaults, pickRandom } from './sim/faults.js';
 import type { JobId, Team } from '../core/units.js';
 
-/** The last three broke ran_cancelled before fences kept cancel_s over changes of leader. */
+/** Guards against ran_cancelled: the last three seeds need fences that keep cancel_s over failovers. */
 const KEPT_SEEDS = [1, 2, 112, 220, 227];
 const [first, last] = (process.env['DENSE_FAULT_SEEDS'] ?? '').split('-').filter(Boolean).map(Number);
 const seeds =
   first === undefined || last === undefined
     ? KEPT_SEEDS
     : Array.from({ length: last - first + 1 }, (_item, i) => first + i);
-const BEGIN_MS = 25_000;
-const TROUBLES_MS = 110_000;
-const LONGEST_MS = 45_000;
-const AT_ONCE = 3;
-const SHORT_JOBS = 60;
+const FAULTS_START_MS = 25_000;
+const FAULTS_DURATION_MS = 110_000;
+const LONGEST_FAULT_MS = 45_000;
+const FAULTS_AT_ONCE = 3;
+const SHORT_JOB_COUNT = 60;
 
-/** Short jobs all the while; a quarter of them is cancelled, many at about the time of their end. */
+/** Short jobs throughout; a quarter of them is cancelled, many at about the time of their end. */
 const shortJobs = (scenario: Scenario, jobs: JobId[]): void => {
-  for (let i = 0; i < SHORT_JOBS; i++)
-    scenario.cluster.at(10_000 + scenario.random() * (BEGIN_MS + TROUBLES_MS), () => {
+  for (let i = 0; i < SHORT_JOB_COUNT; i++)
+    scenario.cluster.at(10_000 + scenario.random() * (FAULTS_START_MS + FAULTS_DURATION_MS), () => {
       const kind = scenario.random() < 0.7 ? 'array' : 'gang';
       const team = (scenario.random() < 0.5 ? 'blue' : 'green') as Team;
       const runMs = 1000 + scenario.random() * 12_000;
@@ -39,29 +41,40 @@
     });
 };
 
-const denseTroubles = (scenario: Scenario, jobs: JobId[]): void => {
+const denseFaults = (scenario: Scenario, jobs: JobId[]): void => {
   const names = Object.keys(allFaults);
-  for (let atMs = BEGIN_MS; atMs < BEGIN_MS + TROUBLES_MS; atMs += 3000 + scenario.random() * 12_000)
-    for (let i = 0; i < AT_ONCE; i++) {
+  for (
+    let atMs = FAULTS_START_MS;
+    atMs < FAULTS_START_MS + FAULTS_DURATION_MS;
+    atMs += 3000 + scenario.random() * 12_000
+  )
+    for (let i = 0; i < FAULTS_AT_ONCE; i++) {
       const name = pickRandom(scenario, names)!;
-      const forMs = 2000 + scenario.random() * (LONGEST_MS - 2000);
-      scenario.cluster.at(Math.min(atMs + scenario.random() * 2000, BEGIN_MS + TROUBLES_MS), () => {
-        scenario.cluster.addNote(`${name} for ${Math.round(forMs / 1000)} s`);
-        allFaults[name](scenario, forMs, jobs);
-      });
+      const forMs = 2000 + scenario.random() * (LONGEST_FAULT_MS - 2000);
+      scenario.cluster.at(
+        Math.min(atMs + scenario.random() * 2000, FAULTS_START_MS + FAULTS_DURATION_MS),
+        () => {
+          scenario.cluster.addNote(`${name} for ${Math.round(forMs / 1000)} s`);
+          allFaults[name](scenario, forMs, jobs);
+        },
+      );
     }
 };
 
 for (const seed of seeds) {
   test(`dense faults with pipelines and cancellations, seed ${seed}`, () =>
     assertScenarioPasses(
-      { seeds: [seed], faultsEndMs: BEGIN_MS + TROUBLES_MS + LONGEST_MS + 10_000, endMs: 500_000 },
+      {
+        seeds: [seed],
+        faultsEndMs: FAULTS_START_MS + FAULTS_DURATION_MS + LONGEST_FAULT_MS + 10_000,
+        endMs: 500_000,
+      },
       (scenario) => {
         const jobs: JobId[] = [];
         scenario.cluster.at(10_000, () => jobs.push(...submitMixedWork(scenario)));
         shortJobs(scenario, jobs);
         submitPipelines(scenario, 10);
-        denseTroubles(scenario, jobs);
+        denseFaults(scenario, jobs);
       },
     ));
 }
--- a/src/test/dependencies.test.ts
+++ b/src/test/dependencies.test.ts
@@ -1,4 +1,4 @@
-// Dependencies between jobs, as the leader keeps them: against a plain model on random graphs, and rule by rule.
+/** Dependencies between jobs, as the leader keeps them: against a reference model on random graphs, and rule by rule. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -129,24 +129,24 @@
 
 test('a pipeline that cannot meet its deadline is logged when that changes, and when it can again', () => {
   const { state, learn, finish } = setup();
-  const lateness = new DeadlinePredictor(state);
+  const predictor = new DeadlinePredictor(state);
   const messages = (): string[] =>
     state.takeEffects().flatMap((effect) => (effect.kind === 'log' ? [effect.text] : []));
-  const look = (atS: number): string[] => {
-    lateness.update((atS * 1000) as MonotonicTime, (atS * 1000) as WallTime);
+  const update = (atS: number): string[] => {
+    predictor.update((atS * 1000) as MonotonicTime, (atS * 1000) as WallTime);
     return messages();
   };
   learn(idOf(1), { estimateS: 30 });
   learn(idOf(2), { estimateS: 30, dependsOn: [idOf(1)] });
   const last = learn(idOf(3), { estimateS: 10, dependsOn: [idOf(2)], deadlineS: 100 });
   messages();
-  assert.deepEqual(look(20), [], '20 + 30 + 30 + 10 s: in time');
-  assert.deepEqual(look(40), ['job will miss its deadline']);
+  assert.deepEqual(update(20), [], '20 + 30 + 30 + 10 s: in time');
+  assert.deepEqual(update(40), ['job will miss its deadline']);
   assert.equal(last.predictedLateS, 10);
-  assert.deepEqual(look(50), [], 'said once');
+  assert.deepEqual(update(50), [], 'said once');
   finish(idOf(1), 'done');
   messages();
-  assert.deepEqual(look(55), ['job is in time again']);
+  assert.deepEqual(update(55), ['job is in time again']);
 });
 
 interface Model {
--- a/src/test/fault-combinations-cancellation.test.ts
+++ b/src/test/fault-combinations-cancellation.test.ts
@@ -1,4 +1,4 @@
-// Meetings of troubles with cancellations: named as the operators name them. Whole controllers on virtual time.
+/** Combinations of faults with cancellations, on whole controllers. */
 import { test } from 'node:test';
 import { FAULTS_AT_MS, LONG_OUTAGE_MS, cancelWhileMachinesHang } from './sim/cancellation-scenarios.js';
 import { assertScenarioPasses, startMixedWork } from './sim/scenario.js';
--- a/src/test/fault-combinations-delayed-commands.test.ts
+++ b/src/test/fault-combinations-delayed-commands.test.ts
@@ -1,4 +1,4 @@
-// Meetings of late commands and of users who look closely. Whole controllers on virtual time.
+/** Direct commands executed late, and users who query all controllers at once; on whole controllers. */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 import { delayDirectCommands, usersQueryAllControllers } from './sim/fault-scenarios.js';
--- a/src/test/fault-combinations-leader.test.ts
+++ b/src/test/fault-combinations-leader.test.ts
@@ -1,4 +1,4 @@
-// More meetings of two troubles, around changes of leader, named as the operators name them. Whole controllers on virtual time.
+/** Combinations of two faults around failovers, on whole controllers. */
 import { test } from 'node:test';
 import {
   EARLY_FAULTS_AT_MS,
@@ -19,7 +19,7 @@
         scenario.submit({ kind: 'gang', tasks: 2 + (i % 2) }, 30_000 + 2000 * i);
       }
     });
-    // Some tasks end just then, others later: their machines are not heard for a while.
+    // Some tasks end just then, others later: their machines send no heartbeats for a while.
     for (const atMs of [44_000, 52_000]) {
       scenario.cluster.at(atMs - 1000, () => {
         for (const workerHost of workerHosts(scenario)) if (scenario.random() < 0.4) workerHost.hang(6000);
--- a/src/test/fault-combinations-pipeline-cancellation.test.ts
+++ b/src/test/fault-combinations-pipeline-cancellation.test.ts
@@ -1,4 +1,4 @@
-// Jobs that others depend on are cancelled while troubles meet: whole controllers on virtual time.
+/** Dependencies are cancelled during combinations of faults, on whole controllers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FAULTS_AT_MS, LONG_OUTAGE_MS } from './sim/cancellation-scenarios.js';
@@ -34,9 +34,11 @@
       () => (jobs = [submitDiamond(scenario, 90_000), submitDiamond(scenario, 90_000)].flat()),
     );
     scenario.cluster.at(FAULTS_AT_MS, () => {
-      const cut = scenario.cluster.controllers.find((controller) => controller !== scenario.cluster.leader)!;
-      scenario.cluster.isolateFromPeers(cut, 'hold', 50_000);
-      scenario.cluster.isolateFromKeyValueStore(cut, 50_000);
+      const isolated = scenario.cluster.controllers.find(
+        (controller) => controller !== scenario.cluster.leader,
+      )!;
+      scenario.cluster.isolateFromPeers(isolated, 'hold', 50_000);
+      scenario.cluster.isolateFromKeyValueStore(isolated, 50_000);
     });
     scenario.cluster.at(FAULTS_AT_MS + 1000, () => scenario.cluster.cancel(jobs[0]));
     scenario.cluster.at(FAULTS_AT_MS + 52_000, () => scenario.cluster.cancel(jobs[4]));
@@ -55,7 +57,7 @@
       });
   }));
 
-const cancelledAtTheEnd = (scenario: Scenario): void => {
+const cancelAtCompletion = (scenario: Scenario): void => {
   scenario.cluster.checker.onJobCompleted = (id) =>
     scenario.cluster.at(scenario.cluster.now + scenario.random() * 300, () => scenario.cluster.cancel(id));
   for (let i = 0; i < 8; i++)
@@ -66,12 +68,12 @@
 };
 
 test('jobs are cancelled as their last task ends: their dependents continue, or are cancelled with them', () =>
-  assertScenarioPasses({ ...times, seeds: [1, 2, 3, 4] }, cancelledAtTheEnd));
+  assertScenarioPasses({ ...times, seeds: [1, 2, 3, 4] }, cancelAtCompletion));
 
 test('a dependent of a job that was done when it was cancelled runs', async () => {
   let ran = 0;
   for (const seed of [1, 2, 3]) {
-    const { cluster } = await runScenario(seed, times, cancelledAtTheEnd);
+    const { cluster } = await runScenario(seed, times, cancelAtCompletion);
     for (const [id, user] of cluster.users)
       if (
         user.spec.dependsOn.length > 0 &&
--- a/src/test/fault-combinations-pipelines.test.ts
+++ b/src/test/fault-combinations-pipelines.test.ts
@@ -1,4 +1,4 @@
-// Pipelines of dependent jobs while troubles meet: whole controllers on virtual time.
+/** Pipelines of dependent jobs during combinations of faults, on whole controllers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { submitPipelines } from './sim/pipeline-scenarios.js';
--- a/src/test/fault-combinations-refusal-then-late-outage.test.ts
+++ b/src/test/fault-combinations-refusal-then-late-outage.test.ts
@@ -1,4 +1,4 @@
-// The same as the short gaps between the refusal of the leader and the outage, with longer ones.
+/** As fault-combinations-refusal-then-outage.test.ts, with longer gaps between refusal and outage. */
 import { test } from 'node:test';
 import { leaderRefusedThenOutage } from './sim/cancellation-scenarios.js';
 import { assertScenarioPasses } from './sim/scenario.js';
--- a/src/test/fault-combinations-refusal-then-outage.test.ts
+++ b/src/test/fault-combinations-refusal-then-outage.test.ts
@@ -1,4 +1,4 @@
-// The first meeting of the operators' letter: the leader refused alone, cancellations confirmed elsewhere, an outage.
+/** The key-value store refuses the leader, cancellations are confirmed elsewhere, and an outage follows; on whole controllers. */
 import { test } from 'node:test';
 import { leaderRefusedThenOutage } from './sim/cancellation-scenarios.js';
 import { assertScenarioPasses } from './sim/scenario.js';
--- a/src/test/fault-combinations-unreachable-workers.test.ts
+++ b/src/test/fault-combinations-unreachable-workers.test.ts
@@ -1,4 +1,4 @@
-// Cancellations that meet machines out of reach, a team's limit, or a job's end. Whole controllers on virtual time.
+/** Cancellations that coincide with unreachable machines, a team's limit or a job's end; on whole controllers. */
 import { test } from 'node:test';
 import { FAULTS_AT_MS, cancelAtTeamLimit } from './sim/cancellation-scenarios.js';
 import { WORK_STARTS_AT_MS, assertScenarioPasses, startMixedWork } from './sim/scenario.js';
@@ -7,13 +7,13 @@
   assertScenarioPasses({ faultsEndMs: 110_000, endMs: 330_000 }, (scenario) => {
     const jobs = startMixedWork(scenario);
     scenario.cluster.at(FAULTS_AT_MS, () => {
-      const deaf = scenario.cluster.machinesOf(jobs[0]);
-      const mute = scenario.cluster.machinesOf(jobs[3]);
-      for (const workerHost of deaf) workerHost.worker.inboundPartitioned = true;
-      for (const workerHost of mute) workerHost.heartbeatsDropped = true;
+      const inboundPartitioned = scenario.cluster.machinesOf(jobs[0]);
+      const outboundPartitioned = scenario.cluster.machinesOf(jobs[3]);
+      for (const workerHost of inboundPartitioned) workerHost.worker.inboundPartitioned = true;
+      for (const workerHost of outboundPartitioned) workerHost.heartbeatsDropped = true;
       scenario.cluster.at(FAULTS_AT_MS + 45_000, () => {
-        for (const workerHost of deaf) workerHost.worker.inboundPartitioned = false;
-        for (const workerHost of mute) workerHost.heartbeatsDropped = false;
+        for (const workerHost of inboundPartitioned) workerHost.worker.inboundPartitioned = false;
+        for (const workerHost of outboundPartitioned) workerHost.heartbeatsDropped = false;
       });
     });
     scenario.cluster.at(FAULTS_AT_MS + 1000, () => {
--- a/src/test/fault-combinations.test.ts
+++ b/src/test/fault-combinations.test.ts
@@ -1,10 +1,7 @@
-// Meetings of two troubles, named as the operators name them. Whole controllers on virtual time.
+/** Combinations of two faults, on whole controllers. */
 import { test } from 'node:test';
-import { EARLY_FAULTS_AT_MS, partitionZoneDuringFailover } from './sim/fault-scenarios.js';
-import { WORK_STARTS_AT_MS, assertScenarioPasses, startMixedWork, type Scenario } from './sim/scenario.js';
-import type { WorkerHost } from './sim/worker-host.js';
-
-const workers = (scenario: Scenario): WorkerHost[] => [...scenario.cluster.workers.values()];
+import { EARLY_FAULTS_AT_MS, partitionZoneDuringFailover, workerHosts } from './sim/fault-scenarios.js';
+import { WORK_STARTS_AT_MS, assertScenarioPasses, startMixedWork } from './sim/scenario.js';
 
 test('a command or its response is delayed for seconds, and the machine then continues', () =>
   assertScenarioPasses({ faultsEndMs: 120_000, endMs: 260_000 }, (scenario) => {
@@ -12,9 +9,9 @@
     for (let i = 0; i < 20; i++)
       scenario.cluster.at(WORK_STARTS_AT_MS + i * 1500, () => {
         scenario.submit({ tasks: 1 + (i % 3) }, 15_000);
-        // Machines hang just as the commands for them are under way.
+        // Machines hang just as the commands for them are in flight.
         scenario.cluster.at(scenario.cluster.now + 100 + 40 * i, () => {
-          for (const workerHost of workers(scenario))
+          for (const workerHost of workerHosts(scenario))
             if (scenario.random() < 0.3) workerHost.hang(3000 + scenario.random() * 5000);
         });
       });
@@ -25,10 +22,10 @@
     const jobs = startMixedWork(scenario);
     scenario.cluster.at(EARLY_FAULTS_AT_MS, () => {
       for (const workerHost of scenario.cluster.machinesOf(jobs[3])) workerHost.hang(8000);
-      const deaf = scenario.cluster.machinesOf(jobs[2]);
-      for (const workerHost of deaf) workerHost.worker.inboundPartitioned = true;
+      const partitioned = scenario.cluster.machinesOf(jobs[2]);
+      for (const workerHost of partitioned) workerHost.worker.inboundPartitioned = true;
       scenario.cluster.at(EARLY_FAULTS_AT_MS + 30_000, () =>
-        deaf.forEach((workerHost) => (workerHost.worker.inboundPartitioned = false)),
+        partitioned.forEach((workerHost) => (workerHost.worker.inboundPartitioned = false)),
       );
       scenario.cluster.restart(scenario.cluster.leader!, 5000);
     });
@@ -83,7 +80,7 @@
 test('heartbeats are delayed until a new leader has acted, and old ones arrive after newer ones', () =>
   assertScenarioPasses({ faultsEndMs: 130_000, endMs: 330_000 }, (scenario) => {
     const jobs = startMixedWork(scenario);
-    // Work comes and goes, so that an old report says something else than the newest.
+    // Work starts and ends, so that an old heartbeat differs from the newest.
     for (let i = 0; i < 40; i++)
       scenario.cluster.at(WORK_STARTS_AT_MS + i * 2000, () =>
         scenario.submit({ tasks: 1 + (i % 2), checkpointS: 0 }, 9000 + 200 * i),
@@ -96,7 +93,7 @@
       scenario.cluster.restart(scenario.cluster.leader!, 4000);
     });
     scenario.cluster.at(EARLY_FAULTS_AT_MS + 25_000, () => {
-      for (const workerHost of workers(scenario)) if (scenario.random() < 0.2) workerHost.hang(14_000);
+      for (const workerHost of workerHosts(scenario)) if (scenario.random() < 0.2) workerHost.hang(14_000);
       scenario.cluster.restart(scenario.cluster.leader!, 500);
     });
   }));
--- a/src/test/four-zones.test.ts
+++ b/src/test/four-zones.test.ts
@@ -1,4 +1,4 @@
-// Four zones and three controllers: one zone has none. Machines are up before the first leader starts.
+/** Four zones and three controllers: one zone has none. Machines run before the first leader starts. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { types } from './sim/fixtures.js';
@@ -30,7 +30,7 @@
 
 test('machines that run before the first leader are used at once, not fenced, and none is added', async () => {
   for (const seed of [1, 2, 3]) {
-    // No room is kept for work to come.
+    // No capacity is kept for work to come.
     const operator = { scaling: [{ headroom: 0 }] };
     const { cluster, violations } = await runScenario(
       seed,
@@ -42,8 +42,8 @@
     const running = [...cluster.users.values()].filter((user) => user.status === 'running').length;
     const early = [...cluster.cloudProvider.deletedAt].filter(([, at]) => at < 14_000).length;
     assert.deepEqual(
-      { violations, running, early, rented: cluster.cloudProvider.scaledOutCount },
-      { violations: [], running: 6, early: 0, rented: 0 },
+      { violations, running, early, created: cluster.cloudProvider.scaledOutCount },
+      { violations: [], running: 6, early: 0, created: 0 },
     );
   }
 });
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -1,4 +1,4 @@
-// Teams' guarantees: what counts as within one, which borrowed work may be stopped for it, and that it settles.
+/** Teams' guarantees: what counts as within one, which borrowed work may be preempted for it, and that it converges. */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
--- a/src/test/heartbeat-handler.test.ts
+++ b/src/test/heartbeat-handler.test.ts
@@ -1,3 +1,4 @@
+/** How a controller answers heartbeats: forwarded, redirected, renewed without a leader, or batched as unchanged. */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
 import { HeartbeatHandler } from '../runtime/workers/heartbeat-handler.js';
--- a/src/test/http.test.ts
+++ b/src/test/http.test.ts
@@ -1,3 +1,4 @@
+/** The HTTP parser, server and client: framing, limits, idle connections and outcomes. */
 import assert from 'node:assert/strict';
 import { createServer, connect, type AddressInfo } from 'node:net';
 import { test } from 'node:test';
--- a/src/test/hung-machines.test.ts
+++ b/src/test/hung-machines.test.ts
@@ -1,4 +1,4 @@
-// Cancelled tasks on machines that hang while leaders end one after the other. Whole controllers on virtual time.
+/** Cancelled tasks on machines that hang during consecutive leader failures, on whole controllers. */
 import { test } from 'node:test';
 import { assertConsecutiveLeaderFailuresPass, someMachinesOfEachZone } from './sim/hung-machine-scenarios.js';
 
--- a/src/test/hung-zone.test.ts
+++ b/src/test/hung-zone.test.ts
@@ -1,4 +1,4 @@
-// Half of a zone hangs, as if it were cut off. Whole controllers on virtual time.
+/** Half of a zone hangs, as if it were partitioned; on whole controllers. */
 import { test } from 'node:test';
 import { halfOfOneZone, assertConsecutiveLeaderFailuresPass } from './sim/hung-machine-scenarios.js';
 
--- a/src/test/in-flight-starts.test.ts
+++ b/src/test/in-flight-starts.test.ts
@@ -1,4 +1,4 @@
-// What a message proves of a start that is still on its way: the leader must not give a task up while one may arrive.
+/** What a message proves of a start in flight: the leader must not give a task up while one may still arrive. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FETCH_MS, LeaderHarness, startsJob } from './sim/leader-harness.js';
@@ -6,13 +6,13 @@
 const LONG_MS = 60_000;
 const SHORT_MS = 1000;
 
-/** One start is on its way straight to the worker, and another one in the answer to a report, over a slow link. */
+/** One start is in flight straight to the worker, and another one in the response to a heartbeat. */
 const twoStartsOnTheirWay = (machines: number) => {
   const harness = new LeaderHarness(machines, LONG_MS);
   const first = harness.submit('wk-1', { cpus: 64 });
   const worker = harness.workers[0];
   const direct = harness.tickWithCommands(worker);
-  // Placed while the direct command is on its way: its start goes with the answer to the next report.
+  // Placed while the direct command is in flight: its start goes with the response to the next heartbeat.
   const second = harness.submit('wk-2', { cpus: 0, gpus: 1, types: null });
   harness.tick();
   const slowAnswer = harness.sendHeartbeat(worker);
@@ -34,7 +34,7 @@
   harness.deliverResponse(worker, slowAnswer);
   harness.advance(FETCH_MS);
   assert.deepEqual(harness.checker.violations, []);
-  // A report that was sent later settles it: the answer has been executed, or never will be.
+  // A later heartbeat decides it: the response has been executed, or never will be.
   harness.exchangeHeartbeat(worker);
   harness.exchangeHeartbeat(worker);
   harness.tick();
--- a/src/test/invariant-checker.test.ts
+++ b/src/test/invariant-checker.test.ts
@@ -1,3 +1,4 @@
+/** The invariant checker of the simulations detects each violation, and nothing else. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { InvariantChecker } from './sim/invariant-checker.js';
@@ -117,8 +118,8 @@
 });
 
 test('the invariant checker detects a leader that does not stop cancelled tasks', () => {
-  // Broken on purpose: leaves out every stop.
-  class Deaf extends Leader {
+  // Leaves out every stop.
+  class LeaderWithoutStops extends Leader {
     override onHeartbeat(report: Heartbeat, now: MonotonicTime): Command[] {
       return super.onHeartbeat(report, now).filter((command) => command.op !== 'stop');
     }
@@ -132,7 +133,7 @@
         );
     }
   }
-  const simulation = new LeaderSimulation(8, (...a) => new Deaf(...a));
+  const simulation = new LeaderSimulation(8, (...a) => new LeaderWithoutStops(...a));
   simulation.submit(jobSpec('wk-1', { kind: 'service', tasks: 2, estimateS: 0 }));
   simulation.clock.after(90_000, () => simulation.cancel('wk-1' as JobId));
   simulation.clock.runUntil(180_000);
--- a/src/test/key-value-store-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -1,4 +1,4 @@
-// What is kept in the state service stays within its limits, also after they were lowered.
+/** What is kept in the key-value store stays within its limits, also after they were lowered. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parsePlatformSettings } from '../config/platform.js';
@@ -132,23 +132,23 @@
 
 test('a registry page that is too large now is moved piece by piece, and names each machine until another page does', () => {
   const fits = (machines: MachineInfo[]): boolean => fitsRegistryPage(machines, 2);
-  const roster = new MachineRegistry();
+  const registry = new MachineRegistry();
   const all = Array.from({ length: 81 }, (_item, index) => machine(index));
-  for (const info of all) roster.load('old', info);
+  for (const info of all) registry.load('old', info);
   assert.ok(!fits(all));
-  roster.remove('old', all[80].id);
-  assert.equal(roster.nextPageToWrite('stale', fits), null, 'not written as it is');
+  registry.remove('old', all[80].id);
+  assert.equal(registry.nextPageToWrite('stale', fits), null, 'not written as it is');
   const durable = new Map([['old', new Set(all.map((machine) => machine.id))]]);
   const named = (): number => new Set([...durable.values()].flatMap((page) => [...page])).size;
-  for (let page = 1; roster.splitOversizedPage(fits).length > 0; page++) {
-    const part = roster.splitOversizedPage(fits);
+  for (let page = 1; registry.splitOversizedPage(fits).length > 0; page++) {
+    const part = registry.splitOversizedPage(fits);
     assert.ok(fits(part) && part.length > 10);
-    roster.openPage(`new-${page}`, part);
+    registry.openPage(`new-${page}`, part);
     assert.ok(named() >= 80, 'while the write is under way');
     durable.set(`new-${page}`, new Set(part.map((machine) => machine.id)));
-    for (const id of roster.onPageWritten(`new-${page}`, true)) roster.remove('old', id);
+    for (const id of registry.onPageWritten(`new-${page}`, true)) registry.remove('old', id);
   }
-  const rest = roster.nextPageToWrite('stale', fits)!;
+  const rest = registry.nextPageToWrite('stale', fits)!;
   assert.ok(fitsValue(registryPageData(rest.machines), 2));
   durable.set('old', new Set(rest.machines.map((machine) => machine.id)));
   assert.equal(named(), 80);
--- a/src/test/large-cluster.test.ts
+++ b/src/test/large-cluster.test.ts
@@ -1,4 +1,4 @@
-// About 4,000 machines: no fixed limit stands below that, and work grows about as the machines do.
+/** About 4,000 machines: no fixed limit stands below that, and work grows about as the machines do. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { runTestCycle, makeJob, makeMachine, placeRunningTask } from './sim/scheduling-cycle-fixtures.js';
@@ -78,10 +78,10 @@
   );
   state.machineTypes = types;
   state.machinesListed = true;
-  const renting = new Autoscaler(state, new MachinePool(state));
+  const autoscaler = new Autoscaler(state, new MachinePool(state));
   const many = Array.from({ length: 8 }, (_item, i) => makeJob(`wk-${i}`, { ...whole, tasks: 200 }));
   const requests = (atS: number) => {
-    renting.scale(many, (atS * 1000) as MonotonicTime);
+    autoscaler.scale(many, (atS * 1000) as MonotonicTime);
     return state.takeEffects().flatMap((effect) => (effect.kind === 'create-machines' ? [effect] : []));
   };
   const first = requests(1);
@@ -92,10 +92,11 @@
   );
   assert.ok(first.length > 1 && first.every((effect) => effect.order.count <= 50));
   assert.equal(new Set(first.map((effect) => effect.request)).size, first.length);
-  for (const effect of first) renting.onScaleOutResult(effect.request, 'no-capacity', 1000 as MonotonicTime);
+  for (const effect of first)
+    autoscaler.onScaleOutResult(effect.request, 'no-capacity', 1000 as MonotonicTime);
   const kind = (effect: (typeof first)[number]): string => `${effect.order.type} ${effect.order.zone}`;
   assert.ok(!requests(10).some((effect) => kind(effect) === kind(first[0])), 'not before the rest is over');
   assert.ok(
-    renting['refusedUntil'].get(capacityKey(first[0].order.type, first[0].order.zone, false))! <= 16_000,
+    autoscaler['refusedUntil'].get(capacityKey(first[0].order.type, first[0].order.zone, false))! <= 16_000,
   );
 });
--- a/src/test/leader-changes.test.ts
+++ b/src/test/leader-changes.test.ts
@@ -1,4 +1,4 @@
-// Leaders change ten times in two minutes, and controllers stand still. Whole controllers on virtual time.
+/** Ten failovers in two minutes, and controllers that pause; on whole controllers. */
 import { test } from 'node:test';
 import { EARLY_FAULTS_AT_MS, leadersChangeTenTimes } from './sim/fault-scenarios.js';
 import { assertScenarioPasses, startMixedWork } from './sim/scenario.js';
--- a/src/test/leader-simulation.test.ts
+++ b/src/test/leader-simulation.test.ts
@@ -90,7 +90,7 @@
   const from = simulation.trace.length;
   simulation.clock.runUntil(130_000);
   const at = (what: string): number => simulation.trace.slice(from).findIndex((line) => line.includes(what));
-  assert.ok(at('rents') >= 0 && at('rents') < at('fenced'), simulation.trace.slice(from).join('\n'));
+  assert.ok(at('creates') >= 0 && at('creates') < at('fenced'), simulation.trace.slice(from).join('\n'));
   assert.deepEqual(simulation.checker.violations, []);
 });
 
--- a/src/test/leader-start.test.ts
+++ b/src/test/leader-start.test.ts
@@ -1,10 +1,10 @@
-// What a leader needs at its start may arrive in any order. Whole controllers on virtual time.
+/** What a leader needs at its start may arrive in any order; on whole controllers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { runScenario } from './sim/scenario.js';
 
 const SUBMITTED_MS = 5000;
-/** A worker's lease, its first reports and a report round: everything that a first leader has to wait for. */
+/** A worker's lease, its first heartbeats and one interval: everything that a first leader has to wait for. */
 const STARTED_MS = 20_000;
 
 for (const cloudDelayMs of [0, 400, 800, 1200, 1600, 2000]) {
--- a/src/test/mutations-safeguards.test.ts
+++ b/src/test/mutations-safeguards.test.ts
@@ -71,12 +71,12 @@
 });
 
 test('mutation: cancelled jobs do not count against the quota while unreconciled machines may run them', async (t: TestContext) => {
-  const mayBe = Reflect.get<LeaderState, 'mayRunOnUnreconciledMachine'>(
+  const mayRun = Reflect.get<LeaderState, 'mayRunOnUnreconciledMachine'>(
     LeaderState.prototype,
     'mayRunOnUnreconciledMachine',
   );
   t.mock.method(LeaderState.prototype, 'mayRunOnUnreconciledMachine', function (this: LeaderState, job: Job) {
-    return !job.cancelled && mayBe.call(this, job);
+    return !job.cancelled && mayRun.call(this, job);
   });
   await assertViolates('quota', cancelAtTeamLimit);
 });
@@ -114,7 +114,7 @@
   );
   await assertViolates('ran_twice', (scenario) => {
     const jobs = startMixedWork(scenario);
-    // Healthy, but not heard: their tasks go on.
+    // Healthy, but unreachable: their tasks continue.
     scenario.cluster.at(FAULTS_AT_MS, () =>
       scenario.cluster.machinesOf(jobs[2]).forEach((workerHost) => workerHost.hang(9500)),
     );
--- a/src/test/production-size.test.ts
+++ b/src/test/production-size.test.ts
@@ -1,5 +1,7 @@
-// Whole controllers at production size: machines hang, jobs are cancelled, leaders end one after the other and machines
-// are lost, while pipelines run. MACHINES and SEED play other sizes and days than the one kept here.
+/**
+ * Whole controllers at production size: machines hang and are lost, jobs are cancelled and leaders fail one after the other
+ * while pipelines run. MACHINES and SEED run other sizes and seeds than the one kept here.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { workerHosts } from './sim/fault-scenarios.js';
@@ -10,11 +12,11 @@
 
 const MACHINES = Number(process.env['MACHINES'] ?? 1000);
 const SEED = Number(process.env['SEED'] ?? 1);
-const SUBMIT_MS = 10_000;
-const MEETING_MS = 45_000;
-const QUIET_MS = 110_000;
+const SUBMITTED_AT_MS = 10_000;
+const FAULTS_AT_MS = 45_000;
+const FAULTS_END_MS = 110_000;
 const END_MS = 240_000;
-const MACHINES_A_JOB = 10;
+const TASKS_PER_JOB = 10;
 
 const size: Partial<ClusterSetup> = {
   capacity: MACHINES * 1.5,
@@ -24,26 +26,26 @@
   keyValueStoreLimits: { rps: 400, writeRps: 100, valueKb: 16, txnOps: 16 },
 };
 
-const someMachines = (scenario: Scenario, share: number) =>
-  workerHosts(scenario).filter(() => scenario.random() < share);
+const someMachines = (scenario: Scenario, fraction: number) =>
+  workerHosts(scenario).filter(() => scenario.random() < fraction);
 
-const troubles = (scenario: Scenario, jobs: JobId[]): void => {
-  const endLeader = (): void => {
+const injectFaults = (scenario: Scenario, jobs: JobId[]): void => {
+  const restartLeader = (): void => {
     if (scenario.cluster.leader) scenario.cluster.restart(scenario.cluster.leader, 4000);
   };
-  scenario.cluster.at(MEETING_MS, () => {
+  scenario.cluster.at(FAULTS_AT_MS, () => {
     for (const worker of someMachines(scenario, 0.15)) worker.hang(50_000);
     for (const id of jobs.slice(0, MACHINES / 50)) scenario.cluster.cancel(id);
-    endLeader();
+    restartLeader();
   });
-  scenario.cluster.at(MEETING_MS + 12_000, () => {
+  scenario.cluster.at(FAULTS_AT_MS + 12_000, () => {
     for (const worker of someMachines(scenario, 0.05)) worker.terminate();
     scenario.cluster.delayDirectCommands(0.3, 30_000);
     scenario.cluster.duplicateHeartbeats(0.1, 30_000);
   });
-  scenario.cluster.at(MEETING_MS + 27_500, endLeader);
-  scenario.cluster.at(MEETING_MS + 31_500, endLeader);
-  scenario.cluster.at(MEETING_MS + 33_000, () =>
+  scenario.cluster.at(FAULTS_AT_MS + 27_500, restartLeader);
+  scenario.cluster.at(FAULTS_AT_MS + 31_500, restartLeader);
+  scenario.cluster.at(FAULTS_AT_MS + 33_000, () =>
     scenario.cluster.controllers.forEach((controller, i) => scenario.cluster.restart(controller, 300 * i)),
   );
 };
@@ -51,16 +53,16 @@
 test(`${MACHINES} machines: hangs, cancellations, losses and four failovers among pipelines`, async () => {
   const { cluster, violations, unfinished } = await runScenario(
     SEED,
-    { setup: size, faultsEndMs: QUIET_MS, endMs: END_MS },
+    { setup: size, faultsEndMs: FAULTS_END_MS, endMs: END_MS },
     (scenario) => {
       const jobs: JobId[] = [];
-      scenario.cluster.at(SUBMIT_MS, () => {
-        for (let i = 0; i < MACHINES / MACHINES_A_JOB; i++)
-          jobs.push(scenario.submit({ tasks: MACHINES_A_JOB }, 20_000 + scenario.random() * 60_000));
+      scenario.cluster.at(SUBMITTED_AT_MS, () => {
+        for (let i = 0; i < MACHINES / TASKS_PER_JOB; i++)
+          jobs.push(scenario.submit({ tasks: TASKS_PER_JOB }, 20_000 + scenario.random() * 60_000));
         submitMixedWork(scenario);
       });
       submitPipelines(scenario, 8);
-      troubles(scenario, jobs);
+      injectFaults(scenario, jobs);
     },
   );
   assert.deepEqual({ violations: violations.slice(0, 5), unfinished }, { violations: [], unfinished: [] });
--- a/src/test/progress-store.test.ts
+++ b/src/test/progress-store.test.ts
@@ -1,3 +1,4 @@
+/** Writes of progress records that arrive late or whose response is lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ProgressStore } from '../runtime/leadership/progress-store.js';
--- a/src/test/random-faults.test.ts
+++ b/src/test/random-faults.test.ts
@@ -1,4 +1,4 @@
-// Troubles drawn at random meet on one day. RANDOM_FAULT_SEEDS=FIRST-LAST plays other days than those kept here.
+/** Faults drawn at random, on whole controllers. RANDOM_FAULT_SEEDS=FIRST-LAST runs other seeds than those kept here. */
 import { test } from 'node:test';
 import { assertScenarioPasses, submitMixedWork, type Scenario } from './sim/scenario.js';
 import { pickRandom, basicFaults } from './sim/faults.js';
@@ -8,10 +8,11 @@
   .split('-')
   .filter(Boolean)
   .map(Number);
-const BEGIN_MS = 30_000;
-const TROUBLES_MS = 90_000;
-const LONGEST_MS = 60_000;
+const FAULTS_START_MS = 30_000;
+const FAULTS_DURATION_MS = 90_000;
+const LONGEST_FAULT_MS = 60_000;
 
+/** Jobs of all kinds at random times. */
 const randomWork = (scenario: Scenario, jobs: JobId[]): void => {
   for (let i = 0; i < 14; i++)
     scenario.cluster.at(10_000 + scenario.random() * 100_000, () => {
@@ -30,23 +31,27 @@
 for (let seed = first; seed <= last; seed++) {
   test(`random faults, seed ${seed}`, () =>
     assertScenarioPasses(
-      { seeds: [seed], faultsEndMs: BEGIN_MS + TROUBLES_MS + LONGEST_MS + 10_000, endMs: 500_000 },
+      {
+        seeds: [seed],
+        faultsEndMs: FAULTS_START_MS + FAULTS_DURATION_MS + LONGEST_FAULT_MS + 10_000,
+        endMs: 500_000,
+      },
       (scenario) => {
         const jobs: JobId[] = [];
         scenario.cluster.at(10_000, () => jobs.push(...submitMixedWork(scenario)));
         randomWork(scenario, jobs);
         const names = Object.keys(basicFaults);
         const faultCount = 4 + Math.floor(scenario.random() * 7);
-        let atMs = BEGIN_MS;
+        let atMs = FAULTS_START_MS;
         for (let i = 0; i < faultCount; i++) {
           // Some follow one another at once.
           atMs +=
             scenario.random() < 0.4
               ? scenario.random() * 3000
-              : (scenario.random() * 2 * TROUBLES_MS) / faultCount;
+              : (scenario.random() * 2 * FAULTS_DURATION_MS) / faultCount;
           const name = pickRandom(scenario, names)!;
-          const forMs = 2000 + scenario.random() * (LONGEST_MS - 2000);
-          scenario.cluster.at(Math.min(atMs, BEGIN_MS + TROUBLES_MS), () => {
+          const forMs = 2000 + scenario.random() * (LONGEST_FAULT_MS - 2000);
+          scenario.cluster.at(Math.min(atMs, FAULTS_START_MS + FAULTS_DURATION_MS), () => {
             scenario.cluster.addNote(`${name} for ${Math.round(forMs / 1000)} s`);
             basicFaults[name](scenario, forMs, jobs);
           });
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -1,3 +1,4 @@
+/** Scheduling cycles: gangs, preemption, image caches, spread, quota, scale-out and the cost of a cycle. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
--- a/src/test/scheduling-queue.test.ts
+++ b/src/test/scheduling-queue.test.ts
@@ -1,3 +1,4 @@
+/** The order of the scheduling queue. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Job } from '../core/job.js';
--- a/src/test/sim/simulated-machines.ts
+++ b/src/test/sim/simulated-machines.ts
@@ -49,7 +49,7 @@
       environment.clock.after(TYPICAL_BOOT_MS * (0.6 + 0.9 * random()), () => this.boot(info));
     }
     this.createdByRequest.set(requestId, ids);
-    addTraceLine(`rents ${count} ${type} in ${zone}${spot ? ' (spot)' : ''}`);
+    addTraceLine(`creates ${count} ${type} in ${zone}${spot ? ' (spot)' : ''}`);
     return ids;
   }
 
--- a/src/test/sim/simulated-worker-link.ts
+++ b/src/test/sim/simulated-worker-link.ts
@@ -28,7 +28,7 @@
     const { clock, machines } = this.simulation;
     const worker = machines.running.get(effect.machine)?.worker;
     for (const { op, job, index } of effect.commands)
-      this.simulation.addTraceLine(`order to ${effect.machine}: ${op} ${job}/${index}`);
+      this.simulation.addTraceLine(`direct command to ${effect.machine}: ${op} ${job}/${index}`);
     const { term } = leader.leadership;
     const execute = (receiver: SimulatedWorker) =>
       receiver.onDirectCommands(term, Number(effect.incarnation), effect.commands);
@@ -58,7 +58,7 @@
   deliverHeldCommands(): void {
     const { held } = this;
     this.held = [];
-    this.simulation.addTraceLine(`${held.length} held orders arrive`);
+    this.simulation.addTraceLine(`${held.length} held direct commands arrive`);
     for (const deliver of held) deliver();
   }
 
--- a/src/test/socket-limits.test.ts
+++ b/src/test/socket-limits.test.ts
@@ -1,3 +1,4 @@
+/** The socket limits of a controller, and what fits into one frame. */
 import assert from 'node:assert/strict';
 import { createServer, type AddressInfo } from 'node:net';
 import { test } from 'node:test';
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -1,3 +1,4 @@
+/** The user interface of several controllers over one key-value store: acceptance, cancellation, dependencies. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { HttpMessage } from '../runtime/http/http-parser.js';
--- a/src/test/wire.test.ts
+++ b/src/test/wire.test.ts
@@ -1,3 +1,4 @@
+/** Translation and validation of the outside protocol and of the settings. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseOperatorSettings } from '../config/operator.js';
