--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -73,45 +73,22 @@
     this.store = new KeyValueStoreClient(platform);
     this.cloud = new CloudProviderClient(platform);
     this.election = this.createElection();
-    this.machineTypes = new MachineTypeCatalog(
-      platform.keyValueStoreLimits,
-      this.cloud,
-      this.store,
-      this.election,
-      (types) => this.leadership.leaderLoop?.setMachineTypes(types),
-    );
+    this.machineTypes = new MachineTypeCatalog({
+      limits: platform.keyValueStoreLimits,
+      cloud: this.cloud,
+      store: this.store,
+      election: this.election,
+      onChange: (types) => this.leadership.leaderLoop?.setMachineTypes(types),
+    });
     this.cancellations = this.createCancellationFeed();
     this.leadership = this.createLeadership();
     for (const peer of platform.peers) this.links.push(this.createLink(peer));
     const { store, links, machineTypes, leadership } = this;
     this.health = new HealthCheck({ store, links, machineTypes });
     this.taskCounts = new TaskCountLookup(leadership, links);
-    this.users = new UserApi(
-      platform,
-      this.store,
-      () => this.machineTypes.current,
-      (id) => this.taskCounts.counts(id),
-      (id) => this.cancellations.recordConfirmed(id),
-      this.cancellations,
-    );
-    this.heartbeatHandler = new HeartbeatHandler(
-      platform,
-      this.election,
-      this.links,
-      () => this.leadership.leaderLoop,
-      this.log,
-      () => this.health.isStoreAvailable(),
-      this.cancellations,
-    );
-    this.leaderlessFencing = new LeaderlessFencing(
-      platform,
-      this.heartbeatHandler,
-      this.cancellations,
-      this.links,
-      this.cloud,
-      () => this.health.isStoreAvailable(),
-      this.log,
-    );
+    this.users = this.createUserApi();
+    this.heartbeatHandler = this.createHeartbeatHandler();
+    this.leaderlessFencing = this.createLeaderlessFencing();
     this.peerStatus = this.createPeerStatus();
   }
 
@@ -175,6 +152,44 @@
     });
   }
 
+  private createUserApi(): UserApi {
+    return new UserApi({
+      platform: this.platform,
+      store: this.store,
+      machineTypes: () => this.machineTypes.current,
+      taskCounts: (id) => this.taskCounts.counts(id),
+      onCancellationTold: (id) => this.cancellations.recordConfirmed(id),
+      knownJobs: this.cancellations,
+    });
+  }
+
+  private createHeartbeatHandler(): HeartbeatHandler {
+    const { platform, election, links, cancellations, log } = this;
+    return new HeartbeatHandler({
+      platform,
+      election,
+      links,
+      leaderLoop: () => this.leadership.leaderLoop,
+      cancellations,
+      storeAvailable: () => this.health.isStoreAvailable(),
+      log,
+    });
+  }
+
+  private createLeaderlessFencing(): LeaderlessFencing {
+    const { platform, heartbeatHandler, cancellations, links, cloud, log } = this;
+    const storeAvailable = (): boolean => this.health.isStoreAvailable();
+    return new LeaderlessFencing({
+      platform,
+      heartbeatHandler,
+      cancellations,
+      links,
+      cloud,
+      storeAvailable,
+      log,
+    });
+  }
+
   private createPeerStatus(): PeerStatusExchange {
     const { platform, election, leadership, heartbeatHandler, health } = this;
     return new PeerStatusExchange({ node: platform.name, election, leadership, heartbeatHandler, health });
--- a/src/runtime/leadership/job-watch.ts
+++ b/src/runtime/leadership/job-watch.ts
@@ -38,7 +38,7 @@
       return;
     }
     const id = key.slice(keys.activePrefix.length) as JobId;
-    leader.applyJobRecord(id, record, revision, fromEarlierLeader, monotonicNow(), wallClockNow());
+    leader.applyJobRecord({ id, record, revision, fromEarlierLeader }, monotonicNow(), wallClockNow());
     if (cancellations.has(id)) leader.applyCancellation(id, monotonicNow());
   }
 
--- a/src/runtime/listeners.ts
+++ b/src/runtime/listeners.ts
@@ -2,8 +2,9 @@
 import { createServer, type Socket } from 'node:net';
 import type { Address } from '../config/address.js';
 import type { PeerRequest } from '../wire/peer-messages.js';
-import type { HttpMessage } from './http/http-parser.js';
-import { httpConnectionHandler, type HttpHandler, type HttpReply } from './http/http-server.js';
+import type { HttpMessage } from './http/http-message.js';
+import type { HttpReply } from './http/http-reply.js';
+import { httpConnectionHandler, type HttpHandler } from './http/http-server.js';
 import { STATUS_CONNECTIONS, type SocketBudget } from './http/socket-budget.js';
 import type { Logger } from './logger.js';
 import { servePeer } from './peers/peer-server.js';
