--- a/src/runtime/cloud/cloud-provider-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -7,6 +7,7 @@
 import { monotonicNow, sleep } from '../clock.js';
 import { HttpClient } from '../http/http-client.js';
 import { TokenBucket } from '../key-value-store/token-bucket.js';
+import { HTTP_STATUS } from '../http/http-status.js';
 
 /** What became of a scale-out request. */
 export type ScaleOutOutcome =
@@ -27,8 +28,6 @@
 const PAGE_SIZE = 500;
 const PAGE_ATTEMPTS = 5;
 const PAGE_RETRY_MS = 400;
-const STATUS_OK = 200;
-const STATUS_UNAVAILABLE = 503;
 const NO_CAPACITY_ERROR = 'no capacity';
 
 /** Lists machine types and machines, creates and deletes machines. */
@@ -71,12 +70,12 @@
     const result = await this.http.request('POST', '/machines', body, TIMEOUT_MS);
     if (!result.ok) return result.sent ? { kind: 'unknown' } : { kind: 'refused' };
     const answer = tryDecode(result.body);
-    if (result.status === STATUS_OK) {
+    if (result.status === HTTP_STATUS.ok) {
       const machines = wire.parseCreatedMachines(answer);
       return machines ? { kind: 'provisioned', machines } : { kind: 'unknown' };
     }
     const error = typeof answer === 'object' && answer !== null && 'error' in answer ? answer.error : null;
-    const noCapacity = result.status === STATUS_UNAVAILABLE && error === NO_CAPACITY_ERROR;
+    const noCapacity = result.status === HTTP_STATUS.unavailable && error === NO_CAPACITY_ERROR;
     return { kind: noCapacity ? 'no-capacity' : 'refused' };
   }
 
@@ -85,7 +84,7 @@
     if (!this.budget.take(1, monotonicNow())) return false;
     const body = encode(wire.deleteMachinesBody(machines));
     const result = await this.http.request('POST', '/machines/return', body, TIMEOUT_MS);
-    return result.ok && result.status === STATUS_OK;
+    return result.ok && result.status === HTTP_STATUS.ok;
   }
 
   /** A page that is refused is asked for again: under a tight budget no list would ever be complete otherwise. */
@@ -103,6 +102,6 @@
   private async read<T>(target: string, parse: (raw: unknown) => T | null): Promise<T | null> {
     if (!this.budget.take(1, monotonicNow(), this.reservedForChanges)) return null;
     const result = await this.http.request('GET', target, null, TIMEOUT_MS);
-    return result.ok && result.status === STATUS_OK ? parse(tryDecode(result.body)) : null;
+    return result.ok && result.status === HTTP_STATUS.ok ? parse(tryDecode(result.body)) : null;
   }
 }
--- a/src/runtime/http/http-head.ts
+++ b/src/runtime/http/http-head.ts
@@ -1,5 +1,6 @@
 /** The head of an HTTP/1.1 message: start line, header fields, and what they say of the body's framing. */
 import { HttpError, type HttpMessage } from './http-message.js';
+import { HTTP_STATUS } from './http-status.js';
 
 /** Which of the two forms of message a parser reads. */
 export type HttpMessageKind = 'request' | 'response';
@@ -25,14 +26,14 @@
 
 const parseRequestLine = (line: string): HttpMessage => {
   const match = REQUEST_LINE.exec(line);
-  if (!match) throw new HttpError(400, 'bad request line');
+  if (!match) throw new HttpError(HTTP_STATUS.badRequest, 'bad request line');
   const [, method, target, minorVersion] = match;
   return { method, target, status: 0, headers: new Map(), keepAlive: minorVersion === '1', body: EMPTY };
 };
 
 const parseStatusLine = (line: string): HttpMessage => {
   const match = STATUS_LINE.exec(line);
-  if (!match) throw new HttpError(400, 'bad status line');
+  if (!match) throw new HttpError(HTTP_STATUS.badRequest, 'bad status line');
   const [, minorVersion, status] = match;
   return {
     method: '',
@@ -46,12 +47,13 @@
 
 const addHeader = (headers: Map<string, string>, line: string): void => {
   const colon = line.indexOf(':');
-  if (colon <= 0 || !TOKEN.test(line.slice(0, colon))) throw new HttpError(400, 'bad header field');
+  if (colon <= 0 || !TOKEN.test(line.slice(0, colon)))
+    throw new HttpError(HTTP_STATUS.badRequest, 'bad header field');
   const name = line.slice(0, colon).toLowerCase();
   const value = line.slice(colon + 1).trim();
   // Two lengths that differ would let two readers see two different messages.
   if (name === 'content-length' && headers.has(name) && headers.get(name) !== value)
-    throw new HttpError(400, 'two content lengths');
+    throw new HttpError(HTTP_STATUS.badRequest, 'two content lengths');
   headers.set(name, value);
 };
 
@@ -60,14 +62,15 @@
   const coding = message.headers.get('transfer-encoding');
   const length = message.headers.get('content-length');
   if (coding !== undefined) {
-    if (coding.toLowerCase() !== 'chunked') throw new HttpError(501, 'unknown transfer coding');
-    if (length !== undefined) throw new HttpError(400, 'two framings');
+    if (coding.toLowerCase() !== 'chunked')
+      throw new HttpError(HTTP_STATUS.notImplemented, 'unknown transfer coding');
+    if (length !== undefined) throw new HttpError(HTTP_STATUS.badRequest, 'two framings');
     return { kind: 'chunked' };
   }
   if (length !== undefined) {
-    if (!CONTENT_LENGTH.test(length)) throw new HttpError(400, 'bad content length');
+    if (!CONTENT_LENGTH.test(length)) throw new HttpError(HTTP_STATUS.badRequest, 'bad content length');
     const bytes = Number(length);
-    if (bytes > maxBytes) throw new HttpError(413, 'body too large');
+    if (bytes > maxBytes) throw new HttpError(HTTP_STATUS.contentTooLarge, 'body too large');
     return { kind: 'length', bytes };
   }
   const bodiless = kind === 'request' || message.status === 204 || message.status === 304;
--- a/src/runtime/http/http-parser.ts
+++ b/src/runtime/http/http-parser.ts
@@ -1,6 +1,7 @@
 /** HTTP/1.1 message parser, for requests and responses. Feed it whatever a socket delivers. */
 import { bodyFraming, parseHead, type HttpMessageKind } from './http-head.js';
 import { HttpError, type HttpMessage } from './http-message.js';
+import { HTTP_STATUS } from './http-status.js';
 
 /** The largest message that a parser takes. */
 export interface HttpParserLimits {
@@ -82,12 +83,14 @@
       this.buffer = this.buffer.subarray(CRLF.length);
     const end = this.buffer.indexOf(HEAD_END);
     if (end < 0 || end > this.limits.headerBytes) {
-      if (this.buffer.length > this.limits.headerBytes) throw new HttpError(431, 'header too large');
+      if (this.buffer.length > this.limits.headerBytes)
+        throw new HttpError(HTTP_STATUS.headersTooLarge, 'header too large');
       return false;
     }
     const lines = this.buffer.toString('latin1', 0, end).split('\r\n');
     this.buffer = this.buffer.subarray(end + HEAD_END.length);
-    if (lines.length - 1 > this.limits.headerCount) throw new HttpError(431, 'too many header fields');
+    if (lines.length - 1 > this.limits.headerCount)
+      throw new HttpError(HTTP_STATUS.headersTooLarge, 'too many header fields');
     const message = parseHead(this.kind, lines);
     this.message = message;
     this.state = this.bodyState(message);
@@ -125,9 +128,10 @@
     const line = this.takeLine(MAX_CHUNK_LINE_BYTES);
     if (line === null) return false;
     const hex = line.split(';', 1)[0].trim();
-    if (!CHUNK_SIZE.test(hex)) throw new HttpError(400, 'bad chunk size');
+    if (!CHUNK_SIZE.test(hex)) throw new HttpError(HTTP_STATUS.badRequest, 'bad chunk size');
     const remaining = parseInt(hex, 16);
-    if (this.bodySize + remaining > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
+    if (this.bodySize + remaining > this.limits.bodyBytes)
+      throw new HttpError(HTTP_STATUS.contentTooLarge, 'body too large');
     this.state = remaining === 0 ? { at: 'trailer' } : { at: 'chunk-data', remaining };
     return true;
   }
@@ -135,7 +139,7 @@
   private readChunkEnd(): boolean {
     const line = this.takeLine(MAX_CHUNK_LINE_BYTES);
     if (line === null) return false;
-    if (line !== '') throw new HttpError(400, 'bad chunk end');
+    if (line !== '') throw new HttpError(HTTP_STATUS.badRequest, 'bad chunk end');
     this.state = { at: 'chunk-size' };
     return true;
   }
@@ -150,7 +154,8 @@
   /** Moves this many bytes from the input to the body. */
   private take(byteCount: number): void {
     this.bodySize += byteCount;
-    if (this.bodySize > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
+    if (this.bodySize > this.limits.bodyBytes)
+      throw new HttpError(HTTP_STATUS.contentTooLarge, 'body too large');
     this.bodyParts.push(this.buffer.subarray(0, byteCount));
     this.buffer = this.buffer.subarray(byteCount);
   }
@@ -158,7 +163,7 @@
   private takeLine(maxBytes: number): string | null {
     const end = this.buffer.indexOf(CRLF);
     if (end < 0 || end > maxBytes) {
-      if (this.buffer.length > maxBytes) throw new HttpError(400, 'line too long');
+      if (this.buffer.length > maxBytes) throw new HttpError(HTTP_STATUS.badRequest, 'line too long');
       return null;
     }
     const line = this.buffer.toString('latin1', 0, end);
--- a/src/runtime/http/http-server.ts
+++ b/src/runtime/http/http-server.ts
@@ -5,6 +5,7 @@
 import { HttpParser } from './http-parser.js';
 import { HttpError, type HttpMessage } from './http-message.js';
 import { renderReply, type HttpReply } from './http-reply.js';
+import { HTTP_STATUS } from './http-status.js';
 
 /** Answers a request by calling `reply` once, at once or later; further calls are ignored. */
 export type HttpHandler = (request: HttpMessage, reply: (answer: HttpReply) => void) => void;
@@ -20,8 +21,6 @@
 
 const MAX_HEADER_BYTES = 8192;
 const MAX_HEADERS = 64;
-/** The status of an error that carries none. */
-const BAD_REQUEST = 400;
 
 interface ServerContext {
   limits: HttpServerLimits;
@@ -94,7 +93,7 @@
   }
 
   private refuse(error: unknown): void {
-    const status = error instanceof HttpError ? error.status : BAD_REQUEST;
+    const status = error instanceof HttpError ? error.status : HTTP_STATUS.badRequest;
     const cause = String(error);
     const handling = this.state === 'handling';
     this.state = 'ending';
--- /dev/null
+++ b/src/runtime/http/http-status.ts
@@ -0,0 +1,14 @@
+/** HTTP status codes that controllers send or act upon. */
+export const HTTP_STATUS = {
+  ok: 200,
+  created: 201,
+  badRequest: 400,
+  notFound: 404,
+  methodNotAllowed: 405,
+  contentTooLarge: 413,
+  misdirected: 421,
+  unprocessable: 422,
+  headersTooLarge: 431,
+  notImplemented: 501,
+  unavailable: 503,
+} as const;
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -15,6 +15,7 @@
 import { JobLookup, type JobLookupResult, type KnownJobs } from './job-lookup.js';
 import { checkSubmission } from './submission-check.js';
 import { jobState, refused, unavailable } from './user-replies.js';
+import { HTTP_STATUS } from '../http/http-status.js';
 
 const JOBS_PATH = '/v1/jobs';
 const JOB_PATH = /^\/v1\/jobs\/([^/]+)(\/abort)?$/;
@@ -48,35 +49,40 @@
   async handle(request: HttpMessage): Promise<HttpReply> {
     const path = request.target.split('?', 1)[0];
     if (path === JOBS_PATH) {
-      return request.method === 'POST' ? this.submit(request.body) : refused(405, 'use POST');
+      return request.method === 'POST'
+        ? this.submit(request.body)
+        : refused(HTTP_STATUS.methodNotAllowed, 'use POST');
     }
     const match = JOB_PATH.exec(path);
-    if (!match) return refused(404, 'no such path');
+    if (!match) return refused(HTTP_STATUS.notFound, 'no such path');
     const id = match[1];
     const abort = match[2] !== undefined;
-    if (request.method !== (abort ? 'POST' : 'GET')) return refused(405, abort ? 'use POST' : 'use GET');
-    if (!isJobId(id)) return refused(404, 'no such job');
+    if (request.method !== (abort ? 'POST' : 'GET'))
+      return refused(HTTP_STATUS.methodNotAllowed, abort ? 'use POST' : 'use GET');
+    if (!isJobId(id)) return refused(HTTP_STATUS.notFound, 'no such job');
     return abort ? this.abort(id) : this.status(id);
   }
 
   private async submit(body: Buffer): Promise<HttpReply> {
     const raw = tryDecode(body);
     if (typeof raw !== 'object' || raw === null || Array.isArray(raw))
-      return refused(400, 'expected a CBOR map');
+      return refused(HTTP_STATUS.badRequest, 'expected a CBOR map');
     const parsed = parseJob(raw);
-    if (!parsed.ok) return this.unlessKnown(raw, refused(400, parsed.cause));
+    if (!parsed.ok) return this.unlessKnown(raw, refused(HTTP_STATUS.badRequest, parsed.cause));
     const spec = parsed.value;
     const check = checkSubmission(spec, this.teams.get(spec.team), this.dependencies.machineTypes());
     if (check.kind === 'undecided') return unavailable('machine types not known yet');
-    if (check.kind === 'never-runnable') return this.unlessKnown(raw, refused(422, check.cause));
+    if (check.kind === 'never-runnable')
+      return this.unlessKnown(raw, refused(HTTP_STATUS.unprocessable, check.cause));
     const final = this.jobs.cachedFinalRecord(spec.id);
     if (final) return jobState(spec.id, final.state);
     const refusal = await this.refuseDependencies(spec);
-    if (refusal) return refusal.status === 422 ? this.unlessKnown(raw, refusal) : refusal;
+    if (refusal)
+      return refusal.status === HTTP_STATUS.unprocessable ? this.unlessKnown(raw, refusal) : refusal;
     const record: JobRecord = { spec, submittedAt: wallClockNow(), cancelledAt: null };
     const largest = jobRecordData({ ...record, cancelledAt: record.submittedAt });
     if (!fitsValue(largest, this.maxValueKb))
-      return this.unlessKnown(raw, refused(400, 'job description too large'));
+      return this.unlessKnown(raw, refused(HTTP_STATUS.badRequest, 'job description too large'));
     return this.create(record);
   }
 
@@ -89,7 +95,7 @@
       ],
       changes: [{ put: keys.active(id), data: jobRecordData(record) }],
     });
-    if (result.kind === 'ok') return jobState(id, 'pending', undefined, 201);
+    if (result.kind === 'ok') return jobState(id, 'pending', undefined, HTTP_STATUS.created);
     if (result.kind === 'refused' || result.kind === 'lease-gone' || result.kind === 'invalid')
       return unavailable('state service refuses');
     // Known already, or the answer was lost: what is recorded decides.
@@ -101,7 +107,7 @@
   /** Null if every job that the job depends on was accepted. */
   private async refuseDependencies({ id, dependsOn }: JobSpec): Promise<HttpReply | null> {
     if (dependsOn.length === 0) return null;
-    if (dependsOn.includes(id)) return refused(422, 'awaits itself');
+    if (dependsOn.includes(id)) return refused(HTTP_STATUS.unprocessable, 'awaits itself');
     const accepted = await this.jobs.checkAccepted(dependsOn);
     switch (accepted.kind) {
       case 'accepted':
@@ -109,7 +115,7 @@
       case 'undecided':
         return unavailable('state service does not answer');
       case 'missing':
-        return refused(422, `awaits ${accepted.job}, which was never accepted`);
+        return refused(HTTP_STATUS.unprocessable, `awaits ${accepted.job}, which was never accepted`);
     }
   }
 
@@ -124,7 +130,7 @@
 
   private async status(id: JobId): Promise<HttpReply> {
     const found = await this.jobs.find(id);
-    if (found.kind === 'none') return refused(404, 'no such job');
+    if (found.kind === 'none') return refused(HTTP_STATUS.notFound, 'no such job');
     if (found.kind === 'undecided') return unavailable('state service does not answer');
     return this.describe(id, found);
   }
@@ -146,7 +152,7 @@
 
   private async abort(id: JobId): Promise<HttpReply> {
     const found = await this.jobs.find(id);
-    if (found.kind === 'none') return refused(404, 'no such job');
+    if (found.kind === 'none') return refused(HTTP_STATUS.notFound, 'no such job');
     return this.recordCancelled(id, found);
   }
 
--- a/src/runtime/users/user-replies.ts
+++ b/src/runtime/users/user-replies.ts
@@ -3,14 +3,13 @@
 import { encode } from '../../wire/cbor.js';
 import { statusBody, type StatusCounts, type UserStatus } from '../../wire/users.js';
 import type { HttpReply } from '../http/http-reply.js';
+import { HTTP_STATUS } from '../http/http-status.js';
 
 const RETRY_AFTER_S = 1;
-const STATUS_OK = 200;
-const STATUS_UNAVAILABLE = 503;
 
 /** Nothing certain can be said now: the user is to come back. */
 export const unavailable = (cause: string): HttpReply => ({
-  status: STATUS_UNAVAILABLE,
+  status: HTTP_STATUS.unavailable,
   retryAfterS: RETRY_AFTER_S,
   refusalCause: cause,
   body: encode({ error: cause }),
@@ -27,7 +26,7 @@
   id: JobId,
   state: UserStatus,
   counts?: StatusCounts,
-  status = STATUS_OK,
+  status: number = HTTP_STATUS.ok,
 ): HttpReply => ({
   status,
   body: encode(statusBody(id, state, counts)),
--- a/src/runtime/users/user-request-handler.ts
+++ b/src/runtime/users/user-request-handler.ts
@@ -3,6 +3,7 @@
 import { monotonicNow } from '../clock.js';
 import type { HttpMessage } from '../http/http-message.js';
 import type { HttpReply } from '../http/http-reply.js';
+import { HTTP_STATUS } from '../http/http-status.js';
 import type { Logger } from '../logger.js';
 import type { PeerLink } from '../peers/peer-link.js';
 import type { RequestLatency } from '../request-latency.js';
@@ -12,7 +13,6 @@
 const FORWARD_TIMEOUT_MS = 2000;
 const LOG_INTERVAL_MS = 10_000;
 const RETRY_AFTER_S = 1;
-const UNAVAILABLE = 503;
 
 /** What user requests need. */
 export interface UserRequestDependencies {
@@ -36,14 +36,14 @@
     // Only a request without a body names what it asks about.
     const subject = request.method === 'GET' ? request.target : null;
     if (!admission.tryAdmit(subject)) {
-      this.countOutcome({ status: UNAVAILABLE, refusalCause: 'admission limit reached' });
-      reply({ status: UNAVAILABLE, retryAfterS: RETRY_AFTER_S });
+      this.countOutcome({ status: HTTP_STATUS.unavailable, refusalCause: 'admission limit reached' });
+      reply({ status: HTTP_STATUS.unavailable, retryAfterS: RETRY_AFTER_S });
       return;
     }
     let served = false;
     try {
       const answer = await this.serve(request);
-      served = answer.status !== UNAVAILABLE;
+      served = answer.status !== HTTP_STATUS.unavailable;
       const { method, target } = request;
       const { status, jobStatus, refusalCause } = answer;
       log.debug({ method, target, status, jobStatus, cause: refusalCause }, 'user answered');
@@ -55,11 +55,11 @@
     }
   }
 
-  /** Refused here for want of the store alone: a peer that the store answers takes the request, so that the user need not. */
+  /** Refused here for want of the store alone: a peer that the store answers takes the request in the user's place. */
   private async serve(request: HttpMessage): Promise<HttpReply> {
     const { users, links } = this.dependencies;
     const own = await users.handle(request);
-    if (own.status !== UNAVAILABLE) return own;
+    if (own.status !== HTTP_STATUS.unavailable) return own;
     const now = monotonicNow();
     const peer = links.find((link) => link.isAlive(now) && link.status?.storeAvailable);
     if (!peer) return own;
--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -29,6 +29,7 @@
 import { LeaderlessRenewal } from './leaderless-renewal.js';
 import { UnchangedHeartbeats } from './unchanged-heartbeats.js';
 import { WorkerRedirection } from './worker-redirection.js';
+import { HTTP_STATUS } from '../http/http-status.js';
 
 const FORWARD_TIMEOUT_MS = 2500;
 const OUTCOMES_LOG_INTERVAL_MS = 10_000;
@@ -121,7 +122,7 @@
     this.countOutcome(outcome, now);
     const leader = this.dependencies.leaderLoop()?.leaderCore;
     const inSync = machine !== undefined && (leader?.isInSync(machine) ?? false);
-    return { ...reply, inSync: reply.status === 200 && inSync };
+    return { ...reply, inSync: reply.status === HTTP_STATUS.ok && inSync };
   }
 
   /** Whether the whole cluster is known to somebody: to this controller, or to one that it can reach. */
@@ -219,9 +220,9 @@
       return answered('confirmed unchanged', heartbeatReply(term, []));
     const answer = await route.ask({ kind: 'forwarded-heartbeat', heartbeat: body }, FORWARD_TIMEOUT_MS);
     // One without authority may not be able to answer for the worker; then we may.
-    if (answer && (answer.status === 200 || leading)) {
+    if (answer && (answer.status === HTTP_STATUS.ok || leading)) {
       const { status, body: replyBody, inSync } = answer;
-      this.unchangedHeartbeats.recordFullHeartbeat(heartbeat, term, status === 200 && inSync);
+      this.unchangedHeartbeats.recordFullHeartbeat(heartbeat, term, status === HTTP_STATUS.ok && inSync);
       return { outcome: 'forwarded', reply: { status, body: Buffer.from(replyBody) } };
     }
     return this.leaderlessRenewal.answer(heartbeat, this.clock());
--- a/src/runtime/workers/heartbeat-outcome.ts
+++ b/src/runtime/workers/heartbeat-outcome.ts
@@ -3,6 +3,7 @@
 import { encode } from '../../wire/cbor.js';
 import { redirectBody } from '../../wire/workers.js';
 import type { HttpReply } from '../http/http-reply.js';
+import { HTTP_STATUS } from '../http/http-status.js';
 
 /** How a heartbeat was dealt with: counted for the log. */
 export type HeartbeatOutcome =
@@ -19,31 +20,26 @@
   reply: HttpReply;
 }
 
-const STATUS_OK = 200;
-const STATUS_MALFORMED = 400;
-const STATUS_MISDIRECTED = 421;
-const STATUS_UNAVAILABLE = 503;
-
 /** The worker's lease is renewed under the fencing token in `body`, which may hold commands. */
 export const answered = (outcome: HeartbeatOutcome, body: unknown): HeartbeatResult => ({
   outcome,
-  reply: { status: STATUS_OK, body: encode(body) },
+  reply: { status: HTTP_STATUS.ok, body: encode(body) },
 });
 
 /** The worker is to try another controller: this one, or whichever answers if null. */
 export const redirected = (controller: NodeName | null): HeartbeatResult => ({
   outcome: 'redirected',
-  reply: { status: STATUS_MISDIRECTED, body: encode(redirectBody(controller)) },
+  reply: { status: HTTP_STATUS.misdirected, body: encode(redirectBody(controller)) },
 });
 
 /** Nothing can be said to the worker now: its lease runs on. */
 export const unavailable = (): HeartbeatResult => ({
   outcome: 'refused',
-  reply: { status: STATUS_UNAVAILABLE, body: encode({}) },
+  reply: { status: HTTP_STATUS.unavailable, body: encode({}) },
 });
 
 /** The heartbeat can't be read. */
 export const malformed = (cause: string): HeartbeatResult => ({
   outcome: 'refused',
-  reply: { status: STATUS_MALFORMED, body: encode({ error: cause }) },
+  reply: { status: HTTP_STATUS.badRequest, body: encode({ error: cause }) },
 });
