--- a/lint/strict.js
+++ b/lint/strict.js
@@ -39,8 +39,8 @@
 export const protocolEdge = [
   'src/wire/**',
   'src/config/**',
-  'src/test/sim/{worker-host,simulated-user,simulated-cloud-provider,simulated-key-value-store,production-version}.ts',
-  'src/test/{wire,peer-messages,upgrade}.test.ts',
+  'src/test/sim/{heartbeat-handler-fixtures,worker-host,simulated-user,simulated-cloud-provider,simulated-key-value-store,production-version}.ts',
+  'src/test/{wire,peer-messages,upgrade,heartbeat-handler,user-api}.test.ts',
 ];
 
 export const plugins = { brookspur, 'import-x': importX, jsdoc };
--- a/src/test/http.test.ts
+++ b/src/test/http.test.ts
@@ -95,6 +95,18 @@
   assert.match(await raw('nonsense\r\n\r\n'), /^HTTP\/1\.1 400 /);
 });
 
+/** Sends a request on a connection of its own, and waits for the first bytes of the response or the end. */
+const sendRequest = async (port: number, path: string) => {
+  const socket = connect(port, '127.0.0.1');
+  const peer = { socket, got: '', closed: false };
+  socket.on('data', (data) => (peer.got += data.toString()));
+  socket.on('error', () => undefined);
+  const closed = new Promise((resolve) => socket.on('close', resolve)).then(() => (peer.closed = true));
+  socket.write(`GET ${path} HTTP/1.1\r\n\r\n`);
+  await Promise.race([new Promise((resolve) => socket.once('data', resolve)), closed]);
+  return peer;
+};
+
 test('more peers than sockets: idle connections are closed, those of the larger group first, and busy ones are kept', async (t) => {
   const open: ((response: { status: number }) => void)[] = [];
   const limits = {
@@ -112,16 +124,7 @@
   ).listen(0, '127.0.0.1');
   await new Promise((resolve) => server.once('listening', resolve));
   const { port } = server.address() as AddressInfo;
-  const dial = async (path: string) => {
-    const socket = connect(port, '127.0.0.1');
-    const peer = { socket, got: '', closed: false };
-    socket.on('data', (data) => (peer.got += data.toString()));
-    socket.on('error', () => undefined);
-    const closed = new Promise((resolve) => socket.on('close', resolve)).then(() => (peer.closed = true));
-    socket.write(`GET ${path} HTTP/1.1\r\n\r\n`);
-    await Promise.race([new Promise((resolve) => socket.once('data', resolve)), closed]);
-    return peer;
-  };
+  const dial = (path: string) => sendRequest(port, path);
   const peers: Awaited<ReturnType<typeof dial>>[] = [];
   t.after(() => {
     peers.forEach((peer) => peer.socket.destroy());
@@ -129,7 +132,7 @@
   });
   for (const path of ['/user', '/w1', '/w2']) peers.push(await dial(path));
   assert.ok(peers.every((peer) => peer.got.includes('200') && !peer.got.includes('close')));
-  // Above four fifths: answered, and asked to come back on a new connection.
+  // Above four fifths: answered, and asked to open a new connection next time.
   const fourth = await dial('/w3');
   peers.push(fourth);
   assert.match(fourth.got, /200 OK[^]*Connection: close/);
@@ -143,7 +146,7 @@
   assert.deepEqual(
     peers.map((peer) => peer.closed),
     [false, true, false, true],
-    'the longest idle worker gave way, not the user',
+    'the longest idle worker connection is closed, not that of the user',
   );
   for (const reply of open) reply({ status: 204 });
   assert.ok((await Promise.all(held)).every((peer) => peer.got.includes('204')));
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -290,39 +290,3 @@
   assert.deepEqual([...big.progress.unpersisted], [99_999]);
   assert.ok(!big.isDurable(99_999));
 });
-
-test('at 700 machines the cost of a cycle grows with its signatures, not with jobs times tasks', () => {
-  const full = makeJob('wk-0', { tasks: 5600, priority: 'production', cpus: 8 });
-  const machines = Array.from({ length: 700 }, (_item, i) =>
-    makeMachine(`m${i}`, 'large', i % 2 ? 'east' : 'west'),
-  );
-  machines.forEach((machine, i) => {
-    for (let slot = 0; slot < 8; slot++) placeRunningTask(machine, full, i * 8 + slot);
-  });
-  const waiting = (count: number): Job[] =>
-    Array.from({ length: count }, (_item, i) =>
-      makeJob(`wk-${i + 1}`, { tasks: 40, cpus: 4 + (i % 5), kind: i % 2 ? 'gang' : 'array', oneZone: true }),
-    );
-  // Each with amounts of its own, so that no filter's answer serves another: full machines are still not asked one by one.
-  const unlike = waiting(300).map((j, i) => makeJob(j.id, { tasks: 40, cpus: 4 + i / 100 }));
-  const { machineEvaluations } = runTestCycle(machines, unlike);
-  assert.ok(
-    machineEvaluations <= 2 * machines.length + unlike.length,
-    `${machineEvaluations} for 300 unlike jobs`,
-  );
-  const few = runTestCycle(machines, waiting(10)).machineEvaluations;
-  const many = runTestCycle(machines, waiting(300)).machineEvaluations;
-  assert.ok(
-    many <= few * 2,
-    `${few} machines looked at for 10 jobs, ${many} for 300 with the same signatures`,
-  );
-  // With room everywhere the bound holds, and what is left over goes on in the next cycle.
-  const empty = Array.from({ length: 700 }, (_item, i) =>
-    makeMachine(`e${i}`, 'large', i % 2 ? 'east' : 'west'),
-  );
-  const busy = runTestCycle(empty, waiting(120));
-  assert.ok(
-    busy.unprocessed.length > 0 && busy.machineEvaluations < 200_000 + 40 * 4 * 700,
-    `${busy.machineEvaluations}`,
-  );
-});
--- a/src/test/socket-limits.test.ts
+++ b/src/test/socket-limits.test.ts
@@ -44,13 +44,13 @@
   const to = (index: number): Endpoint => `127.0.0.${index}:${port}` as Endpoint;
   const body = encode({});
   for (let index = 1; index <= 8; index++) {
-    const result = await calls.request(to(index), '/orders', body, 5000);
+    const result = await calls.request(to(index), '/commands', body, 5000);
     assert.ok(result.ok && result.status === 200);
     assert.ok(calls.connectionCount <= 3);
   }
   const held = [1, 2, 3].map((index) => calls.request(to(index), '/hold', body, 5000));
   while (open.length < 3) await new Promise((resolve) => setImmediate(resolve));
-  const refused = await calls.request(to(4), '/orders', body, 5000);
+  const refused = await calls.request(to(4), '/commands', body, 5000);
   assert.deepEqual(
     refused.ok ? null : refused.sent,
     false,
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -1,5 +1,7 @@
-// The version in production and the present one side by side: a rolling upgrade on virtual time, and each one's records
-// and messages read by the other.
+/**
+ * The version in production and the present one side by side: a rolling upgrade on virtual time, and each one's records
+ * and messages read by the other.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { teams as dayTeams, jobSpec, types } from './sim/fixtures.js';
@@ -191,58 +193,65 @@
   assert.deepEqual(dependenciesIn(stored(oldRecord)), []);
 });
 
+interface RecordKind {
+  written: unknown;
+  form: unknown;
+  read: unknown;
+  readers: ((raw: unknown) => unknown)[];
+}
+
+const storedMachine = {
+  id: 'host-1' as MachineId,
+  endpoint: '10.0.0.1:9000' as Endpoint,
+  type: 'small' as MachineTypeName,
+  zone: 'east' as Zone,
+  spot: true,
+};
+const page = { machines: [{ id: 'host-1', type: 'small', zone: 'east', spot: true }] };
+const progress = { bits: 'Bf8=' };
+const unenrolled = [{ ...storedMachine, endpoint: '' }];
+const typesPage = { pages: 1, types };
+const done = { state: 'done', tasks: 3 } as const;
+const cancelled = { state: 'cancelled', tasks: 3 } as const;
+const leader = { node: 'stable-0', term: 3 };
+const recordKinds: RecordKind[] = [
+  {
+    written: finalRecordData(done),
+    form: done,
+    read: done,
+    readers: [parseFinalRecord, production.parseFinal],
+  },
+  {
+    written: finalRecordData(cancelled),
+    form: { state: 'withdrawn', tasks: 3 },
+    read: cancelled,
+    readers: [parseFinalRecord, production.parseFinal],
+  },
+  {
+    written: registryPageData([storedMachine]),
+    form: page,
+    read: unenrolled,
+    readers: [parseRegistryPage, production.parseRosterPage],
+  },
+  {
+    written: progressRecordData(Uint8Array.of(5, 255)),
+    form: progress,
+    read: 'Bf8=',
+    readers: [parseProgressRecord, production.parseProgress],
+  },
+  { written: leader, form: leader, read: leader, readers: [parseLeaderRecord, production.parseLeader] },
+  { written: { term: 3 }, form: { term: 3 }, read: 3, readers: [parseTermRecord, production.parseTerm] },
+  { written: types, form: types, read: types, readers: [parseStoredTypes, production.parseStoredTypes] },
+  {
+    written: typesPage,
+    form: typesPage,
+    read: typesPage,
+    readers: [parseTypesPage],
+  },
+];
+
 test('stored records: the encoded form of each kind is that of the version in production', () => {
-  const machine = {
-    id: 'host-1' as MachineId,
-    endpoint: '10.0.0.1:9000' as Endpoint,
-    type: 'small' as MachineTypeName,
-    zone: 'east' as Zone,
-    spot: true,
-  };
-  const page = { machines: [{ id: 'host-1', type: 'small', zone: 'east', spot: true }] };
-  const progress = { bits: 'Bf8=' };
-  const unenrolled = [{ ...machine, endpoint: '' }];
-  const typesPage = { pages: 1, types };
-  const done = { state: 'done', tasks: 3 } as const;
-  const cancelled = { state: 'cancelled', tasks: 3 } as const;
-  const leader = { node: 'stable-0', term: 3 };
-  const kinds: { written: unknown; form: unknown; read: unknown; readers: ((raw: unknown) => unknown)[] }[] =
-    [
-      {
-        written: finalRecordData(done),
-        form: done,
-        read: done,
-        readers: [parseFinalRecord, production.parseFinal],
-      },
-      {
-        written: finalRecordData(cancelled),
-        form: { state: 'withdrawn', tasks: 3 },
-        read: cancelled,
-        readers: [parseFinalRecord, production.parseFinal],
-      },
-      {
-        written: registryPageData([machine]),
-        form: page,
-        read: unenrolled,
-        readers: [parseRegistryPage, production.parseRosterPage],
-      },
-      {
-        written: progressRecordData(Uint8Array.of(5, 255)),
-        form: progress,
-        read: 'Bf8=',
-        readers: [parseProgressRecord, production.parseProgress],
-      },
-      { written: leader, form: leader, read: leader, readers: [parseLeaderRecord, production.parseLeader] },
-      { written: { term: 3 }, form: { term: 3 }, read: 3, readers: [parseTermRecord, production.parseTerm] },
-      { written: types, form: types, read: types, readers: [parseStoredTypes, production.parseStoredTypes] },
-      {
-        written: typesPage,
-        form: typesPage,
-        read: typesPage,
-        readers: [parseTypesPage],
-      },
-    ];
-  for (const { written, form, read, readers } of kinds) {
+  for (const { written, form, read, readers } of recordKinds) {
     assert.deepEqual(stored(written), form);
     for (const reader of readers) assert.deepEqual(reader(stored(form)), read);
   }
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -13,12 +13,13 @@
 import type { Transaction } from '../wire/key-value-store.js';
 import { teams, types } from './sim/fixtures.js';
 
-/** Stand-in for the state service: transactions with conditions, and answers that get lost. */
+/** Stand-in for the client of the key-value store: transactions with conditions, and responses that get lost. */
 class Store {
   readonly items = new Map<string, { data: unknown; revision: number }>();
   revision = 0;
   mode: 'up' | 'down' | 'answer lost' | 'late' = 'up';
 
+  /** Reads one item. */
   get(key: string) {
     if (this.mode === 'down') return Promise.resolve({ kind: 'refused' as const });
     const item = this.items.get(key);
@@ -27,6 +28,7 @@
     );
   }
 
+  /** Executes the changes if all conditions hold. */
   transact(t: Transaction) {
     if (this.mode === 'down') return Promise.resolve({ kind: 'refused' as const });
     if (this.mode === 'late') return Promise.resolve({ kind: 'unknown' as const });
@@ -44,6 +46,7 @@
     return Promise.resolve({ kind: 'ok' as const, revision });
   }
 
+  /** Replaces a job's record by its final one. */
   finish(id: string, state: string): void {
     this.items.delete(`j/${id}`);
     this.items.set(`f/${id}`, { data: { state, tasks: 2 }, revision: ++this.revision });
