--- a/src/test/heartbeat-handler.test.ts
+++ b/src/test/heartbeat-handler.test.ts
@@ -20,7 +20,14 @@
 const follower = () => {
   const election = initialElectionState();
   recordLeader(election, 'stable-1' as NodeName, 3 as Term);
-  const world = { now: 1000, linked: true, relayed: 0, stateOk: true, hearing: true, refuses: false };
+  const world = {
+    now: 1000,
+    linked: true,
+    relayed: 0,
+    stateOk: true,
+    receivesHeartbeats: true,
+    refuses: false,
+  };
   const cancelled = { jobs: new Set<string>(), provenUntil: Infinity };
   const link = {
     name: 'stable-1',
@@ -31,7 +38,7 @@
         leading: true,
         term: 3,
         storeAvailable: true,
-        receivesHeartbeats: world.hearing,
+        receivesHeartbeats: world.receivesHeartbeats,
       };
     },
     isAlive: () => world.linked,
@@ -92,7 +99,7 @@
 test('no worker is redirected to a controller that receives no heartbeats', async () => {
   // Found in an incident: the leader was cut off from the workers alone; each one sent to it lost 5 s of its lease.
   const { world, report } = follower();
-  world.hearing = false;
+  world.receivesHeartbeats = false;
   assert.equal(await report('west', 2), '200 {"reins":3,"calls":[]}');
 });
 
@@ -171,8 +178,8 @@
   assert.equal(await report('east', 9), '200 {"reins":9,"calls":[]}', 'nobody else took it');
 });
 
-/** A leader with one settled machine that needs nothing, and a follower whose link leads to it. */
-const vouchers = () => {
+/** A leader with one machine in sync, and a follower whose link leads to it. */
+const syncedMachine = () => {
   const term = 3 as Term;
   const settings = {
     workers,
@@ -259,7 +266,7 @@
 test('unchanged heartbeats are batched; a change, a duplicate, a new incarnation and another leader are not', async (t) => {
   mock.timers.enable({ apis: ['setTimeout'] });
   t.after(() => mock.timers.reset());
-  const { report, seen } = vouchers();
+  const { report, seen } = syncedMachine();
   assert.equal(await report(1), 'forwarded-heartbeat');
   assert.equal(await report(2), 'unchanged-heartbeats');
   assert.equal(seen(), 2, 'the leader knows that the machine lives');
@@ -276,14 +283,14 @@
 test('a batch of unchanged heartbeats that is lost or does not match makes the next heartbeat a full one', async (t) => {
   mock.timers.enable({ apis: ['setTimeout'] });
   t.after(() => mock.timers.reset());
-  const { world, report, seen } = vouchers();
+  const { world, report, seen } = syncedMachine();
   assert.equal(await report(1), 'forwarded-heartbeat');
   world.linked = false;
   assert.equal(await report(2), 'unchanged-heartbeats');
   world.linked = true;
   assert.equal(await report(3), 'forwarded-heartbeat', 'the batch got no answer');
   assert.equal(await report(4), 'unchanged-heartbeats');
-  // Something is awaited from the machine: a vouch must not settle it.
+  // Something is expected of the machine: an unchanged heartbeat must not count as its answer.
   world.leader.machines.get('host-1' as MachineId)!.invalidate();
   assert.equal(await report(5), 'unchanged-heartbeats');
   assert.equal(seen(), 4, 'not taken in');
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -179,16 +179,16 @@
 });
 
 test('no client is refused repeatedly while others are served', () => {
-  const stage = new AdmissionControl(2, 1);
-  assert.ok(stage.tryAdmit('a') && stage.tryAdmit('b'));
-  assert.equal(stage.tryAdmit('c'), false, 'full: answered at once');
-  assert.equal(stage.tryAdmit('d'), false);
-  assert.equal(stage.tryAdmit('c'), true, 'the second time it has room that others do not get');
-  assert.equal(stage.tryAdmit('e'), false);
-  assert.equal(stage.tryAdmit('d'), false, 'the reserve is bounded, too');
-  stage.release('c', true);
-  assert.equal(stage.tryAdmit('c'), false, 'served: it is one of many again');
-  assert.equal(stage.tryAdmit('d'), true);
+  const admission = new AdmissionControl(2, 1);
+  assert.ok(admission.tryAdmit('a') && admission.tryAdmit('b'));
+  assert.equal(admission.tryAdmit('c'), false, 'full: answered at once');
+  assert.equal(admission.tryAdmit('d'), false);
+  assert.equal(admission.tryAdmit('c'), true, 'the second time it has room that others do not get');
+  assert.equal(admission.tryAdmit('e'), false);
+  assert.equal(admission.tryAdmit('d'), false, 'the reserve is bounded, too');
+  admission.release('c', true);
+  assert.equal(admission.tryAdmit('c'), false, 'served: it is one of many again');
+  assert.equal(admission.tryAdmit('d'), true);
 });
 
 test('a controller that reports a job as cancelled knows it before: on its own cancellation, on a query, on a repeat', async () => {
