--- a/src/test/cancellations.test.ts
+++ b/src/test/cancellations.test.ts
@@ -9,7 +9,7 @@
 const job = (index: number): JobId => `wk-${index}` as JobId;
 const KEPT = 160_000;
 
-/** Controllers a, b and c; each asks and hears the others by hand. */
+/** Controllers a, b and c; the test has each of them ask the others. */
 const cluster = () => {
   const names = ['a', 'b', 'c'] as NodeName[];
   const make = (name: string, run = 1): CancellationLog =>
@@ -56,7 +56,7 @@
   logs.a.onStoreRead(at(100));
   for (const peer of ['b', 'c'] as const) ask('a', peer, 200);
   assert.equal(logs.a.provenUntil(at(210)), 200);
-  logs.b.add(job(1), at(250)); // confirmed, and then it ends before anybody has heard
+  logs.b.add(job(1), at(250)); // confirmed, and then the controller crashes before any peer has read it
   logs.b = make('b', 2);
   for (const peer of ['b', 'c'] as const) ask('a', peer, 300);
   for (const peer of ['b', 'c'] as const) ask('a', peer, 400);
--- a/src/test/cloud-request-budget.test.ts
+++ b/src/test/cloud-request-budget.test.ts
@@ -26,7 +26,7 @@
     cloudProvider: cloud,
     cloudProviderLimits: { rps: 2, listLagS: 8 },
   } as unknown as PlatformSettings;
-  // Time stands still: nothing comes back to the budget, a burst of two and a half.
+  // The clock does not advance: the budget, a burst of two and a half requests, is not refilled.
   t.mock.method(performance, 'now', () => 1000);
   const client = new CloudProviderClient(platform);
   assert.deepEqual(await client.listMachines(), []);
--- a/src/test/decision-log.test.ts
+++ b/src/test/decision-log.test.ts
@@ -27,7 +27,7 @@
       );
       return [text, ...details].join(' ');
     });
-  // It is not forgotten: a late copy of the direct command would start it again.
+  // It is not forgotten: a late duplicate of the direct command would start it again.
   assert.deepEqual(lines, ['placed', 'command sent start direct', 'task completed', 'task released exited']);
 });
 
--- a/src/test/dependencies.test.ts
+++ b/src/test/dependencies.test.ts
@@ -156,7 +156,7 @@
 }
 const PRIORITIES: Priority[] = ['low', 'normal', 'high', 'production'];
 
-/** The plain model: everything is worked out anew from the graph. */
+/** The reference model: everything is derived from the graph each time. */
 const settle = (jobs: Model[]): void => {
   for (const job of jobs) {
     if (job.state === 'done' || job.state === 'cancelled') continue;
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -179,7 +179,7 @@
   );
 });
 
-/** Jobs of three teams, of all kinds and priorities, more than there is room for. */
+/** Jobs of three teams, of all kinds and priorities, more than there is capacity for. */
 const randomJobs = (random: () => number): Job[] => {
   const pick = <T>(of: readonly T[]): T => of[Math.floor(random() * of.length)];
   return Array.from({ length: 14 }, (_item, i) =>
@@ -194,8 +194,8 @@
   );
 };
 
-/** Carries out what a cycle decides as if victims left at once; whether anything changed. */
-const settleOnce = (machines: Machine[], jobs: Job[], limits: TeamQuota[]): boolean => {
+/** Executes what a cycle decides as if victims stopped at once; returns whether anything changed. */
+const applyOneCycle = (machines: Machine[], jobs: Job[], limits: TeamQuota[]): boolean => {
   const inOrder = [...jobs].sort(
     (a, b) =>
       Number(b.withinGuarantee) - Number(a.withinGuarantee) ||
@@ -204,8 +204,8 @@
   const { placed, victims } = runTestCycle(machines, inOrder, limits);
   for (const { job: j, index, machine: machine } of placed) placeRunningTask(machine, j, index);
   for (const { job: j, placement } of victims) {
-    const gone = j.spec.kind === 'gang' ? [...j.placements.values()] : [placement];
-    for (const placement of gone) {
+    const stopped = j.spec.kind === 'gang' ? [...j.placements.values()] : [placement];
+    for (const placement of stopped) {
       machines.find((machine) => machine.id === placement.machine)!.unassign(j.id, placement.index);
       j.removePlacement(placement.index);
     }
@@ -227,7 +227,7 @@
     const jobs = randomJobs(random);
     markWithinGuarantee(jobs, new Map(limits.map((t) => [t.name, t])));
     let rounds = 0;
-    while (settleOnce(machines, jobs, limits)) {
+    while (applyOneCycle(machines, jobs, limits)) {
       assert.ok(++rounds < MOST_ROUNDS, `seed ${seed} does not settle`);
       for (const { name, gpusMax } of limits) {
         const used = jobs.filter((j) => j.spec.team === name).reduce((sum, j) => sum + j.placements.size, 0);
@@ -241,26 +241,28 @@
   }
 });
 
-// ---- whole controllers on virtual time ---------------------------------------------------------------------
-
-const dayTeams = [
+const scenarioTeams = [
   team('red', { gpus: 8, gpusMax: 40 }),
   team('gold', { gpus: 8, gpusMax: 40 }),
   team('none', { gpusMax: 40 }),
 ];
 const MACHINES_PER_ZONE = 8;
 const over: Partial<ClusterSetup> = {
-  teams: dayTeams,
+  teams: scenarioTeams,
   capacity: 2 * MACHINES_PER_ZONE,
   types: types.slice(0, 1),
   initialMachines: { type: 'small', perZone: MACHINES_PER_ZONE },
 };
 const OWED_MS = 50_000;
-/** Save, a report, a cycle and a fetch. */
+/** Time to save, report, schedule and fetch. */
 const STARTED_MS = OWED_MS + 15_000;
 
 /** Everything is full of borrowed work; then a team asks for what it is guaranteed. */
-const playOwed = async (): Promise<{ violations: string[]; unfinished: string[]; running: number }> => {
+const runOwedScenario = async (): Promise<{
+  violations: string[];
+  unfinished: string[];
+  running: number;
+}> => {
   let running = 0;
   const result = await runScenario(
     1,
@@ -288,10 +290,10 @@
 };
 
 test('three teams, gangs and arrays: a team gets its guarantee at once, and every job ends', async () => {
-  assert.deepEqual(await playOwed(), { violations: [], unfinished: [], running: 6 });
+  assert.deepEqual(await runOwedScenario(), { violations: [], unfinished: [], running: 6 });
 });
 
 test('mutation: without preemption of borrowed capacity the team waits', async (t: TestContext) => {
   t.mock.method(Preemption.prototype, 'nominateReclaim' as 'nominateVictims', () => null);
-  assert.ok((await playOwed()).running < 6);
+  assert.ok((await runOwedScenario()).running < 6);
 });
--- a/src/test/heartbeat-handler.test.ts
+++ b/src/test/heartbeat-handler.test.ts
@@ -87,7 +87,7 @@
   cancelled.jobs.add('wk-1');
   const stop = '{"call":"kill","hand":"wk-1/0","try":5,"slackS":0}';
   assert.equal(await sendHeartbeat('east', 3, tasks), `200 {"reins":3,"calls":[${stop}]}`);
-  // A task cancelled right after the proof must be gone in time: the answer keeps it for a lease.
+  // A task cancelled right after the proof must stop in time: the response renews its lease.
   cancelled.provenUntil = environment.now;
   environment.now += (workers.cancelS - workers.leaseS) * 1000 - 2000;
   assert.equal(await sendHeartbeat('east'), '421 {}', 'tried again now and then');
--- a/src/test/in-flight-starts.test.ts
+++ b/src/test/in-flight-starts.test.ts
@@ -22,7 +22,7 @@
 
 test('a task moved for an interruption notice does not run twice, though its start is still in flight', () => {
   const { harness, worker, direct, slowAnswer, second } = twoStartsOnTheirWay(2);
-  // The notice comes with the answer to the direct command.
+  // The notice comes with the response to the direct command.
   worker.interruptionNoticeS = 30;
   harness.onCommandsExecuted(direct, harness.executeCommands(worker, direct));
   const other = harness.workers[1];
@@ -61,7 +61,7 @@
 test('a completed task is not started again by a late duplicate, though a later one was never sent', () => {
   const harness = new LeaderHarness(1, SHORT_MS);
   const worker = harness.workers[0];
-  // Its second task has no room, so the job goes on when the first has completed.
+  // There is no capacity for its second task, so the job continues when the first has completed.
   const job = harness.submit('wk-1', { tasks: 2, gpus: 5 });
   const late = harness.tickWithCommands(worker);
   harness.onCommandsUnanswered(late);
--- a/src/test/large-cluster.test.ts
+++ b/src/test/large-cluster.test.ts
@@ -15,7 +15,7 @@
 const whole = { cpus: 16, gpus: 2, memoryGb: 60, imageGb: 1, checkpointS: 0, saveS: 0 } as const;
 const JOBS = 40;
 
-/** One task for each machine, in jobs of equal size, some urgent; a change of leader, and some work cancelled. */
+/** One task for each machine, in jobs of equal size, some urgent; a failover, and some work cancelled. */
 const largeDay = (machines: number): LeaderSimulation => {
   const simulation = new LeaderSimulation(31);
   simulation.machines.capacity.set('large', 0);
@@ -43,7 +43,7 @@
   assert.ok(simulation.leader!.jobs.size === JOBS);
 });
 
-/** What a cycle costs where every machine is full and 300 jobs of a few kinds wait. */
+/** What a cycle costs where every machine is full and 300 jobs of a few kinds are pending. */
 const costOfCycle = (count: number): number => {
   const full = makeJob('wk-0', { tasks: count * 8, priority: 'production', cpus: 8 });
   const machines = Array.from({ length: count }, (_item, i) =>
--- a/src/test/leader-simulation.test.ts
+++ b/src/test/leader-simulation.test.ts
@@ -63,7 +63,7 @@
   simulation.clock.runUntil(70_000);
   assert.ok(simulation.machines.running.size > 900, `${simulation.machines.running.size} machines are up`);
   assert.equal(running(lives), 400);
-  // Every sixth machine dies, with its tasks; the leader too, and another leads at once.
+  // Every sixth machine dies, with its tasks; the leader too, and another is elected at once.
   [...simulation.machines.running.keys()]
     .filter((_item, i) => i % 6 === 0)
     .forEach((id) => simulation.machines.remove(id));
@@ -73,7 +73,7 @@
   assert.equal(running(lives), 400, 'every live replica runs again');
   assert.ok(
     simulation.maxCycleWork <= 200_000 + 100_000,
-    `${simulation.maxCycleWork} machines looked at in one cycle`,
+    `${simulation.maxCycleWork} units of work in one cycle`,
   );
 });
 
@@ -124,7 +124,7 @@
       simulation.clock.after(i * 9000, () =>
         simulation.submit(jobSpec(`wk-${i}`, { tasks: 6, imageGb: 1, estimateS: 20 })),
       );
-      // Preempted work goes on elsewhere while duplicates of its first start are still in flight.
+      // Preempted work continues elsewhere while duplicates of its first start are still in flight.
       simulation.clock.after(i * 9000 + 4000, () =>
         simulation.submit(
           jobSpec(`wk-${100 + i}`, { tasks: 3, priority: 'high', gpus: 2, imageGb: 1, estimateS: 10 }),
--- a/src/test/mutations-leader.test.ts
+++ b/src/test/mutations-leader.test.ts
@@ -24,7 +24,7 @@
   const simulation = new LeaderSimulation(5, (...a) => new LeaderWithoutFencing(...a));
   for (let i = 0; i < 6; i++) simulation.submit(jobSpec(`wk-${i}`, { tasks: 4, estimateS: 200, imageGb: 1 }));
   simulation.clock.after(minutes(2), () => {
-    simulation.cancel('wk-0' as JobId); // leaves room, so that the premature start happens at once
+    simulation.cancel('wk-0' as JobId); // leaves capacity, so that the premature start happens at once
     const [busy] = [...simulation.machines.running.values()].filter((running) =>
       running.worker.nextHeartbeat().tasks.some((t) => t.job !== 'wk-0'),
     );
--- a/src/test/mutations-pipelines.test.ts
+++ b/src/test/mutations-pipelines.test.ts
@@ -58,7 +58,7 @@
       return Promise.resolve(this.describeCancelled(id as JobId));
     },
   );
-  // As for a controller that has not heard of a cancellation yet: the others know no more than the records say.
+  // As for a controller that has not received a cancellation yet: the others know no more than the records say.
   t.mock.method(CancellationFeed.prototype, 'onPeerPage', () => undefined);
   t.mock.method(CancellationFeed.prototype, 'onPushed', () => undefined);
   assert.match(
--- a/src/test/progress-store.test.ts
+++ b/src/test/progress-store.test.ts
@@ -9,7 +9,7 @@
 const first = '0' as SegmentName;
 const bits = (byte: number): Uint8Array => Uint8Array.of(byte);
 
-/** A state service with one key, whose next answer may be lost while the request waits in the network. */
+/** A key-value store with one key, whose next response may be lost while the request is delayed in the network. */
 const service = () => {
   let held: (() => void)[] = [];
   let revision = 0;
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -123,7 +123,7 @@
 });
 
 test('of equal victims, the one whose job has slack is preempted; a job that is late anyway goes first', () => {
-  // Found on the bench: near the ends of arrays the same jobs were stopped again and again, and missed their deadlines.
+  // Guards against preempting the same jobs again and again near the ends of arrays, until they miss their deadlines.
   const on = (id: string, deadlineS: number): Machine => {
     const machine = makeMachine(`m-${id}`, 'small', 'east');
     const array = makeJob(id, { tasks: 2, priority: 'low', saveS: 2, estimateS: 50, deadlineS });
--- a/src/test/socket-limits.test.ts
+++ b/src/test/socket-limits.test.ts
@@ -24,7 +24,7 @@
 });
 
 test('direct commands to more workers than connections: the longest unused is closed, none is sent when all are busy', async (t) => {
-  // Found on the bench: a leader that kept a connection to each worker had none left to renew its lease on.
+  // Guards against a leader that keeps a connection to each worker and has none left to renew its lease.
   const open: ((response: { status: number }) => void)[] = [];
   const log = new Logger('test', 'error');
   const limits = { connections: 100, idleMs: 5000, bodyBytes: 100 };
@@ -54,7 +54,7 @@
   assert.deepEqual(
     refused.ok ? null : refused.sent,
     false,
-    'certainly not carried out: it goes with the next answer',
+    'certainly not executed: it goes with the next response',
   );
   for (const reply of open) reply({ status: 200 });
   assert.ok((await Promise.all(held)).every((result) => result.ok));
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { teams as dayTeams, jobSpec, types } from './sim/fixtures.js';
+import { teams as fixtureTeams, jobSpec, types } from './sim/fixtures.js';
 import { submitPipelines } from './sim/pipeline-scenarios.js';
 import { runScenario, startMixedWork, type Scenario } from './sim/scenario.js';
 import { loadProductionVersion, type ProgramVersion } from './sim/production-version.js';
@@ -62,14 +62,14 @@
 };
 
 /** Controllers are killed one after the other and come back with the present version; then the limits fall. */
-const roll = (scenario: Scenario): void => {
+const upgradeOneByOne = (scenario: Scenario): void => {
   for (const [i, controller] of scenario.cluster.controllers.entries())
     scenario.cluster.at(ROLL + i * EVERY_MS, () => scenario.cluster.upgrade(controller, 4000));
   scenario.cluster.at(LOWERED, () => scenario.cluster.lowerLimits());
   scenario.cluster.at(LOWERED + 5000, () => submitPipelines(scenario, 3));
 };
 
-const playUpgrade = async (seed: number, script: (scenario: Scenario) => void, over = lowered) => {
+const runUpgrade = async (seed: number, script: (scenario: Scenario) => void, over = lowered) => {
   const { cluster, violations, unfinished } = await runScenario(
     seed,
     { setup: over, faultsEndMs: 160_000, endMs: 380_000 },
@@ -79,8 +79,8 @@
   return cluster;
 };
 
-/** Short jobs all the while, so that each version finishes what the other took in. */
-const steadyWork = (scenario: Scenario): void => {
+/** Short jobs throughout, so that each version finishes what the other accepted. */
+const continuousWork = (scenario: Scenario): void => {
   startMixedWork(scenario);
   for (let i = 0; i < 40; i++)
     scenario.cluster.at(12_000 + i * 3000, () => {
@@ -92,10 +92,10 @@
 test('an upgrade under load; then the limits fall, and pipelines are submitted', async () => {
   for (const seed of [1, 2]) {
     let before = { accepted: 0 };
-    const cluster = await playUpgrade(seed, (scenario) => {
+    const cluster = await runUpgrade(seed, (scenario) => {
       before = countAcceptedBeforeRoll(scenario);
-      steadyWork(scenario);
-      roll(scenario);
+      continuousWork(scenario);
+      upgradeOneByOne(scenario);
     });
     assert.ok(before.accepted > 0, 'the version in production takes jobs');
     assert.equal(
@@ -107,9 +107,9 @@
 });
 
 test('in an upgrade an old controller crashes early and restarts with the old version, and the key-value store has an outage', async () => {
-  await playUpgrade(1, (scenario) => {
-    steadyWork(scenario);
-    roll(scenario);
+  await runUpgrade(1, (scenario) => {
+    continuousWork(scenario);
+    upgradeOneByOne(scenario);
     scenario.cluster.at(ROLL + 5000, () => scenario.cluster.restart(scenario.cluster.controllers[2], 300));
     scenario.cluster.at(ROLL + 13_000, () => scenario.cluster.keyValueStore.startOutage(6000));
     scenario.cluster.at(ROLL + 12_000, () => scenario.cluster.keyValueStore.delayTransactions(0.2, 40_000));
@@ -118,8 +118,8 @@
 
 test('leadership passes between the versions, both ways', async () => {
   const leaders: boolean[] = [];
-  await playUpgrade(2, (scenario) => {
-    steadyWork(scenario);
+  await runUpgrade(2, (scenario) => {
+    continuousWork(scenario);
     for (let i = 0; i < 8; i++)
       scenario.cluster.at(ROLL + i * 6000, () => {
         const { leader } = scenario.cluster;
@@ -135,7 +135,7 @@
   assert.ok(leaders.includes(true) && leaders.includes(false), 'both versions have led');
 });
 
-/** A job whose record is larger than the service will take later is accepted, runs, and is cancelled after that. */
+/** A job whose record is larger than the key-value store will accept later is accepted, runs, and is cancelled after that. */
 const cancelLargeRecord = async (nextLimits: Partial<KeyValueStoreLimits>) => {
   let id = 'wk-0' as JobId;
   const others = Array.from({ length: 99 }, (_item, i) => `another-type-${i}` as MachineTypeName);
@@ -173,7 +173,7 @@
 });
 
 const record = (over: Partial<JobRecord['spec']>): JobRecord => ({
-  spec: jobSpec('wk-7', { team: dayTeams[0].name, ...over }),
+  spec: jobSpec('wk-7', { team: fixtureTeams[0].name, ...over }),
   submittedAt: 1_700_000_000_000 as WallTime,
   cancelledAt: null,
 });
@@ -262,7 +262,7 @@
     spec: {
       id: 'wk-7',
       class: 'batch',
-      team: dayTeams[0].name,
+      team: fixtureTeams[0].name,
       kind: 'array',
       priority: 'normal',
       tasks: 1,
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -17,7 +17,7 @@
 class Store {
   readonly items = new Map<string, { data: unknown; revision: number }>();
   revision = 0;
-  mode: 'up' | 'down' | 'answer lost' | 'late' = 'up';
+  mode: 'up' | 'down' | 'response lost' | 'late' = 'up';
 
   /** Reads one item. */
   get(key: string) {
@@ -42,7 +42,7 @@
       if ('put' in change) this.items.set(change.put, { data: decode(encode(change.data)), revision });
       else this.items.delete(change.delete);
     }
-    if (this.mode === 'answer lost') return Promise.resolve({ kind: 'unknown' as const });
+    if (this.mode === 'response lost') return Promise.resolve({ kind: 'unknown' as const });
     return Promise.resolve({ kind: 'ok' as const, revision });
   }
 
@@ -129,15 +129,19 @@
   store.mode = 'down';
   assert.equal(await call(make(), 'POST', '/v1/jobs', job), '503 after 1');
   assert.equal(await call(make(), 'GET', '/v1/jobs/wk-1'), '503 after 1');
-  const blind = setup([]);
-  assert.equal(await blind.call(blind.make(), 'POST', '/v1/jobs', job), '503 after 1', 'types not known yet');
+  const withoutTypes = setup([]);
+  assert.equal(
+    await withoutTypes.call(withoutTypes.make(), 'POST', '/v1/jobs', job),
+    '503 after 1',
+    'types not known yet',
+  );
 });
 
 test('a lost store response is read back before the user is answered', async () => {
   const { store, make, call } = setup();
   store.mode = 'late';
   assert.equal(await call(make(), 'POST', '/v1/jobs', job), '503 after 1', 'it may still be carried out');
-  store.mode = 'answer lost';
+  store.mode = 'response lost';
   assert.equal(await call(make(), 'POST', '/v1/jobs', job), '200 pending');
   assert.equal(await call(make(), 'POST', '/v1/jobs/wk-1/abort'), '200 withdrawn');
 });
@@ -182,23 +186,23 @@
 });
 
 test('no client is refused repeatedly while others are served', () => {
-  const stage = new AdmissionControl(2, 1);
-  assert.ok(stage.tryAdmit('a') && stage.tryAdmit('b'));
-  assert.equal(stage.tryAdmit('c'), false, 'full: answered at once');
-  assert.equal(stage.tryAdmit('d'), false);
-  assert.equal(stage.tryAdmit('c'), true, 'the second time it has room that others do not get');
-  assert.equal(stage.tryAdmit('e'), false);
-  assert.equal(stage.tryAdmit('d'), false, 'the reserve is bounded, too');
-  stage.release('c', true);
-  assert.equal(stage.tryAdmit('c'), false, 'served: it is one of many again');
-  assert.equal(stage.tryAdmit('d'), true);
+  const admission = new AdmissionControl(2, 1);
+  assert.ok(admission.tryAdmit('a') && admission.tryAdmit('b'));
+  assert.equal(admission.tryAdmit('c'), false, 'full: answered at once');
+  assert.equal(admission.tryAdmit('d'), false);
+  assert.equal(admission.tryAdmit('c'), true, 'the second time it has room that others do not get');
+  assert.equal(admission.tryAdmit('e'), false);
+  assert.equal(admission.tryAdmit('d'), false, 'the reserve is bounded, too');
+  admission.release('c', true);
+  assert.equal(admission.tryAdmit('c'), false, 'served: it is one of many again');
+  assert.equal(admission.tryAdmit('d'), true);
 });
 
 test('a controller that reports a job as cancelled knows it before: on its own cancellation, on a query, on a repeat', async () => {
   const { store, make, call, confirmed } = setup();
   const [a, b, third] = [make(), make(), make()];
   await call(a, 'POST', '/v1/jobs', job);
-  store.mode = 'answer lost';
+  store.mode = 'response lost';
   assert.equal(await call(a, 'POST', '/v1/jobs/wk-1/abort'), '200 withdrawn', 'what is recorded decides');
   assert.deepEqual(confirmed, ['wk-1']);
   store.mode = 'up';
@@ -272,12 +276,12 @@
   assert.equal(await call(api, 'GET', '/v1/jobs/wk-2'), '200 pending', 'from the index');
   fresh.cancelled.add('wk-1' as JobId);
   assert.equal(await call(api, 'GET', '/v1/jobs/wk-2'), '200 withdrawn', 'from the log of cancellations');
-  const behind = feed(false);
-  const other = setup(types, behind);
+  const lagging = feed(false);
+  const other = setup(types, lagging);
   const late = other.make();
   await other.call(late, 'POST', '/v1/jobs', job);
   await other.call(late, 'POST', '/v1/jobs', after('wk-1'));
-  behind.index.put('wk-1' as JobId, [], false);
+  lagging.index.put('wk-1' as JobId, [], false);
   other.store.finish('wk-1', 'withdrawn');
   assert.equal(await other.call(late, 'GET', '/v1/jobs/wk-2'), '200 withdrawn', 'read again');
 });
--- a/src/test/zone-partition.test.ts
+++ b/src/test/zone-partition.test.ts
@@ -20,7 +20,7 @@
 const PARTITIONED_AT_MS = 30_000;
 const PARTITION_MS = 70_000;
 const SUBMITTED_AT_MS = PARTITIONED_AT_MS + 10_000;
-/** Before any machine of the far zone would be fenced, and replaced by one that reports elsewhere. */
+/** Before any machine of the far zone would be fenced, and replaced by one that sends heartbeats elsewhere. */
 const RUNNING_AT_MS = PARTITIONED_AT_MS + 40_000;
 const FENCED_AT_MS = PARTITIONED_AT_MS + PARTITION_MS - 5000;
 
