--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -1,7 +1,7 @@
 /** The platform's settings in the code's terms, read from the file that the platform writes for each controller. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
-import type { TeamQuota } from '../core/types.js';
+import type { TeamQuota } from '../core/team-quota.js';
 import type { NodeName, Team, Zone } from '../core/units.js';
 import { parseAddress, type Address } from './address.js';
 import { platformFile, type PlatformFile } from './platform-schema.js';
--- a/src/core/election.ts
+++ b/src/core/election.ts
@@ -5,6 +5,13 @@
 import { CLOCK_DRIFT_FRACTION } from './clock-drift.js';
 import type { Uint64, NodeName, Revision, MonotonicTime, Term } from './units.js';
 
+/** One leadership of a controller. */
+export interface Leadership {
+  term: Term;
+  /** Revision of the leader key: a write on the condition that it is unchanged only succeeds under this leadership. */
+  keyRevision: Revision;
+}
+
 /** A leadership of this controller, and the lease that it stands on. */
 export interface HeldLease {
   leaseId: Uint64;
--- a/src/core/heartbeat-record.ts
+++ b/src/core/heartbeat-record.ts
@@ -1,5 +1,6 @@
 /** The newest heartbeat of a worker: what later ones are ordered by and compared with. */
-import type { Heartbeat, TaskStatus } from './types.js';
+import type { Heartbeat } from './heartbeat.js';
+import type { TaskStatus } from './task-status.js';
 import type { MonotonicTime, Uint64 } from './units.js';
 
 /** Changed in place, since heartbeats arrive thousands of times a second. */
--- a/src/core/job.ts
+++ b/src/core/job.ts
@@ -1,6 +1,6 @@
 /** A job as the leader knows it: its record, its progress, where its tasks are, and why it waits. */
 import { JobProgress } from './job-progress.js';
-import { priorityRank, type JobRecord, type JobSpec, type Priority } from './types.js';
+import { priorityRank, type JobRecord, type JobSpec, type Priority } from './job-spec.js';
 import type {
   Attempt,
   Uint64,
--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -1,7 +1,7 @@
 /** Scales out for the waiting and the expected work, and in where nothing needs a machine. */
 import { ArrivalRates } from '../scaling/arrival-rates.js';
 import type { Machine } from '../machine.js';
-import { addResources } from '../resources.js';
+import { addResources, type Resources } from '../resources.js';
 import type { Job } from '../job.js';
 import {
   capacityKey,
@@ -9,7 +9,6 @@
   type ScaleOutRequest,
   type CapacityDemand,
 } from '../scaling/scale-out-plan.js';
-import type { Resources } from '../types.js';
 import type { Endpoint, MachineId, MonotonicTime } from '../units.js';
 import type { ScaleOutOutcome } from './effects.js';
 import { narrowJitter } from './jitter.js';
--- a/src/core/leader/decision-log.ts
+++ b/src/core/leader/decision-log.ts
@@ -4,7 +4,8 @@
  */
 import type { Machine } from '../machine.js';
 import type { Job, Placement } from '../job.js';
-import type { Command, TaskStatus } from '../types.js';
+import type { TaskStatus } from '../task-status.js';
+import type { Command } from '../worker-command.js';
 import type { Uint64, Term } from '../units.js';
 import type { LogLevel } from './effects.js';
 
--- a/src/core/leader/detection-timeouts.ts
+++ b/src/core/leader/detection-timeouts.ts
@@ -1,5 +1,5 @@
 /** After which time without a heartbeat a machine counts as unreachable, and as failed. */
-import type { WorkerTimings } from '../types.js';
+import type { WorkerTimings } from '../worker-timings.js';
 
 /** The longest time between two heartbeats of a worker, in heartbeat intervals: workers spread them. */
 const LONGEST_GAP_INTERVALS = 1.25;
--- a/src/core/leader/direct-command-dispatcher.ts
+++ b/src/core/leader/direct-command-dispatcher.ts
@@ -2,7 +2,7 @@
 import { attemptKey } from '../task-status.js';
 import type { Machine } from '../machine.js';
 import { commandsForMachine } from './machine-commands.js';
-import type { Command } from '../types.js';
+import type { Command } from '../worker-command.js';
 import type { MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
--- a/src/core/leader/effects.ts
+++ b/src/core/leader/effects.ts
@@ -1,14 +1,11 @@
 /** What the leader asks the runtime to do, the results that it gets, and its settings. */
 import type { ScaleOutRequest } from '../scaling/scale-out-plan.js';
-import type {
-  Command,
-  FinalState,
-  Heartbeat,
-  JobRecord,
-  MachineInfo,
-  TeamQuota,
-  WorkerTimings,
-} from '../types.js';
+import type { Heartbeat } from '../heartbeat.js';
+import type { FinalState, JobRecord } from '../job-spec.js';
+import type { MachineInfo } from '../machine-info.js';
+import type { TeamQuota } from '../team-quota.js';
+import type { Command } from '../worker-command.js';
+import type { WorkerTimings } from '../worker-timings.js';
 import type { Uint64, Endpoint, JobId, MachineId, SegmentName, Revision } from '../units.js';
 
 /** Levels of the leader's log events. */
--- a/src/core/leader/heartbeat-reconciler.ts
+++ b/src/core/leader/heartbeat-reconciler.ts
@@ -1,7 +1,8 @@
 /** Takes in workers' heartbeats and the results of direct commands: which are new, and what follows from them. */
 import type { Machine } from '../machine.js';
 import { attemptKey, sameTaskStatuses } from '../task-status.js';
-import type { Command, Heartbeat, UnchangedHeartbeat } from '../types.js';
+import type { Heartbeat, UnchangedHeartbeat } from '../heartbeat.js';
+import type { Command } from '../worker-command.js';
 import { equalUint64, type MachineId, type MonotonicTime } from '../units.js';
 import type { DirectCommandResult } from './effects.js';
 import type { LeaderState } from './leader-state.js';
--- a/src/core/leader/job-dependencies.ts
+++ b/src/core/leader/job-dependencies.ts
@@ -3,7 +3,7 @@
  * as urgent as the most urgent job that depends on them.
  */
 import type { Job } from '../job.js';
-import type { FinalState } from '../types.js';
+import type { FinalState } from '../job-spec.js';
 import type { JobId, MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 import { propagateUrgency } from './urgency-inheritance.js';
--- a/src/core/leader/job-finalizer.ts
+++ b/src/core/leader/job-finalizer.ts
@@ -1,6 +1,6 @@
 /** Ends jobs that are done or cancelled: writes their final records, and forgets them once these are durable. */
 import type { Job } from '../job.js';
-import type { FinalState } from '../types.js';
+import type { FinalState } from '../job-spec.js';
 import type { JobId, MonotonicTime } from '../units.js';
 import type { FinalRecordOutcome } from './effects.js';
 import type { JobDependencies } from './job-dependencies.js';
--- a/src/core/leader/job-intake.ts
+++ b/src/core/leader/job-intake.ts
@@ -2,7 +2,7 @@
 import { Job } from '../job.js';
 import type { ArrivalRates } from '../scaling/arrival-rates.js';
 import type { TypePenalties } from '../scheduler/type-penalties.js';
-import type { JobRecord } from '../types.js';
+import type { JobRecord } from '../job-spec.js';
 import type { JobId, MonotonicTime, Revision, WallTime } from '../units.js';
 import type { JobDependencies } from './job-dependencies.js';
 import type { LeaderState } from './leader-state.js';
--- a/src/core/leader/leader-state.ts
+++ b/src/core/leader/leader-state.ts
@@ -1,9 +1,10 @@
 /** What the parts of the leader share: the machines and jobs it knows, and the effects to be carried out. */
 import { Machine } from '../machine.js';
-import { fits } from '../resources.js';
+import { fits, type Resources } from '../resources.js';
 import { mayRunOn } from '../scheduler/placement-constraints.js';
 import type { Job } from '../job.js';
-import type { Resources, Leadership, MachineInfo, MachineType } from '../types.js';
+import type { Leadership } from '../election.js';
+import type { MachineInfo, MachineType } from '../machine-info.js';
 import type { JobId, MachineId, MonotonicTime, Zone } from '../units.js';
 import { DecisionLog } from './decision-log.js';
 import type { Effect, LeaderSettings, LogLevel } from './effects.js';
--- a/src/core/leader/leader.ts
+++ b/src/core/leader/leader.ts
@@ -5,16 +5,11 @@
 import type { Machine } from '../machine.js';
 import type { Job } from '../job.js';
 import { TypePenalties } from '../scheduler/type-penalties.js';
-import type {
-  Command,
-  FinalState,
-  Leadership,
-  ListedMachine,
-  MachineInfo,
-  MachineType,
-  Heartbeat,
-  UnchangedHeartbeat,
-} from '../types.js';
+import type { Leadership } from '../election.js';
+import type { Heartbeat, UnchangedHeartbeat } from '../heartbeat.js';
+import type { FinalState } from '../job-spec.js';
+import type { ListedMachine, MachineInfo, MachineType } from '../machine-info.js';
+import type { Command } from '../worker-command.js';
 import type { JobId, MachineId, SegmentName, MonotonicTime, WallTime } from '../units.js';
 import { Autoscaler } from './autoscaler.js';
 import { DeadlinePredictor } from './deadline-predictor.js';
--- a/src/core/leader/machine-commands.ts
+++ b/src/core/leader/machine-commands.ts
@@ -1,8 +1,8 @@
 /** Compares the wanted tasks of a machine with those reported: which commands its worker must be sent now. */
-import { attemptKey } from '../task-status.js';
+import { attemptKey, type TaskStatus } from '../task-status.js';
 import type { Machine } from '../machine.js';
 import type { Job, Placement } from '../job.js';
-import type { Command, TaskStatus } from '../types.js';
+import type { Command } from '../worker-command.js';
 import { taskId, type JobId, type MonotonicTime } from '../units.js';
 
 /** Grace ends after this multiple of what was granted, and a margin for the command's way to the worker. */
--- a/src/core/leader/machine-pool.ts
+++ b/src/core/leader/machine-pool.ts
@@ -1,6 +1,6 @@
 /** The machines from the registry, the cloud provider's list and scale-out: registered, drained, fenced and deleted. */
 import type { Machine } from '../machine.js';
-import type { ListedMachine, MachineInfo } from '../types.js';
+import type { ListedMachine, MachineInfo } from '../machine-info.js';
 import type { MachineId, MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 import { MachineRegistration } from './machine-registration.js';
--- a/src/core/leader/machine-registration.ts
+++ b/src/core/leader/machine-registration.ts
@@ -1,6 +1,6 @@
 /** Registers machines in the durable machine registry before tasks start on them, and keeps its pages small. */
 import type { Machine } from '../machine.js';
-import type { MachineInfo } from '../types.js';
+import type { MachineInfo } from '../machine-info.js';
 import type { MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 import { MachineRegistry } from './machine-registry.js';
--- a/src/core/leader/machine-registry.ts
+++ b/src/core/leader/machine-registry.ts
@@ -2,7 +2,7 @@
  * The pages of the durable machine registry, which says which machines may hold tasks. A page is one record in the state
  * service.
  */
-import type { MachineInfo } from '../types.js';
+import type { MachineInfo } from '../machine-info.js';
 import type { MachineId } from '../units.js';
 
 interface Page {
--- a/src/core/leader/one-way-partition-detector.ts
+++ b/src/core/leader/one-way-partition-detector.ts
@@ -6,7 +6,7 @@
 import type { Placement } from '../job.js';
 import { REPLY_TIMEOUT_MS } from '../reply-tracker.js';
 import { attemptKey } from '../task-status.js';
-import type { Heartbeat } from '../types.js';
+import type { Heartbeat } from '../heartbeat.js';
 import type { MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 import type { MachinePool } from './machine-pool.js';
--- a/src/core/leader/replacement-demand.ts
+++ b/src/core/leader/replacement-demand.ts
@@ -5,7 +5,7 @@
 import type { Job } from '../job.js';
 import type { Machine } from '../machine.js';
 import type { CapacityDemand } from '../scaling/scale-out-plan.js';
-import { priorityRank } from '../types.js';
+import { priorityRank } from '../job-spec.js';
 import type { Zone } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
--- a/src/core/leader/scheduling-queue.ts
+++ b/src/core/leader/scheduling-queue.ts
@@ -1,7 +1,7 @@
 /** The order in which jobs are placed: first those that waited long, then by priority and by when they are due. */
-import { addResources } from '../resources.js';
+import { addResources, type Resources } from '../resources.js';
 import type { Job } from '../job.js';
-import { priorityRank, type Resources } from '../types.js';
+import { priorityRank } from '../job-spec.js';
 import type { MonotonicTime, Team, WallTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
--- a/src/core/leader/scheduling-round.ts
+++ b/src/core/leader/scheduling-round.ts
@@ -8,7 +8,7 @@
   type CycleResult,
 } from '../scheduler/scheduling-cycle.js';
 import type { TypePenalties } from '../scheduler/type-penalties.js';
-import type { TeamQuota } from '../types.js';
+import type { TeamQuota } from '../team-quota.js';
 import {
   attemptNumber,
   type Attempt,
--- a/src/core/leader/task-reconciler.ts
+++ b/src/core/leader/task-reconciler.ts
@@ -1,8 +1,8 @@
 /** Reconciles the tasks that a worker reports with those that the leader has placed on its machine. */
 import { newPlacement, type Job, type Placement } from '../job.js';
 import type { Machine } from '../machine.js';
-import { attemptKey } from '../task-status.js';
-import type { Heartbeat, TaskStatus } from '../types.js';
+import { attemptKey, type TaskStatus } from '../task-status.js';
+import type { Heartbeat } from '../heartbeat.js';
 import type { MonotonicTime } from '../units.js';
 import { wideJitter } from './jitter.js';
 import type { LeaderState } from './leader-state.js';
--- a/src/core/leader/urgency-inheritance.ts
+++ b/src/core/leader/urgency-inheritance.ts
@@ -1,6 +1,6 @@
 /** Passes priorities and due times from the jobs that depend on others to those others. */
 import type { InheritedUrgency, Job } from '../job.js';
-import { priorityRank, type Priority } from '../types.js';
+import { priorityRank, type Priority } from '../job-spec.js';
 import type { JobId, WallTime } from '../units.js';
 
 /** The unfinished jobs that depend on others, by what they depend on. */
--- a/src/core/machine.ts
+++ b/src/core/machine.ts
@@ -1,19 +1,14 @@
 /** A machine as the leader knows it: what its worker has reported, what is placed on it, and what is to become of it. */
-import {
-  priorityRank,
-  type Resources,
-  type MachineInfo,
-  type MachineType,
-  type TaskStatus,
-} from './types.js';
+import { priorityRank } from './job-spec.js';
+import type { MachineInfo, MachineType } from './machine-info.js';
 import { taskId, type JobId, type MachineId, type MonotonicTime, type TaskId } from './units.js';
 import { HeartbeatRecord } from './heartbeat-record.js';
 import { ImageCache } from './image-cache.js';
 import { InFlightStarts } from './in-flight-starts.js';
 import type { Job, Placement } from './job.js';
 import { ReplyTracker } from './reply-tracker.js';
-import { addResources, noResources } from './resources.js';
-import { attemptKey, type AttemptKey } from './task-status.js';
+import { addResources, noResources, type Resources } from './resources.js';
+import { attemptKey, type AttemptKey, type TaskStatus } from './task-status.js';
 
 /** What a machine's placements mean to the scheduler; made anew only when something changed there. */
 export interface MachineLoad {
--- a/src/core/resources.ts
+++ b/src/core/resources.ts
@@ -1,5 +1,12 @@
 /** Arithmetic on amounts of CPUs, accelerators and memory. */
-import type { Resources } from './types.js';
+
+/** Amounts of what tasks take and machines offer. */
+export interface Resources {
+  cpus: number;
+  /** Accelerators. */
+  gpus: number;
+  memoryGb: number;
+}
 
 /** Amounts that differ by less than this count as equal: sums of decimal amounts are not exact. */
 export const RESOURCE_EPSILON = 1e-6;
--- a/src/core/scaling/arrival-rates.ts
+++ b/src/core/scaling/arrival-rates.ts
@@ -1,5 +1,6 @@
 /** How much work has arrived lately, by class: the forecast that capacity is kept ready for. */
-import type { JobRecord, JobSpec, MachineType } from '../types.js';
+import type { JobRecord, JobSpec } from '../job-spec.js';
+import type { MachineType } from '../machine-info.js';
 import type { MonotonicTime, WallTime } from '../units.js';
 
 const WINDOW_MS = 150_000;
--- a/src/core/scaling/scale-out-plan.ts
+++ b/src/core/scaling/scale-out-plan.ts
@@ -1,8 +1,9 @@
 /** How many machines of which type, zone and kind the waiting and the forecast work needs. */
-import { addResources, copyResources, fits, tasksPerMachine } from '../resources.js';
+import { addResources, copyResources, fits, tasksPerMachine, type Resources } from '../resources.js';
 import type { Machine } from '../machine.js';
 import { mayRunOn, zoneAllowsOneMore, type ZoneCounts } from '../scheduler/placement-constraints.js';
-import type { Resources, JobSpec, MachineType } from '../types.js';
+import type { JobSpec } from '../job-spec.js';
+import type { MachineType } from '../machine-info.js';
 import type { MachineId, MonotonicTime, MachineTypeName, Zone } from '../units.js';
 
 /** Tasks that need capacity. */
--- a/src/core/scheduler/candidate-machine.ts
+++ b/src/core/scheduler/candidate-machine.ts
@@ -1,8 +1,8 @@
 /** A machine in a cycle's snapshot: what is free, releasing and being fetched there, and when a task could start. */
-import { addResources, copyResources, fits, noResources } from '../resources.js';
+import { addResources, copyResources, fits, noResources, type Resources } from '../resources.js';
 import type { Machine } from '../machine.js';
 import type { Job } from '../job.js';
-import type { Resources, JobSpec } from '../types.js';
+import type { JobSpec } from '../job-spec.js';
 import type { JobId, MonotonicTime } from '../units.js';
 
 /** A machine that the cycle may place tasks on, with the cycle's own account of it. */
--- a/src/core/scheduler/candidate-selection.ts
+++ b/src/core/scheduler/candidate-selection.ts
@@ -4,7 +4,7 @@
  */
 import { fits } from '../resources.js';
 import type { Job } from '../job.js';
-import type { JobSpec } from '../types.js';
+import type { JobSpec } from '../job-spec.js';
 import type { MachineTypeName, Zone } from '../units.js';
 import { estimatedFetchS, type CandidateMachine } from './candidate-machine.js';
 import { CandidateRanking } from './candidate-ranking.js';
--- a/src/core/scheduler/gang-planning.ts
+++ b/src/core/scheduler/gang-planning.ts
@@ -1,6 +1,6 @@
 /** Gang scheduling: all members are placed in one cycle or none is, with or without victims. */
 import type { Job } from '../job.js';
-import { priorityRank } from '../types.js';
+import { priorityRank } from '../job-spec.js';
 import type { Zone } from '../units.js';
 import { estimatedFetchS, type CandidateMachine } from './candidate-machine.js';
 import type { CandidateSelection } from './candidate-selection.js';
--- a/src/core/scheduler/guarantee-accounting.ts
+++ b/src/core/scheduler/guarantee-accounting.ts
@@ -2,9 +2,9 @@
  * Quota accounting within a scheduling cycle: how much of another team's work beyond its guarantee may be stopped
  * without leaving that team below what it is guaranteed itself.
  */
-import { addResources, noResources, RESOURCE_EPSILON } from '../resources.js';
+import { addResources, noResources, RESOURCE_EPSILON, type Resources } from '../resources.js';
 import type { Job, Placement } from '../job.js';
-import type { Resources, TeamQuota } from '../types.js';
+import type { TeamQuota } from '../team-quota.js';
 import type { Team } from '../units.js';
 import { effectiveGuarantee } from './guarantees.js';
 import type { Victim } from './nomination.js';
--- a/src/core/scheduler/guarantees.ts
+++ b/src/core/scheduler/guarantees.ts
@@ -1,7 +1,7 @@
 /** Teams' guarantees: what each is, and which jobs are within them. */
-import { addResources, noResources, RESOURCE_EPSILON } from '../resources.js';
+import { addResources, noResources, RESOURCE_EPSILON, type Resources } from '../resources.js';
 import type { Job } from '../job.js';
-import type { Resources, TeamQuota } from '../types.js';
+import type { TeamQuota } from '../team-quota.js';
 import type { Team } from '../units.js';
 
 /** What a team is guaranteed of each kind; a guarantee above the limit is served up to the limit. 0: none. */
--- a/src/core/scheduler/job-feasibility.ts
+++ b/src/core/scheduler/job-feasibility.ts
@@ -1,6 +1,7 @@
 /** Whether a job could run at all on empty machines of the types that the cloud offers. */
 import { fits } from '../resources.js';
-import type { JobSpec, MachineType } from '../types.js';
+import type { JobSpec } from '../job-spec.js';
+import type { MachineType } from '../machine-info.js';
 import { mayRunOn } from './placement-constraints.js';
 
 /** Whether a task of the job fits an allowed on-demand machine. */
--- a/src/core/scheduler/placement-constraints.ts
+++ b/src/core/scheduler/placement-constraints.ts
@@ -1,6 +1,7 @@
 /** The constraints on where a task may run at all: machine type, zone, spot instances, and the team's limit. */
-import { RESOURCE_EPSILON } from '../resources.js';
-import type { Resources, JobSpec, Priority, TeamQuota } from '../types.js';
+import { RESOURCE_EPSILON, type Resources } from '../resources.js';
+import type { JobSpec, Priority } from '../job-spec.js';
+import type { TeamQuota } from '../team-quota.js';
 import type { Zone } from '../units.js';
 
 /** How many of a job's tasks are in each zone; zones without any may be missing. */
--- a/src/core/scheduler/scheduling-cycle.ts
+++ b/src/core/scheduler/scheduling-cycle.ts
@@ -4,7 +4,7 @@
  */
 import type { Machine } from '../machine.js';
 import type { Job } from '../job.js';
-import type { JobSpec } from '../types.js';
+import type { JobSpec } from '../job-spec.js';
 import type { MachineTypeName, Zone } from '../units.js';
 import type { CandidateMachine } from './candidate-machine.js';
 import { CandidateSelection } from './candidate-selection.js';
--- a/src/core/scheduler/snapshot.ts
+++ b/src/core/scheduler/snapshot.ts
@@ -2,10 +2,11 @@
  * The frozen snapshot that one cycle works on: machines with their free capacity, what teams use, and what the cycle
  * has assumed on top.
  */
-import { addResources, fits, noResources } from '../resources.js';
+import { addResources, fits, noResources, type Resources } from '../resources.js';
 import type { Machine } from '../machine.js';
 import type { Job, Placement } from '../job.js';
-import { priorityRank, type Resources, type Priority, type TeamQuota } from '../types.js';
+import { priorityRank, type Priority } from '../job-spec.js';
+import type { TeamQuota } from '../team-quota.js';
 import type { MachineId, Team, WallTime, Zone } from '../units.js';
 import { candidateOf, type CandidateInput, type CandidateMachine } from './candidate-machine.js';
 import { GuaranteeAccounting } from './guarantee-accounting.js';
--- a/src/core/scheduler/type-penalties.ts
+++ b/src/core/scheduler/type-penalties.ts
@@ -1,6 +1,7 @@
 /** Which machine types suit which class of jobs: a task that is as well off on either leaves the one that others need. */
 import { tasksPerMachine } from '../resources.js';
-import type { JobSpec, MachineType } from '../types.js';
+import type { JobSpec } from '../job-spec.js';
+import type { MachineType } from '../machine-info.js';
 import type { MachineTypeName } from '../units.js';
 import { mayRunOn } from './placement-constraints.js';
 
--- a/src/core/scheduler/victim-selection.ts
+++ b/src/core/scheduler/victim-selection.ts
@@ -1,7 +1,7 @@
 /** Selects the tasks on one machine that would have to stop for a task to fit there. */
-import { addResources, fits } from '../resources.js';
+import { addResources, fits, type Resources } from '../resources.js';
 import type { Job } from '../job.js';
-import { priorityRank, type Resources } from '../types.js';
+import { priorityRank } from '../job-spec.js';
 import type { MonotonicTime, WallTime } from '../units.js';
 import type { CandidateMachine } from './candidate-machine.js';
 import type { GuaranteeAccounting } from './guarantee-accounting.js';
--- a/src/core/task-status.ts
+++ b/src/core/task-status.ts
@@ -1,6 +1,27 @@
 /** Identifies and compares the task statuses that heartbeats carry. */
-import type { TaskStatus } from './types.js';
-import type { JobId } from './units.js';
+import type { JobId, Attempt } from './units.js';
+
+/** A task's state on its machine; `waiting` is for the other members of its gang. */
+export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
+
+/**
+ * Why a task exited. `peers`: another member of its gang is gone; `incomplete`: the gang was not complete in time;
+ * `no_room`, `in_use`, `no_such`: the start was refused.
+ */
+export type ExitCause =
+  'done' | 'stopped' | 'peers' | 'incomplete' | 'error' | 'no_room' | 'in_use' | 'no_such';
+
+/** One attempt of a task in a heartbeat. */
+export interface TaskStatus {
+  job: JobId;
+  index: number;
+  attempt: Attempt;
+  state: TaskState;
+  /** Null until the task has exited. */
+  cause: ExitCause | null;
+  /** Stopped with its progress saved in a checkpoint. */
+  saved: boolean;
+}
 
 /** Names one attempt of one task. */
 export type AttemptKey = string & { readonly attemptKey: unique symbol };
--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -15,7 +15,7 @@
 import { JobIndex, type IndexedJob } from '../../core/job-index.js';
 import type { JobId, MonotonicTime, NodeName, Revision } from '../../core/units.js';
 import { parseCancelledJobs } from '../../wire/cancellation-pages.js';
-import { dependenciesIn, isCancelledRecord, keys } from '../../wire/key-value-store.js';
+import { dependenciesIn, isCancelledRecord, keys } from '../../wire/stored-records.js';
 import { monotonicNow, sleep } from '../clock.js';
 import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { Logger } from '../logger.js';
--- a/src/runtime/cloud/cloud-provider-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -1,6 +1,6 @@
 /** The cloud provider's API, within the part of its rate limit that this controller has. */
 import type { PlatformSettings } from '../../config/platform.js';
-import type { ListedMachine, MachineType } from '../../core/types.js';
+import type { ListedMachine, MachineType } from '../../core/machine-info.js';
 import type { MachineId } from '../../core/units.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
 import * as wire from '../../wire/cloud.js';
--- a/src/runtime/cloud/machine-type-catalog.ts
+++ b/src/runtime/cloud/machine-type-catalog.ts
@@ -1,13 +1,8 @@
 /** The machine types: from the cloud, or while it doesn't answer, from a leader's copy in the key-value store. */
 import type { KeyValueStoreLimits } from '../../config/platform.js';
-import type { MachineType } from '../../core/types.js';
-import {
-  fitsValue,
-  keys,
-  parseStoredTypes,
-  parseTypesPage,
-  type Change,
-} from '../../wire/key-value-store.js';
+import type { MachineType } from '../../core/machine-info.js';
+import type { Change } from '../../wire/key-value-store.js';
+import { fitsValue, keys, parseStoredTypes, parseTypesPage } from '../../wire/stored-records.js';
 import { sleep } from '../clock.js';
 import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { LeaderElection } from '../leadership/leader-election.js';
--- a/src/runtime/leadership/job-watch.ts
+++ b/src/runtime/leadership/job-watch.ts
@@ -1,7 +1,8 @@
 /** Brings jobs' records to the leader: those of the first load, and then each change. */
 import type { Leader } from '../../core/leader/leader.js';
 import type { JobId, Revision } from '../../core/units.js';
-import { keys, parseJobRecord, type Item } from '../../wire/key-value-store.js';
+import type { Item } from '../../wire/key-value-store.js';
+import { keys, parseJobRecord } from '../../wire/stored-records.js';
 import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
 import { monotonicNow, sleep, wallClockNow } from '../clock.js';
 import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
--- a/src/runtime/leadership/leader-election.ts
+++ b/src/runtime/leadership/leader-election.ts
@@ -14,7 +14,8 @@
   type HeldLease,
 } from '../../core/election.js';
 import type { NodeName, Term } from '../../core/units.js';
-import { keys, parseLeaderRecord, type Item } from '../../wire/key-value-store.js';
+import type { Item } from '../../wire/key-value-store.js';
+import { keys, parseLeaderRecord } from '../../wire/stored-records.js';
 import { monotonicNow, sleep } from '../clock.js';
 import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { Logger } from '../logger.js';
--- a/src/runtime/leadership/leader-key-watch.ts
+++ b/src/runtime/leadership/leader-key-watch.ts
@@ -1,6 +1,7 @@
 /** Watches the leader key: its deletion starts an election at once. */
 import type { NodeName, Revision, Term } from '../../core/units.js';
-import { keys, parseLeaderRecord, type ChangeEvent } from '../../wire/key-value-store.js';
+import type { ChangeEvent } from '../../wire/key-value-store.js';
+import { keys, parseLeaderRecord } from '../../wire/stored-records.js';
 import { sleep } from '../clock.js';
 import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 
--- a/src/runtime/leadership/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -1,17 +1,17 @@
 /** What a leader writes to the store: final records, progress, pages of the machine registry. */
 import type { KeyValueStoreLimits } from '../../config/platform.js';
 import type { Effect, FinalRecordOutcome } from '../../core/leader/effects.js';
-import type { FinalState, MachineInfo } from '../../core/types.js';
+import type { FinalState } from '../../core/job-spec.js';
+import type { MachineInfo } from '../../core/machine-info.js';
 import type { JobId, SegmentName, Revision } from '../../core/units.js';
+import type { Change, Condition } from '../../wire/key-value-store.js';
 import {
   finalRecordData,
   keys,
   parseFinalRecord,
   parseJobRecord,
   registryPageData,
-  type Change,
-  type Condition,
-} from '../../wire/key-value-store.js';
+} from '../../wire/stored-records.js';
 import { sleep } from '../clock.js';
 import {
   budgetReserves,
--- a/src/runtime/leadership/leader-settings.ts
+++ b/src/runtime/leadership/leader-settings.ts
@@ -2,7 +2,7 @@
 import type { OperatorSettings } from '../../config/operator.js';
 import type { PlatformSettings } from '../../config/platform.js';
 import type { LeaderSettings } from '../../core/leader/effects.js';
-import { fitsRegistryPage, segmentBytes } from '../../wire/key-value-store.js';
+import { fitsRegistryPage, segmentBytes } from '../../wire/stored-records.js';
 
 /** Evaluations of machines in a cycle, for each processor core of the controller. */
 const CYCLE_WORK_PER_CORE = 600_000;
--- a/src/runtime/leadership/lease-acquisition.ts
+++ b/src/runtime/leadership/lease-acquisition.ts
@@ -1,7 +1,8 @@
 /** Takes leadership: one compare-and-swap creates the leader key, attached to a new lease, and raises the term. */
 import type { HeldLease } from '../../core/election.js';
 import type { NodeName, Revision, Term, Uint64 } from '../../core/units.js';
-import { keys, parseLeaderRecord, parseTermRecord, type Item } from '../../wire/key-value-store.js';
+import type { Item } from '../../wire/key-value-store.js';
+import { keys, parseLeaderRecord, parseTermRecord } from '../../wire/stored-records.js';
 import { monotonicNow } from '../clock.js';
 import {
   budgetReserves,
--- a/src/runtime/leadership/progress-store.ts
+++ b/src/runtime/leadership/progress-store.ts
@@ -1,13 +1,7 @@
 /** Progress of jobs that are not over, kept in the store a segment at a time. */
 import type { JobId, SegmentName, Revision } from '../../core/units.js';
-import {
-  keys,
-  parseProgressRecord,
-  progressRecordData,
-  type Change,
-  type Condition,
-  type Item,
-} from '../../wire/key-value-store.js';
+import type { Change, Condition, Item } from '../../wire/key-value-store.js';
+import { keys, parseProgressRecord, progressRecordData } from '../../wire/stored-records.js';
 import type { StoreOutcome, TransactionOutcome } from '../key-value-store/key-value-store-client.js';
 
 type Write = (changes: Change[], conditions: Condition[]) => Promise<TransactionOutcome>;
--- a/src/runtime/leadership/stored-state.ts
+++ b/src/runtime/leadership/stored-state.ts
@@ -2,7 +2,8 @@
 import type { ImageLocations } from '../../core/leader/effects.js';
 import type { Leader } from '../../core/leader/leader.js';
 import type { JobId, MonotonicTime, SegmentName } from '../../core/units.js';
-import { keys, parseProgressRecord, parseRegistryPage, type Item } from '../../wire/key-value-store.js';
+import type { Item } from '../../wire/key-value-store.js';
+import { keys, parseProgressRecord, parseRegistryPage } from '../../wire/stored-records.js';
 import type { KeyValueStoreClient, Listing } from '../key-value-store/key-value-store-client.js';
 import { listUntilAnswered } from '../key-value-store/list-until-answered.js';
 import type { Logger } from '../logger.js';
--- a/src/runtime/users/job-lookup.ts
+++ b/src/runtime/users/job-lookup.ts
@@ -1,7 +1,7 @@
 /** Reads jobs' records for users' requests. A final state never changes, so it alone is answered from memory. */
-import type { FinalRecord, JobRecord } from '../../core/types.js';
+import type { FinalRecord, JobRecord } from '../../core/job-spec.js';
 import type { JobId, Revision } from '../../core/units.js';
-import { keys, parseFinalRecord, parseJobRecord } from '../../wire/key-value-store.js';
+import { keys, parseFinalRecord, parseJobRecord } from '../../wire/stored-records.js';
 import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
 import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 
--- a/src/runtime/users/submission-check.ts
+++ b/src/runtime/users/submission-check.ts
@@ -1,7 +1,9 @@
 /** Whether a submitted job can ever run, by its team's limit and the machine types on offer. */
 import { canBeSpread, fitsSomeType } from '../../core/scheduler/job-feasibility.js';
 import { withinTeamLimit } from '../../core/scheduler/placement-constraints.js';
-import type { JobSpec, MachineType, TeamQuota } from '../../core/types.js';
+import type { JobSpec } from '../../core/job-spec.js';
+import type { MachineType } from '../../core/machine-info.js';
+import type { TeamQuota } from '../../core/team-quota.js';
 
 /** Undecided while the machine types are unknown. */
 export type SubmissionCheck =
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -3,10 +3,12 @@
  * to a user that it doesn't hold.
  */
 import type { PlatformSettings } from '../../config/platform.js';
-import type { JobRecord, JobSpec, MachineType, TeamQuota } from '../../core/types.js';
+import type { JobRecord, JobSpec } from '../../core/job-spec.js';
+import type { MachineType } from '../../core/machine-info.js';
+import type { TeamQuota } from '../../core/team-quota.js';
 import type { JobId, Team } from '../../core/units.js';
 import { tryDecode } from '../../wire/cbor.js';
-import { fitsValue, jobRecordData, keys } from '../../wire/key-value-store.js';
+import { fitsValue, jobRecordData, keys } from '../../wire/stored-records.js';
 import { isJobId, parseJob, submittedJobId, type StatusCounts, type UserStatus } from '../../wire/users.js';
 import { wallClockNow } from '../clock.js';
 import type { HttpMessage } from '../http/http-message.js';
--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -4,7 +4,7 @@
  */
 import type { PlatformSettings } from '../../config/platform.js';
 import { highestKnownTerm } from '../../core/election.js';
-import type { Heartbeat } from '../../core/types.js';
+import type { Heartbeat } from '../../core/heartbeat.js';
 import type { MachineId, MonotonicTime, Term } from '../../core/units.js';
 import { tryDecode } from '../../wire/cbor.js';
 import type { LeaderStatus } from '../../wire/peer-messages.js';
--- a/src/runtime/workers/last-heartbeats.ts
+++ b/src/runtime/workers/last-heartbeats.ts
@@ -1,5 +1,5 @@
 /** The last heartbeat of each worker that sends its heartbeats to this controller itself. */
-import type { Heartbeat } from '../../core/types.js';
+import type { Heartbeat } from '../../core/heartbeat.js';
 import { equalUint64, type MachineId, type MonotonicTime } from '../../core/units.js';
 
 /** Guards against names without end from outside. */
--- a/src/runtime/workers/leaderless-renewal.ts
+++ b/src/runtime/workers/leaderless-renewal.ts
@@ -4,7 +4,8 @@
  */
 import type { PlatformSettings } from '../../config/platform.js';
 import { highestKnownTerm } from '../../core/election.js';
-import type { Command, Heartbeat } from '../../core/types.js';
+import type { Heartbeat } from '../../core/heartbeat.js';
+import type { Command } from '../../core/worker-command.js';
 import type { MonotonicTime } from '../../core/units.js';
 import { heartbeatReply } from '../../wire/workers.js';
 import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
--- a/src/runtime/workers/unchanged-heartbeats.ts
+++ b/src/runtime/workers/unchanged-heartbeats.ts
@@ -3,7 +3,7 @@
  * said, and the leader need not read each. It decides which machines this holds for, and asks for others in full.
  */
 import { sameTaskStatuses } from '../../core/task-status.js';
-import type { Heartbeat, UnchangedHeartbeat } from '../../core/types.js';
+import type { Heartbeat, UnchangedHeartbeat } from '../../core/heartbeat.js';
 import { equalUint64, type Uint64, type MachineId, type Term } from '../../core/units.js';
 import { sameRoute, type LeaderRoute } from '../peers/leader-route.js';
 
--- a/src/runtime/workers/worker-redirection.ts
+++ b/src/runtime/workers/worker-redirection.ts
@@ -1,6 +1,6 @@
 /** Sends workers to other controllers, each of them seldom: every move may cost a worker some of its lease. */
 import type { PlatformSettings } from '../../config/platform.js';
-import type { Heartbeat } from '../../core/types.js';
+import type { Heartbeat } from '../../core/heartbeat.js';
 import type { MachineId, MonotonicTime } from '../../core/units.js';
 import type { PeerLink } from '../peers/peer-link.js';
 import { RateCounter } from './rate-counter.js';
--- a/src/test/dependencies.test.ts
+++ b/src/test/dependencies.test.ts
@@ -10,7 +10,7 @@
 import { DeadlinePredictor } from '../core/leader/deadline-predictor.js';
 import { LeaderState } from '../core/leader/leader-state.js';
 import { markWithinGuarantee } from '../core/scheduler/guarantees.js';
-import { priorityRank, type FinalState, type JobSpec, type Priority } from '../core/types.js';
+import { priorityRank, type FinalState, type JobSpec, type Priority } from '../core/job-spec.js';
 import type { JobId, MonotonicTime, Team, Term, WallTime } from '../core/units.js';
 
 const now = 0 as MonotonicTime;
--- a/src/test/four-zones.test.ts
+++ b/src/test/four-zones.test.ts
@@ -4,7 +4,7 @@
 import { types } from './sim/fixtures.js';
 import { assertScenarioPasses, runScenario, type Scenario } from './sim/scenario.js';
 import type { ClusterSetup } from './sim/cluster-setup.js';
-import type { TeamQuota } from '../core/types.js';
+import type { TeamQuota } from '../core/team-quota.js';
 import type { JobId, Team, Zone } from '../core/units.js';
 
 const zones = ['north', 'east', 'south', 'west'];
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -17,7 +17,8 @@
 import { Preemption } from '../core/scheduler/preemption.js';
 import type { Job } from '../core/job.js';
 import type { Machine } from '../core/machine.js';
-import { priorityRank, type JobSpec, type TeamQuota } from '../core/types.js';
+import { priorityRank, type JobSpec } from '../core/job-spec.js';
+import type { TeamQuota } from '../core/team-quota.js';
 import type { JobId, Team, WallTime } from '../core/units.js';
 
 const team = (name: string, over: Partial<TeamQuota> = {}): TeamQuota => ({
--- a/src/test/invariant-checker.test.ts
+++ b/src/test/invariant-checker.test.ts
@@ -5,7 +5,10 @@
 import { LeaderSimulation } from './sim/leader-simulation.js';
 import { jobSpec, teams } from './sim/fixtures.js';
 import { Leader } from '../core/leader/leader.js';
-import type { Command, JobSpec, MachineInfo, Heartbeat } from '../core/types.js';
+import type { Heartbeat } from '../core/heartbeat.js';
+import type { JobSpec } from '../core/job-spec.js';
+import type { MachineInfo } from '../core/machine-info.js';
+import type { Command } from '../core/worker-command.js';
 import type {
   Endpoint,
   JobId,
--- a/src/test/key-value-store-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -10,7 +10,7 @@
 import { Job } from '../core/job.js';
 import { segmentName, segmentStart } from '../core/progress-segments.js';
 import { MachineRegistry } from '../core/leader/machine-registry.js';
-import type { MachineInfo, MachineType } from '../core/types.js';
+import type { MachineInfo, MachineType } from '../core/machine-info.js';
 import type {
   MachineId,
   SegmentName,
@@ -27,7 +27,7 @@
   progressRecordData,
   registryPageData,
   segmentBytes,
-} from '../wire/key-value-store.js';
+} from '../wire/stored-records.js';
 import { jobSpec, types } from './sim/fixtures.js';
 import { platformToml } from './sim/platform-toml.js';
 
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -14,7 +14,7 @@
 import type { Machine } from '../core/machine.js';
 import type { Job } from '../core/job.js';
 import { planScaleOut } from '../core/scaling/scale-out-plan.js';
-import type { JobSpec } from '../core/types.js';
+import type { JobSpec } from '../core/job-spec.js';
 import type {
   Attempt,
   JobId,
--- a/src/test/scheduling-queue.test.ts
+++ b/src/test/scheduling-queue.test.ts
@@ -5,7 +5,7 @@
 import type { LeaderSettings } from '../core/leader/effects.js';
 import { SchedulingQueue } from '../core/leader/scheduling-queue.js';
 import { LeaderState } from '../core/leader/leader-state.js';
-import type { JobSpec } from '../core/types.js';
+import type { JobSpec } from '../core/job-spec.js';
 import type { Revision, MonotonicTime, Term, WallTime } from '../core/units.js';
 import { jobSpec } from './sim/fixtures.js';
 
--- a/src/test/sim/cluster-setup.ts
+++ b/src/test/sim/cluster-setup.ts
@@ -3,7 +3,8 @@
 import type { SimulatedHost } from './simulated-host.js';
 import type { SimulationRuntime } from './simulation-runtime.js';
 import type { KeyValueStoreLimits, PlatformSettings } from '../../config/platform.js';
-import type { MachineType, TeamQuota } from '../../core/types.js';
+import type { MachineType } from '../../core/machine-info.js';
+import type { TeamQuota } from '../../core/team-quota.js';
 import type { JobId, NodeName, Zone } from '../../core/units.js';
 
 /** The address of the simulated key-value store. */
--- a/src/test/sim/fixtures.ts
+++ b/src/test/sim/fixtures.ts
@@ -1,5 +1,7 @@
 /** Teams, machine types and a plain job, for tests that need some and don't care which. */
-import type { JobSpec, MachineType, TeamQuota } from '../../core/types.js';
+import type { JobSpec } from '../../core/job-spec.js';
+import type { MachineType } from '../../core/machine-info.js';
+import type { TeamQuota } from '../../core/team-quota.js';
 import type { JobId, Team, MachineTypeName, Zone } from '../../core/units.js';
 
 /** One team with a guarantee and a limit, one without. */
--- a/src/test/sim/invariant-checker.ts
+++ b/src/test/sim/invariant-checker.ts
@@ -1,5 +1,7 @@
 /** The rules of the protocol, checked against what the simulated workers and users really saw. */
-import type { JobSpec, MachineInfo, TeamQuota } from '../../core/types.js';
+import type { JobSpec } from '../../core/job-spec.js';
+import type { MachineInfo } from '../../core/machine-info.js';
+import type { TeamQuota } from '../../core/team-quota.js';
 import type { JobId } from '../../core/units.js';
 
 const LARGEST_JOBS_START_WITHIN_MS = 240_000;
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -7,7 +7,9 @@
 import { jobSpec, teams, types } from './fixtures.js';
 import { SimulatedWorker, type WorkerEnvironment } from './simulated-worker.js';
 import { Leader, type Effect } from '../../core/leader/leader.js';
-import type { Command, JobSpec, Heartbeat } from '../../core/types.js';
+import type { Heartbeat } from '../../core/heartbeat.js';
+import type { JobSpec } from '../../core/job-spec.js';
+import type { Command } from '../../core/worker-command.js';
 import type {
   Endpoint,
   JobId,
--- a/src/test/sim/leader-simulation.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -7,7 +7,8 @@
 import { NETWORK_LATENCY_MS, SimulatedWorkerLink } from './simulated-worker-link.js';
 import { VirtualClock } from './virtual-clock.js';
 import { Leader, type Effect } from '../../core/leader/leader.js';
-import type { FinalState, JobRecord, JobSpec, MachineInfo } from '../../core/types.js';
+import type { FinalState, JobRecord, JobSpec } from '../../core/job-spec.js';
+import type { MachineInfo } from '../../core/machine-info.js';
 import type { JobId, MonotonicTime, SegmentName, Term, WallTime } from '../../core/units.js';
 
 const EPOCH_MS = 1_700_000_000_000;
--- a/src/test/sim/pending-job-monitor.ts
+++ b/src/test/sim/pending-job-monitor.ts
@@ -3,7 +3,8 @@
 import type { SimulatedUser } from './simulated-user.js';
 import type { VirtualClock } from './virtual-clock.js';
 import type { WorkerHost } from './worker-host.js';
-import type { JobSpec, TeamQuota } from '../../core/types.js';
+import type { JobSpec } from '../../core/job-spec.js';
+import type { TeamQuota } from '../../core/team-quota.js';
 import type { JobId, MachineId } from '../../core/units.js';
 
 const CHECK_INTERVAL_MS = 2000;
--- a/src/test/sim/scenario.ts
+++ b/src/test/sim/scenario.ts
@@ -6,7 +6,8 @@
 import type { ClusterSetup } from './cluster-setup.js';
 import { ClusterSimulation } from './cluster-simulation.js';
 import { jobSpec, types } from './fixtures.js';
-import type { JobSpec, TeamQuota } from '../../core/types.js';
+import type { JobSpec } from '../../core/job-spec.js';
+import type { TeamQuota } from '../../core/team-quota.js';
 import type { JobId, Team } from '../../core/units.js';
 
 /** When most scenarios submit their work. */
--- a/src/test/sim/scheduling-cycle-fixtures.ts
+++ b/src/test/sim/scheduling-cycle-fixtures.ts
@@ -2,11 +2,12 @@
 import { teams as dayTeams } from './fixtures.js';
 import { jobSpec, types } from './fixtures.js';
 import { Machine } from '../../core/machine.js';
-import { addResources } from '../../core/resources.js';
+import { addResources, type Resources } from '../../core/resources.js';
 import { Job, newPlacement, type Placement } from '../../core/job.js';
 import { runSchedulingCycle, type CycleResult } from '../../core/scheduler/scheduling-cycle.js';
 import { markWithinGuarantee } from '../../core/scheduler/guarantees.js';
-import type { Resources, JobSpec, TeamQuota } from '../../core/types.js';
+import type { JobSpec } from '../../core/job-spec.js';
+import type { TeamQuota } from '../../core/team-quota.js';
 import type {
   Attempt,
   Endpoint,
--- a/src/test/sim/simulated-cloud-provider.ts
+++ b/src/test/sim/simulated-cloud-provider.ts
@@ -4,7 +4,7 @@
  */
 import { startHttpServer, type HttpResponse } from './http-server.js';
 import type { SimulatedHost } from './simulated-host.js';
-import type { MachineInfo, MachineType } from '../../core/types.js';
+import type { MachineInfo, MachineType } from '../../core/machine-info.js';
 import type { Endpoint, MachineId, MachineTypeName, Zone } from '../../core/units.js';
 
 const DEFAULT_BOOT_S = 30;
--- a/src/test/sim/simulated-machines.ts
+++ b/src/test/sim/simulated-machines.ts
@@ -1,7 +1,7 @@
 /** The machines of a simulated leader: the cloud provider creates, lists and deletes them, and each runs a worker. */
 import { SimulatedWorker, type WorkerEnvironment } from './simulated-worker.js';
 import type { ScaleOutRequest } from '../../core/scaling/scale-out-plan.js';
-import type { ListedMachine, MachineInfo } from '../../core/types.js';
+import type { ListedMachine, MachineInfo } from '../../core/machine-info.js';
 import type { Endpoint, MachineId } from '../../core/units.js';
 
 const LIST_LAG_MS = 4000;
--- a/src/test/sim/simulated-user.ts
+++ b/src/test/sim/simulated-user.ts
@@ -2,7 +2,7 @@
 import type { InvariantChecker } from './invariant-checker.js';
 import type { SimulatedHost } from './simulated-host.js';
 import { parseAddress } from '../../config/address.js';
-import type { JobSpec } from '../../core/types.js';
+import type { JobSpec } from '../../core/job-spec.js';
 import { HttpClient } from '../../runtime/http/http-client.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
 
--- a/src/test/sim/simulated-worker-link.ts
+++ b/src/test/sim/simulated-worker-link.ts
@@ -2,7 +2,7 @@
 import type { LeaderSimulation } from './leader-simulation.js';
 import type { SimulatedWorker } from './simulated-worker.js';
 import type { Effect, Leader } from '../../core/leader/leader.js';
-import type { Command } from '../../core/types.js';
+import type { Command } from '../../core/worker-command.js';
 
 type DirectCommands = Extract<Effect, { kind: 'send-direct-commands' }>;
 
--- a/src/test/sim/simulated-worker.ts
+++ b/src/test/sim/simulated-worker.ts
@@ -1,15 +1,12 @@
 /** Stand-in for a worker, written from the published protocol. */
 import type { InvariantChecker } from './invariant-checker.js';
 import type { VirtualClock } from './virtual-clock.js';
-import type {
-  Command,
-  ExitCause,
-  JobSpec,
-  MachineInfo,
-  Heartbeat,
-  TaskState,
-  WorkerTimings,
-} from '../../core/types.js';
+import type { Heartbeat } from '../../core/heartbeat.js';
+import type { JobSpec } from '../../core/job-spec.js';
+import type { MachineInfo } from '../../core/machine-info.js';
+import type { ExitCause, TaskState } from '../../core/task-status.js';
+import type { Command } from '../../core/worker-command.js';
+import type { WorkerTimings } from '../../core/worker-timings.js';
 import type { Attempt, JobId } from '../../core/units.js';
 
 const HUNG_RETRY_MS = 1000;
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -10,7 +10,7 @@
 import { loadProductionVersion, type ProgramVersion } from './sim/production-version.js';
 import type { ClusterSetup } from './sim/cluster-setup.js';
 import type { KeyValueStoreLimits } from '../config/platform.js';
-import type { JobRecord } from '../core/types.js';
+import type { JobRecord } from '../core/job-spec.js';
 import type {
   Endpoint,
   JobId,
@@ -39,7 +39,7 @@
   parseTypesPage,
   progressRecordData,
   registryPageData,
-} from '../wire/key-value-store.js';
+} from '../wire/stored-records.js';
 
 const production = await loadProductionVersion();
 
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,6 +1,6 @@
 /** The cloud provider's protocol: machine types, scale-out and scale-in, lists of machines. */
 import * as v from 'valibot';
-import type { ListedMachine, MachineType } from '../core/types.js';
+import type { ListedMachine, MachineType } from '../core/machine-info.js';
 import type { Endpoint, MachineId, MachineTypeName, Zone } from '../core/units.js';
 import { boundedText, nonNegativeNumber, parseWith } from './common.js';
 
--- a/src/wire/common.ts
+++ b/src/wire/common.ts
@@ -44,3 +44,9 @@
   const field = v.getDotPath(issue) ?? 'body';
   return { ok: false, cause: `${field}: expected ${issue.expected ?? issue.message}` };
 };
+
+/** Parses what may be damaged; null where it doesn't fit the schema. */
+export const parseOrNull = <S extends v.GenericSchema>(schema: S, raw: unknown): v.InferOutput<S> | null => {
+  const result = parseWith(schema, raw);
+  return result.ok ? result.value : null;
+};
--- a/src/wire/peer-messages.ts
+++ b/src/wire/peer-messages.ts
@@ -8,7 +8,7 @@
 import { nonNegativeNumber, parseWith, safeInteger, boundedText, type ParseResult } from './common.js';
 import type { CancellationLogPosition } from '../core/cancellation-log.js';
 import type { ImageLocations } from '../core/leader/leader.js';
-import type { UnchangedHeartbeat } from '../core/types.js';
+import type { UnchangedHeartbeat } from '../core/heartbeat.js';
 import type { Uint64, MachineId, NodeName, Term } from '../core/units.js';
 
 /** Who leads, as its peers are told. */
--- /dev/null
+++ b/src/wire/stored-records.ts
@@ -0,0 +1,160 @@
+/** How this program's records are laid out in the key-value store: their keys, and their stored forms. */
+import * as v from 'valibot';
+import { parseOrNull, boundedText } from './common.js';
+import type { FinalRecord, JobRecord, JobSpec } from '../core/job-spec.js';
+import type { MachineInfo, MachineType } from '../core/machine-info.js';
+import { LARGEST_SEGMENT_BYTES } from '../core/progress-segments.js';
+import type { JobId, NodeName, SegmentName, Term, WallTime } from '../core/units.js';
+
+/** The keys of this program's records. */
+export const keys = {
+  leader: 'l/leader',
+  term: 'l/term',
+  types: 'c/types',
+  /** Where the list of types is longer than one value may be. */
+  typesPage: (page: number) => `c/types/${page}`,
+  activePrefix: 'j/',
+  progressPrefix: 'p/',
+  registryPrefix: 'm/',
+  leaderPrefix: 'l/',
+  active: (id: JobId) => `j/${id}`,
+  final: (id: JobId) => `f/${id}`,
+  progress: (id: JobId, segment: SegmentName) => `p/${id}/${segment}`,
+  registryPage: (page: string) => `m/${page}`,
+};
+
+// Only this program writes these records, but a damaged one must not crash a controller: shapes are checked.
+const spec = v.object({
+  id: boundedText,
+  class: boundedText,
+  team: boundedText,
+  kind: v.picklist(['array', 'gang', 'service']),
+  priority: v.picklist(['production', 'high', 'normal', 'low']),
+  tasks: v.number(),
+  cpus: v.number(),
+  gpus: v.number(),
+  memoryGb: v.number(),
+  image: boundedText,
+  imageGb: v.number(),
+  types: v.nullable(v.array(boundedText)),
+  zone: v.nullable(boundedText),
+  oneZone: v.boolean(),
+  spread: v.boolean(),
+  spot: v.boolean(),
+  estimateS: v.number(),
+  checkpointS: v.number(),
+  saveS: v.number(),
+  deadlineS: v.nullable(v.number()),
+  // Records of jobs that wait for none don't have it, as all of those that earlier versions wrote.
+  dependsOn: v.optional(v.array(boundedText), []),
+});
+const jobRecord = v.object({ spec, submittedAt: v.number(), cancelledAt: v.nullable(v.number()) });
+/** The word that stands in stored records for a cancelled job. */
+const STORED_CANCELLED = 'withdrawn';
+const finalRecord = v.object({ state: v.picklist(['done', STORED_CANCELLED]), tasks: v.number() });
+const leaderRecord = v.object({ node: boundedText, term: v.number() });
+const termRecord = v.object({ term: v.number() });
+const registryPageRecord = v.object({
+  machines: v.array(v.object({ id: boundedText, type: boundedText, zone: boundedText, spot: v.boolean() })),
+});
+const progressRecord = v.object({ bits: v.string() });
+
+/** A job's record, while it is not over. */
+export const parseJobRecord = (raw: unknown): JobRecord | null => {
+  const record = parseOrNull(jobRecord, raw);
+  if (record === null) return null;
+  return {
+    spec: record.spec as unknown as JobSpec,
+    submittedAt: record.submittedAt as WallTime,
+    cancelledAt: record.cancelledAt as WallTime | null,
+  };
+};
+
+/** A job's record as it is stored. */
+export const jobRecordData = (record: JobRecord): unknown => {
+  const { dependsOn, ...plain } = record.spec;
+  return dependsOn.length > 0 ? record : { ...record, spec: plain };
+};
+
+const dependenciesOnly = v.object({ spec: v.object({ dependsOn: v.array(boundedText) }) });
+/** The jobs that a record names to be done before; cheaper than reading all of it. */
+export const dependenciesIn = (raw: unknown): JobId[] =>
+  (parseOrNull(dependenciesOnly, raw)?.spec.dependsOn ?? []) as JobId[];
+
+/** Whether a job's record says that it is cancelled; cheaper than reading all of it. */
+export const isCancelledRecord = (raw: unknown): boolean =>
+  typeof raw === 'object' && raw !== null && 'cancelledAt' in raw && typeof raw.cancelledAt === 'number';
+
+/** A job's final record. */
+export const parseFinalRecord = (raw: unknown): FinalRecord | null => {
+  const record = parseOrNull(finalRecord, raw);
+  return record && { state: record.state === 'done' ? 'done' : 'cancelled', tasks: record.tasks };
+};
+
+/** A final record as it is stored. */
+export const finalRecordData = ({ state, tasks }: FinalRecord) => ({
+  state: state === 'done' ? 'done' : STORED_CANCELLED,
+  tasks,
+});
+
+/** Who holds the leader key. */
+export const parseLeaderRecord = (raw: unknown) =>
+  parseOrNull(leaderRecord, raw) as { node: NodeName; term: Term } | null;
+
+/** The term of the latest leader. */
+export const parseTermRecord = (raw: unknown) => (parseOrNull(termRecord, raw)?.term ?? null) as Term | null;
+
+/** The machines on a page of the registry. */
+export const parseRegistryPage = (raw: unknown): MachineInfo[] | null => {
+  const page = parseOrNull(registryPageRecord, raw);
+  // The endpoint is not stored: the machine's first heartbeat tells it.
+  return page && (page.machines.map((machine) => ({ ...machine, endpoint: '' })) as unknown as MachineInfo[]);
+};
+
+/** A page of the registry as it is stored. */
+export const registryPageData = (machines: MachineInfo[]) => ({
+  machines: machines.map(({ id, type, zone, spot }) => ({ id, type, zone, spot })),
+});
+
+/** However much a value may hold. */
+const MAX_PAGE_MACHINES = 100;
+
+/** Whether one page can name all of these machines. */
+export const fitsRegistryPage = (machines: MachineInfo[], valueKb: number): boolean =>
+  machines.length <= MAX_PAGE_MACHINES && fitsValue(registryPageData(machines), valueKb);
+
+const BYTES_PER_KB = 1024;
+
+/** The size of a value as the store counts it: in the form of JSON. */
+export const storedBytes = (data: unknown): number => Buffer.byteLength(JSON.stringify(data));
+
+/** Whether the store takes the value. */
+export const fitsValue = (data: unknown, valueKb: number): boolean =>
+  storedBytes(data) <= valueKb * BYTES_PER_KB;
+
+/** A segment of progress as it is stored. */
+export const progressRecordData = (bytes: Uint8Array) => ({ bits: Buffer.from(bytes).toString('base64') });
+
+/** Base64 makes four characters of three bytes. */
+const BASE64_GROUP_BYTES = 3;
+const BASE64_GROUP_CHARACTERS = 4;
+
+/** How many bytes of a job's progress fit one value. */
+export const segmentBytes = (valueKb: number): number => {
+  const characters = valueKb * BYTES_PER_KB - storedBytes(progressRecordData(new Uint8Array(0)));
+  const bytes = Math.floor(characters / BASE64_GROUP_CHARACTERS) * BASE64_GROUP_BYTES;
+  return Math.max(BASE64_GROUP_BYTES, Math.min(LARGEST_SEGMENT_BYTES, bytes));
+};
+
+/** The bits of a segment of progress, in base64. */
+export const parseProgressRecord = (raw: unknown) => parseOrNull(progressRecord, raw)?.bits ?? null;
+
+const typesPage = v.object({ pages: v.number(), types: v.array(v.record(v.string(), v.unknown())) });
+
+/** A page of the list of machine types. */
+export const parseTypesPage = (raw: unknown) =>
+  parseOrNull(typesPage, raw) as unknown as { pages: number; types: MachineType[] } | null;
+
+/** The list of machine types where it fits one value. */
+export const parseStoredTypes = (raw: unknown): MachineType[] | null =>
+  (parseOrNull(v.array(v.record(v.string(), v.unknown())), raw) as unknown as MachineType[] | null) ?? null;
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,6 +1,6 @@
 /** The users' protocol: job submissions and status answers. */
 import * as v from 'valibot';
-import type { JobSpec, JobKind } from '../core/types.js';
+import type { JobSpec, JobKind } from '../core/job-spec.js';
 import type { JobId, Team, MachineTypeName, Zone } from '../core/units.js';
 import { boundedText, nonNegativeNumber, parseWith, safeInteger, type ParseResult } from './common.js';
 
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,6 +1,8 @@
 /** The workers' protocol: heartbeats, and the commands in their replies. */
 import * as v from 'valibot';
-import type { Command, Heartbeat, TaskStatus, TaskState } from '../core/types.js';
+import type { Heartbeat } from '../core/heartbeat.js';
+import type { TaskStatus, TaskState } from '../core/task-status.js';
+import type { Command } from '../core/worker-command.js';
 import type {
   Attempt,
   Uint64,
