--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,5 +1,14 @@
 import js from '@eslint/js';
 import tseslint from 'typescript-eslint';
+import {
+  docRules,
+  importRules,
+  nameRules,
+  plugins,
+  protocolEdge,
+  settings,
+  shapeRules,
+} from './lint/rules.js';
 
 /** `test()` of node:test returns a promise that the runner itself awaits. */
 const nodeTest = { from: 'package', package: 'node:test', name: ['test', 'it', 'describe'] };
@@ -12,7 +21,6 @@
     languageOptions: { parserOptions: { projectService: true, tsconfigRootDir: import.meta.dirname } },
     rules: {
       eqeqeq: 'error',
-      'max-lines': ['error', { max: 400, skipBlankLines: true, skipComments: true }],
       '@typescript-eslint/no-explicit-any': 'error',
       '@typescript-eslint/no-non-null-assertion': 'off',
       '@typescript-eslint/no-confusing-void-expression': ['error', { ignoreArrowShorthand: true }],
@@ -26,5 +34,13 @@
       '@typescript-eslint/no-unnecessary-condition': 'off',
     },
   },
+  {
+    files: ['src/**/*.ts'],
+    plugins,
+    settings,
+    rules: { ...importRules, ...shapeRules, ...nameRules, ...docRules },
+  },
+  // Names of the outside protocols are mapped here.
+  { files: protocolEdge, rules: { 'brookspur/vocabulary': 'off' } },
   { files: ['**/*.js'], ...tseslint.configs.disableTypeChecked },
 );
