--- a/eslint.config.js
+++ b/eslint.config.js
@@ -21,6 +21,8 @@
     languageOptions: { parserOptions: { projectService: true, tsconfigRootDir: import.meta.dirname } },
     rules: {
       eqeqeq: 'error',
+      'object-shorthand': 'error',
+      'no-useless-rename': 'error',
       '@typescript-eslint/no-explicit-any': 'error',
       '@typescript-eslint/no-non-null-assertion': 'off',
       '@typescript-eslint/no-confusing-void-expression': ['error', { ignoreArrowShorthand: true }],
--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -64,7 +64,7 @@
     if (!request) return;
     if (outcome === 'retry') {
       // The name is kept: a repeat of a request that was carried out gives the same machines.
-      this.state.effects.push({ kind: 'create-machines', request: requestId, order: request });
+      this.state.effects.push({ kind: 'create-machines', requestId, request });
       return;
     }
     this.openRequests.delete(requestId);
@@ -164,7 +164,7 @@
       const requestId = `t${this.state.leadership.term}-${++this.requestCount}`;
       const part = { ...request, count: Math.min(left, MAX_MACHINES_PER_REQUEST) };
       this.openRequests.set(requestId, part);
-      this.state.effects.push({ kind: 'create-machines', request: requestId, order: part });
+      this.state.effects.push({ kind: 'create-machines', requestId, request: part });
     }
   }
 
--- a/src/core/leader/effects.ts
+++ b/src/core/leader/effects.ts
@@ -26,7 +26,7 @@
   | { kind: 'write-progress'; job: JobId; segment: SegmentName; bytes: Uint8Array }
   | { kind: 'write-registry-page'; page: string; machines: MachineInfo[] }
   /** `request` names the order: a repeat under the same name creates no further machines. */
-  | { kind: 'create-machines'; request: string; order: ScaleOutRequest }
+  | { kind: 'create-machines'; requestId: string; request: ScaleOutRequest }
   | { kind: 'delete-machines'; machines: MachineId[] }
   | {
       kind: 'send-direct-commands';
--- a/src/core/scheduler/victim-selection.ts
+++ b/src/core/scheduler/victim-selection.ts
@@ -18,7 +18,7 @@
 
 /** Delay of a stopped task: saving, waiting for another place, and often a fetch. */
 const STOP_DELAY_S = 20;
-/** Seconds of lost work that meeting a job's deadline is worth at the most. */
+/** Seconds of lost work that keeping a job's deadline is worth at the most. */
 const MAX_DEADLINE_COST_S = 10;
 /** Keeps every task of a lower priority cheaper than those of higher ones. */
 const PRIORITY_COST_S = 1000;
--- a/src/runtime/key-value-store/key-value-store-client.ts
+++ b/src/runtime/key-value-store/key-value-store-client.ts
@@ -1,4 +1,5 @@
 /** Client of the key-value store: reads, compare-and-swap transactions, leases and watches, within the rate limits. */
+import { HTTP_STATUS } from '../http/http-status.js';
 import type { PlatformSettings } from '../../config/platform.js';
 import type { Revision, Uint64 } from '../../core/units.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
@@ -47,8 +48,6 @@
 const LEASE_CONNECTIONS = 3;
 const PAGE_ITEMS = 1000;
 
-const STATUS = { ok: 200, created: 201, badRequest: 400, notFound: 404, conflict: 409, gone: 410 };
-
 /** One for each controller process. */
 export class KeyValueStoreClient {
   private readonly calls: HttpClient;
@@ -152,11 +151,11 @@
 
   private outcome<T>(reply: HttpResult, parse: (raw: unknown) => T | null): StoreOutcome<T> {
     if (!reply.ok) return reply.sent ? { kind: 'unknown' } : { kind: 'refused' };
-    if (reply.status === STATUS.notFound || reply.status === STATUS.gone) {
+    if (reply.status === HTTP_STATUS.notFound || reply.status === HTTP_STATUS.gone) {
       this.lastAnswerAt = monotonicNow();
       return { kind: 'gone' };
     }
-    if (reply.status !== STATUS.ok && reply.status !== STATUS.created) return { kind: 'refused' };
+    if (reply.status !== HTTP_STATUS.ok && reply.status !== HTTP_STATUS.created) return { kind: 'refused' };
     const value = parse(reply.body.length === 0 ? {} : tryDecode(reply.body));
     this.lastAnswerAt = monotonicNow();
     return value === null ? { kind: 'unknown' } : { kind: 'ok', value };
@@ -164,15 +163,15 @@
 
   private transactionOutcome(status: number, body: unknown): TransactionOutcome {
     switch (status) {
-      case STATUS.ok: {
+      case HTTP_STATUS.ok: {
         const revision = wire.parseCommitted(body);
         this.lastAnswerAt = monotonicNow();
         return revision === null ? { kind: 'unknown' } : { kind: 'ok', revision };
       }
-      case STATUS.conflict:
+      case HTTP_STATUS.conflict:
         this.lastAnswerAt = monotonicNow();
         return { kind: 'conflict', failed: wire.parseConflict(body) ?? [] };
-      case STATUS.badRequest:
+      case HTTP_STATUS.badRequest:
         return { kind: wire.isLeaseGoneError(body) ? 'lease-gone' : 'invalid' };
       default:
         return { kind: 'refused' };
--- a/src/runtime/key-value-store/request-budget.ts
+++ b/src/runtime/key-value-store/request-budget.ts
@@ -1,4 +1,5 @@
 /** This controller's share of the key-value store's rate limits, which hold for all controllers together. */
+import { HTTP_STATUS } from '../http/http-status.js';
 import type { KeyValueStoreLimits } from '../../config/platform.js';
 import { monotonicNow, sleep } from '../clock.js';
 import { TokenBucket } from './token-bucket.js';
@@ -14,7 +15,6 @@
 const USABLE_FRACTION = 0.9;
 const MIN_BURST = 4;
 
-const TOO_MANY_REQUESTS = 429;
 /** How the share shrinks with each refusal of the store, and grows with each other answer. */
 const REFUSAL_FACTOR = 0.85;
 const MIN_THROTTLE = 0.3;
@@ -47,7 +47,8 @@
    */
   recordStatus(status: number): void {
     const before = this.throttle;
-    if (status === TOO_MANY_REQUESTS) this.throttle = Math.max(MIN_THROTTLE, this.throttle * REFUSAL_FACTOR);
+    if (status === HTTP_STATUS.tooManyRequests)
+      this.throttle = Math.max(MIN_THROTTLE, this.throttle * REFUSAL_FACTOR);
     else this.throttle = Math.min(1, this.throttle + RECOVERY_STEP);
     if (this.throttle !== before) this.applyRates();
   }
--- a/src/runtime/leadership/effect-executor.ts
+++ b/src/runtime/leadership/effect-executor.ts
@@ -1,4 +1,5 @@
 /** Carries out the leader's effects, and tells it how they ended. */
+import { HTTP_STATUS } from '../http/http-status.js';
 import type { Effect } from '../../core/leader/effects.js';
 import type { Leader } from '../../core/leader/leader.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
@@ -11,7 +12,6 @@
 
 const DIRECT_COMMANDS_TIMEOUT_MS = 2500;
 const SCALE_OUT_RETRY_MS = 1200;
-const HTTP_OK = 200;
 
 type EffectOf<K extends Effect['kind']> = Extract<Effect, { kind: K }>;
 
@@ -94,17 +94,18 @@
 
   private async createMachines(
     leader: Leader,
-    { request, order }: EffectOf<'create-machines'>,
+    { requestId, request }: EffectOf<'create-machines'>,
   ): Promise<void> {
     const { cloud, isStopped, onOutcome } = this.dependencies;
-    const outcome = await cloud.createMachines({ request, ...order });
+    const outcome = await cloud.createMachines({ request: requestId, ...request });
     if (isStopped()) return;
     if (outcome.kind === 'provisioned')
-      leader.onScaleOutResult(request, { machines: outcome.machines }, monotonicNow());
-    else if (outcome.kind === 'no-capacity') leader.onScaleOutResult(request, 'no-capacity', monotonicNow());
+      leader.onScaleOutResult(requestId, { machines: outcome.machines }, monotonicNow());
+    else if (outcome.kind === 'no-capacity')
+      leader.onScaleOutResult(requestId, 'no-capacity', monotonicNow());
     else {
       await sleep(SCALE_OUT_RETRY_MS);
-      if (!isStopped()) leader.onScaleOutResult(request, 'retry', monotonicNow());
+      if (!isStopped()) leader.onScaleOutResult(requestId, 'retry', monotonicNow());
     }
     onOutcome();
   }
@@ -128,7 +129,7 @@
     log.debug({ machine, incarnation, term, answer }, 'direct command answered');
     if (reply.ok) {
       const heartbeat = parseHeartbeat(tryDecode(reply.body));
-      const kind = reply.status === HTTP_OK ? 'executed' : 'refused';
+      const kind = reply.status === HTTP_STATUS.ok ? 'executed' : 'refused';
       const result = { kind, heartbeat: heartbeat.ok ? heartbeat.value : null } as const;
       leader.onDirectCommandResult(machine, commands, result, monotonicNow());
     } else {
--- a/src/runtime/public-router.ts
+++ b/src/runtime/public-router.ts
@@ -1,4 +1,5 @@
 /** Requests on the public address: workers' heartbeats, the load balancer's health checks, and users. */
+import { HTTP_STATUS } from './http/http-status.js';
 import { monotonicNow } from './clock.js';
 import type { HealthCheck } from './health-check.js';
 import type { HttpMessage } from './http/http-message.js';
@@ -36,7 +37,7 @@
     } catch (error) {
       const cause = error instanceof Error ? error.stack : String(error);
       this.dependencies.log.rateLimited('fault', 'error', { cause }, 'request failed');
-      reply({ status: 503, retryAfterS: RETRY_AFTER_S });
+      reply({ status: HTTP_STATUS.unavailable, retryAfterS: RETRY_AFTER_S });
     }
   }
 
@@ -45,11 +46,15 @@
     const { heartbeatHandler, health, userRequests, heartbeatLatency } = this.dependencies;
     switch (request.target) {
       case HEARTBEAT_PATH:
-        reply(request.method === 'POST' ? await heartbeatHandler.handle(request.body) : { status: 405 });
+        reply(
+          request.method === 'POST'
+            ? await heartbeatHandler.handle(request.body)
+            : { status: HTTP_STATUS.methodNotAllowed },
+        );
         heartbeatLatency.record(beganAt);
         return;
       case HEALTH_PATH:
-        reply({ status: health.isHealthy() ? 200 : 503 });
+        reply({ status: health.isHealthy() ? HTTP_STATUS.ok : HTTP_STATUS.unavailable });
         return;
       default:
         await userRequests.handle(request, reply, beganAt);
--- a/src/runtime/status-page.ts
+++ b/src/runtime/status-page.ts
@@ -1,4 +1,5 @@
 /** The status page of a controller, on its internal address. Its keys are those that operators' tools read. */
+import { HTTP_STATUS } from './http/http-status.js';
 import { encode } from '../wire/cbor.js';
 import { encodePeerStatus } from '../wire/peer-messages.js';
 import type { CancellationFeed } from './cancellations/cancellation-feed.js';
@@ -30,9 +31,9 @@
 
   /** Answers a request on the internal address. */
   handle(request: HttpMessage): HttpReply {
-    if (request.method !== 'GET' || request.target !== PATH) return { status: 404 };
+    if (request.method !== 'GET' || request.target !== PATH) return { status: HTTP_STATUS.notFound };
     // Through JSON, which leaves out what is undefined.
-    return { status: 200, body: encode(JSON.parse(JSON.stringify(this.content()))) };
+    return { status: HTTP_STATUS.ok, body: encode(JSON.parse(JSON.stringify(this.content()))) };
   }
 
   private content(): unknown {
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -203,7 +203,7 @@
       priorityRank[b.spec.priority] - priorityRank[a.spec.priority],
   );
   const { placed, victims } = runTestCycle(machines, inOrder, limits);
-  for (const { job: j, index, machine: machine } of placed) placeRunningTask(machine, j, index);
+  for (const { job: j, index, machine } of placed) placeRunningTask(machine, j, index);
   for (const { job: j, placement } of victims) {
     const stopped = j.spec.kind === 'gang' ? [...j.placements.values()] : [placement];
     for (const placement of stopped) {
--- a/src/test/large-cluster.test.ts
+++ b/src/test/large-cluster.test.ts
@@ -86,18 +86,18 @@
   };
   const first = requests(1);
   assert.equal(
-    first.reduce((sum, effect) => sum + effect.order.count, 0),
+    first.reduce((sum, effect) => sum + effect.request.count, 0),
     100,
     'a sixteenth of the tasks that wait',
   );
-  assert.ok(first.length > 1 && first.every((effect) => effect.order.count <= 50));
-  assert.equal(new Set(first.map((effect) => effect.request)).size, first.length);
+  assert.ok(first.length > 1 && first.every((effect) => effect.request.count <= 50));
+  assert.equal(new Set(first.map((effect) => effect.requestId)).size, first.length);
   for (const effect of first)
-    autoscaler.onScaleOutResult(effect.request, 'no-capacity', 1000 as MonotonicTime);
-  const kind = (effect: (typeof first)[number]): string => `${effect.order.type} ${effect.order.zone}`;
+    autoscaler.onScaleOutResult(effect.requestId, 'no-capacity', 1000 as MonotonicTime);
+  const kind = (effect: (typeof first)[number]): string => `${effect.request.type} ${effect.request.zone}`;
   assert.ok(!requests(10).some((effect) => kind(effect) === kind(first[0])), 'not before the rest is over');
   assert.ok(
-    autoscaler['unavailableUntil'].get(capacityKey(first[0].order.type, first[0].order.zone, false))! <=
+    autoscaler['unavailableUntil'].get(capacityKey(first[0].request.type, first[0].request.zone, false))! <=
       16_000,
   );
 });
--- a/src/test/sim/leader-simulation.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -265,12 +265,12 @@
 
   private createMachinesFor(leader: Leader, effect: Extract<Effect, { kind: 'create-machines' }>): void {
     if (this.cloudUnavailable) {
-      leader.onScaleOutResult(effect.request, 'retry', this.monotonicNow);
+      leader.onScaleOutResult(effect.requestId, 'retry', this.monotonicNow);
       return;
     }
-    const machines = this.machines.create(effect.request, effect.order);
+    const machines = this.machines.create(effect.requestId, effect.request);
     const result = machines.length === 0 ? 'no-capacity' : { machines };
-    leader.onScaleOutResult(effect.request, result, this.monotonicNow);
+    leader.onScaleOutResult(effect.requestId, result, this.monotonicNow);
   }
 
   private listMachines(): void {
