--- a/src/core/job-progress.ts
+++ b/src/core/job-progress.ts
@@ -1,4 +1,4 @@
-/** Which tasks of a job are completed, and which completions the state service holds. */
+/** Which tasks of a job are completed, and which completions the key-value store holds. */
 import type { SegmentName } from './units.js';
 
 const hasBit = (bits: Uint8Array, index: number): boolean => (bits[index >> 3] & (1 << (index & 7))) !== 0;
@@ -7,11 +7,11 @@
 export class JobProgress {
   readonly completedBits: Uint8Array;
   completedCount = 0;
-  /** Tasks whose completion the state service doesn't hold yet, and that no write under way has. */
+  /** Tasks whose completion the key-value store doesn't hold yet, and that no write under way has. */
   readonly unpersisted = new Set<number>();
   lastPersistedAt = -Infinity;
   readonly segmentsBeingWritten = new Set<SegmentName>();
-  /** Segments that have a key in the state service. */
+  /** Segments that have a key in the key-value store. */
   readonly persistedSegments = new Set<SegmentName>();
   private readonly durableBits: Uint8Array;
 
@@ -26,7 +26,7 @@
     return hasBit(this.completedBits, index);
   }
 
-  /** Whether the state service holds the task's completion. */
+  /** Whether the key-value store holds the task's completion. */
   isDurable(index: number): boolean {
     return hasBit(this.durableBits, index);
   }
@@ -40,7 +40,7 @@
     return true;
   }
 
-  /** Completions read back from the state service, or confirmed as written to it, from that byte on. */
+  /** Completions read back from the key-value store, or confirmed as written to it, from that byte on. */
   confirm(segment: SegmentName, startByte: number, bytes: Uint8Array): void {
     this.persistedSegments.add(segment);
     for (let i = 0; i < bytes.length && startByte + i < this.durableBits.length; i++) {
--- a/src/core/job.ts
+++ b/src/core/job.ts
@@ -28,7 +28,7 @@
   observed: boolean;
   running: boolean;
   runningSince: MonotonicTime | null;
-  stop: { graceS: number; since: MonotonicTime; reason: string } | null;
+  stop: { gracePeriodS: number; since: MonotonicTime; reason: string } | null;
   /** Started after a long wait: not preempted, or it would starve all the same. */
   unpreemptible: boolean;
 }
@@ -190,7 +190,7 @@
     return this.progress.isCompleted(index);
   }
 
-  /** Whether the state service holds the task's completion. */
+  /** Whether the key-value store holds the task's completion. */
   isDurable(index: number): boolean {
     return this.progress.isDurable(index);
   }
@@ -200,7 +200,7 @@
     if (this.progress.markCompleted(index) && this.placements.has(index)) this.placedNotCompleted--;
   }
 
-  /** Completions read back from the state service, or confirmed as written to it, from that byte on. */
+  /** Completions read back from the key-value store, or confirmed as written to it, from that byte on. */
   confirmCompletions(segment: SegmentName, startByte: number, bytes: Uint8Array): void {
     this.progress.confirm(segment, startByte, bytes);
     this.placedNotCompleted = 0;
--- a/src/core/leader/job-dependencies.ts
+++ b/src/core/leader/job-dependencies.ts
@@ -24,7 +24,7 @@
 /** The unfinished jobs that depend on others, by what they depend on. */
 export class JobDependencies {
   private readonly dependents = new Map<JobId, Set<Job>>();
-  /** Only what the state service's final records say. */
+  /** Only what the key-value store's final records say. */
   private readonly finalStates = new Map<JobId, FinalState>();
   /** Jobs that others depend on and that are neither known as unfinished nor known to be final. */
   private readonly lookups = new Map<JobId, Lookup>();
@@ -69,7 +69,7 @@
     this.state.log('info', { job: job.id, class: name, dependsOn, ...job.waitReason }, 'job waits');
   }
 
-  /** The job is over, as a record in the state service says that can't change any more. */
+  /** The job is over, as a record in the key-value store says that can't change any more. */
   onJobFinal(id: JobId, final: FinalState, now: MonotonicTime): void {
     this.lookups.delete(id);
     if (this.finalStates.size >= FINAL_STATES_KEPT)
--- a/src/core/leader/job-intake.ts
+++ b/src/core/leader/job-intake.ts
@@ -1,4 +1,4 @@
-/** Jobs as they become known to the leader: from their records in the state service, and from other controllers. */
+/** Jobs as they become known to the leader: from their records in the key-value store, and from other controllers. */
 import { Job } from '../job.js';
 import type { ArrivalRates } from '../scaling/arrival-rates.js';
 import type { TypePenalties } from '../scheduler/type-penalties.js';
@@ -38,7 +38,7 @@
     this.typePenalties = typePenalties;
   }
 
-  /** A job's record as the state service has it, from the first load or from the watch. */
+  /** A job's record as the key-value store has it, from the first load or from the watch. */
   applyRecord(update: JobRecordUpdate, now: MonotonicTime, wall: WallTime): void {
     const known = this.state.jobs.get(update.id);
     if (known) this.updateKnown(known, update, now);
--- a/src/core/leader/leader.ts
+++ b/src/core/leader/leader.ts
@@ -137,7 +137,7 @@
 
   /**
    * While the lease is held but can't be renewed, nothing is decided. What users were told is cancelled ends all the
-   * same: that is final, whoever leads next, and in an outage of the state service nobody has authority to wait for.
+   * same: that is final, whoever leads next, and in an outage of the key-value store nobody has authority to wait for.
    */
   tickWithoutAuthority(now: MonotonicTime, wall: WallTime): void {
     this.state.changedSinceTick = false;
@@ -245,7 +245,7 @@
       machine.type = types.find(({ name }) => name === machine.info.type) ?? machine.type;
   }
 
-  /** A job's record as the state service has it, from the first load or from the watch. */
+  /** A job's record as the key-value store has it, from the first load or from the watch. */
   applyJobRecord(update: JobRecordUpdate, now: MonotonicTime, wall: WallTime): void {
     this.jobIntake.applyRecord(update, now, wall);
   }
@@ -255,7 +255,7 @@
     this.jobIntake.applyCancellation(id, now);
   }
 
-  /** Completions that the state service holds, read at the start or in place of a refused write. */
+  /** Completions that the key-value store holds, read at the start or in place of a refused write. */
   loadProgress(id: JobId, segment: SegmentName, bytes: Uint8Array): void {
     this.progressWriter.loadProgress(id, segment, bytes);
   }
--- a/src/core/leader/machine-commands.ts
+++ b/src/core/leader/machine-commands.ts
@@ -10,9 +10,11 @@
 const GRACE_MARGIN_MS = 4000;
 
 /** A task that was told to stop with time to save, and whose time is well over, is ended without. */
-const remainingGraceS = ({ stop }: Placement, now: MonotonicTime): number => {
-  if (!stop || stop.graceS === 0) return 0;
-  return now - stop.since > stop.graceS * (GRACE_FACTOR * 1000) + GRACE_MARGIN_MS ? 0 : stop.graceS;
+const remainingGracePeriodS = ({ stop }: Placement, now: MonotonicTime): number => {
+  if (!stop || stop.gracePeriodS === 0) return 0;
+  return now - stop.since > stop.gracePeriodS * (GRACE_FACTOR * 1000) + GRACE_MARGIN_MS
+    ? 0
+    : stop.gracePeriodS;
 };
 
 /** The command for a reported task, if any: to stop it, or to forget it once it has exited. */
@@ -34,9 +36,9 @@
   }
   if (!job || !placement) return { op: 'stop', ...ref, gracePeriodS: 0 };
   if (!placement.stop) return null;
-  const graceS = remainingGraceS(placement, now);
-  if (task.state === 'saving' && graceS > 0) return null;
-  return { op: 'stop', ...ref, gracePeriodS: graceS };
+  const gracePeriodS = remainingGracePeriodS(placement, now);
+  if (task.state === 'saving' && gracePeriodS > 0) return null;
+  return { op: 'stop', ...ref, gracePeriodS };
 };
 
 /** Commands for the reply to a heartbeat, or for a direct command. */
--- a/src/core/leader/placement-lifecycle.ts
+++ b/src/core/leader/placement-lifecycle.ts
@@ -33,14 +33,14 @@
   }
 
   /** The task is to end. One whose start was never sent is released at once. */
-  stop(job: Job, placement: Placement, graceS: number, reason: string, now: MonotonicTime): void {
+  stop(job: Job, placement: Placement, gracePeriodS: number, reason: string, now: MonotonicTime): void {
     const machine = this.state.machines.get(placement.machine);
     if (placement.stop) {
-      if (graceS === 0) placement.stop.graceS = 0;
+      if (gracePeriodS === 0) placement.stop.gracePeriodS = 0;
       machine?.invalidate();
       return;
     }
-    placement.stop = { graceS, since: now, reason };
+    placement.stop = { gracePeriodS, since: now, reason };
     this.state.changedSinceTick = true;
     machine?.invalidate();
     if (!mayBeKnownToWorker(placement)) {
@@ -52,9 +52,9 @@
 
   /** Evicts a task gracefully for a reason of ours; a gang goes as a whole, all members at once. */
   evict(job: Job, placement: Placement, reason: string, now: MonotonicTime): void {
-    const graceS = job.spec.checkpointS > 0 ? job.spec.saveS : 0;
+    const gracePeriodS = job.spec.checkpointS > 0 ? job.spec.saveS : 0;
     const evicted = job.spec.kind === 'gang' ? [...job.placements.values()] : [placement];
-    for (const each of evicted) this.stop(job, each, graceS, reason, now);
+    for (const each of evicted) this.stop(job, each, gracePeriodS, reason, now);
   }
 
   /** The job is cancelled: its tasks end at once. */
--- a/src/core/leader/progress-writer.ts
+++ b/src/core/leader/progress-writer.ts
@@ -55,7 +55,7 @@
     return written;
   }
 
-  /** Completions that the state service holds, read at the start or in place of a refused write. */
+  /** Completions that the key-value store holds, read at the start or in place of a refused write. */
   loadProgress(id: JobId, segment: SegmentName, bytes: Uint8Array): void {
     const startByte = segmentStart(segment);
     if (startByte !== null) this.state.jobs.get(id)?.confirmCompletions(segment, startByte, bytes);
--- a/src/core/leader/task-reconciler.ts
+++ b/src/core/leader/task-reconciler.ts
@@ -119,7 +119,7 @@
     job.addPlacement(placement);
     machine.assign(job, placement);
     this.state.decisionLog.recordAdopted(machine, task);
-    if (job.cancelled) placement.stop = { graceS: 0, since: now, reason: 'cancelled' };
+    if (job.cancelled) placement.stop = { gracePeriodS: 0, since: now, reason: 'cancelled' };
     return placement;
   }
 }
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -115,8 +115,8 @@
   const warm = makeMachine('b', 'small', 'west');
   warm.recordImageUse('img-1', 30);
   const array = makeJob('wk-9', { tasks: 2, priority: 'low', saveS: 2, checkpointS: 10 });
-  placeRunningTask(warm, array, 0).stop = { graceS: 2, since: now, reason: 'preempted' };
-  placeRunningTask(warm, array, 1).stop = { graceS: 2, since: now, reason: 'preempted' };
+  placeRunningTask(warm, array, 0).stop = { gracePeriodS: 2, since: now, reason: 'preempted' };
+  placeRunningTask(warm, array, 1).stop = { gracePeriodS: 2, since: now, reason: 'preempted' };
   const gang = makeJob('wk-1', { kind: 'gang', tasks: 2, priority: 'high', imageGb: 30 });
   assert.deepEqual(describeDecisions(runTestCycle([cold, warm], [gang])), []);
   assert.equal(gang.waitReason.why, 'waiting for victims');
@@ -148,9 +148,9 @@
 test('while victims stop, the group waits and nothing behind it takes the capacity', () => {
   const a = makeMachine('a', 'small', 'east');
   const low = makeJob('wk-9', { tasks: 2, priority: 'low' });
-  placeRunningTask(a, low, 0).stop = { graceS: 2, since: now, reason: 'preempted' };
+  placeRunningTask(a, low, 0).stop = { gracePeriodS: 2, since: now, reason: 'preempted' };
   const high = makeJob('wk-1', { priority: 'high', gpus: 2 });
-  placeRunningTask(a, low, 1).stop = { graceS: 2, since: now, reason: 'preempted' };
+  placeRunningTask(a, low, 1).stop = { gracePeriodS: 2, since: now, reason: 'preempted' };
   const behind = makeJob('wk-2', { priority: 'normal', gpus: 0, cpus: 1 });
   assert.deepEqual(
     describeDecisions(runTestCycle([a], [high, behind])),
@@ -205,7 +205,7 @@
   const machine = makeMachine('c', 'large', 'west');
   const team = 'blue' as Team;
   const first = makeJob('wk-1', { tasks: 2, gpus: 8, cpus: 8, team });
-  placeRunningTask(a, first, 0).stop = { graceS: 5, since: now, reason: 'preempted' };
+  placeRunningTask(a, first, 0).stop = { gracePeriodS: 5, since: now, reason: 'preempted' };
   placeRunningTask(b, first, 1);
   const next = makeJob('wk-2', { tasks: 3, gpus: 2, team });
   assert.deepEqual(describeDecisions(runTestCycle([a, b, machine], [next])), ['wk-2/0 -> c', 'wk-2/1 -> c']);
--- a/src/test/sim/simulated-worker.ts
+++ b/src/test/sim/simulated-worker.ts
@@ -260,10 +260,10 @@
     this.exit(task, this.failsTasks ? 'error' : 'done');
   }
 
-  private stop(task: WorkerTask, graceS: number): void {
+  private stop(task: WorkerTask, gracePeriodS: number): void {
     const spec = this.environment.specs.get(task.job);
     if (task.state === 'exited') return;
-    const saves = task.state === 'running' && spec && spec.checkpointS > 0 && graceS >= spec.saveS;
+    const saves = task.state === 'running' && spec && spec.checkpointS > 0 && gracePeriodS >= spec.saveS;
     if (!saves) {
       this.exit(task, 'stopped');
       return;
