--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -74,7 +74,7 @@
   }
 
   /** What is known of an unfinished job; undefined also for one accepted a moment ago. */
-  indexed(job: JobId): IndexedJob | undefined {
+  indexedJob(job: JobId): IndexedJob | undefined {
     return this.index.get(job);
   }
 
--- a/src/runtime/leadership/leader-election.ts
+++ b/src/runtime/leadership/leader-election.ts
@@ -77,7 +77,7 @@
     const { store, log, leaseMs } = this.dependencies;
     void watchLeaderKey(store, {
       readLeaderKey: () => this.readLeaderKey(),
-      onLeader: (node, term) => this.noteLeader(node, term),
+      onLeader: (node, term) => this.updateLeader(node, term),
     });
     void renewHeldLease({
       store,
@@ -91,7 +91,7 @@
   }
 
   /** The store or a peer names a leader. */
-  noteLeader(node: NodeName, term: Term): void {
+  updateLeader(node: NodeName, term: Term): void {
     const held = this.electionState.heldLease;
     recordLeader(this.electionState, node, term);
     if (held && !this.electionState.heldLease) this.dependencies.events.onLeadershipLost('higher term seen');
@@ -130,7 +130,7 @@
     const leader = parseLeaderRecord(data);
     if (!leader) return false;
     const { platform, store, log, events } = this.dependencies;
-    this.noteLeader(leader.node, leader.term);
+    this.updateLeader(leader.node, leader.term);
     events.onLeaderKeyRead();
     // This controller's own key from before a restart: that process is dead, so its lease need not run out.
     if (!this.leaderKeyWasRead && leader.node === platform.name && !this.holdsLease && lease) {
@@ -169,7 +169,7 @@
   private onLeaseAcquired(held: HeldLease): void {
     const { platform, log, events } = this.dependencies;
     this.electionState.heldLease = held;
-    this.noteLeader(platform.name, held.term);
+    this.updateLeader(platform.name, held.term);
     log.info(
       {
         term: held.term,
--- a/src/runtime/leadership/leader-loop.ts
+++ b/src/runtime/leadership/leader-loop.ts
@@ -69,7 +69,7 @@
       store,
       log,
       cancellations,
-      leader: () => this.leaderCore,
+      leader: () => this.leader,
       onChanges: requestTick,
     });
     this.effects = new EffectExecutor({
@@ -83,7 +83,7 @@
   }
 
   /** Null while it is loading, and once it is stopped. */
-  get leaderCore(): Leader | null {
+  get leader(): Leader | null {
     return this.state.kind === 'leading' ? this.state.leader : null;
   }
 
@@ -116,7 +116,7 @@
 
   /** These jobs are cancelled; their records may reach the leader much later. */
   applyCancellations(jobs: JobId[]): void {
-    const leader = this.leaderCore;
+    const leader = this.leader;
     if (!leader) return;
     for (const id of jobs) leader.applyCancellation(id, monotonicNow());
     this.requestTick();
@@ -124,7 +124,7 @@
 
   /** The commands that the reply is to carry. */
   onHeartbeat(heartbeat: Heartbeat): Command[] {
-    const leader = this.leaderCore;
+    const leader = this.leader;
     if (!leader) return [];
     const now = monotonicNow();
     this.lastHeartbeatAt = now;
@@ -135,7 +135,7 @@
 
   /** The machines whose next heartbeat is needed in full. */
   onUnchangedHeartbeats(unchanged: UnchangedHeartbeat[]): MachineId[] | null {
-    const leader = this.leaderCore;
+    const leader = this.leader;
     if (!leader) return null;
     const now = monotonicNow();
     this.lastHeartbeatAt = now;
@@ -145,14 +145,14 @@
   }
 
   /** How long no heartbeat at all has come, though machines are known to be up. */
-  withoutHeartbeatsForMs(now: number): number {
+  timeSinceHeartbeatMs(now: number): number {
     if (this.state.kind !== 'leading' || !this.state.leader.expectsHeartbeats) return 0;
     return now - Math.max(this.lastHeartbeatAt, this.state.since);
   }
 
   /** The machine types have changed. */
   setMachineTypes(types: MachineType[]): void {
-    this.leaderCore?.setMachineTypes(types);
+    this.leader?.setMachineTypes(types);
   }
 
   private get isStopped(): boolean {
@@ -192,7 +192,7 @@
     while (!this.isStopped) {
       if (election.hasAuthority) {
         const listed = await cloud.listMachines();
-        if (listed) this.leaderCore?.onMachineList(listed, monotonicNow());
+        if (listed) this.leader?.onMachineList(listed, monotonicNow());
       }
       await sleep(intervalMs);
     }
@@ -209,7 +209,7 @@
   }
 
   private tick(): void {
-    const leader = this.leaderCore;
+    const leader = this.leader;
     if (!leader) return;
     const { election, log } = this.dependencies;
     const beganAt = monotonicNow();
--- a/src/runtime/leadership/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -52,7 +52,7 @@
   }
 
   /** A segment of progress that was there when the leadership began. */
-  progressLoaded(key: string, revision: Revision): void {
+  recordLoadedProgress(key: string, revision: Revision): void {
     this.progress.recordLoaded(key, revision);
   }
 
--- a/src/runtime/leadership/leadership-manager.ts
+++ b/src/runtime/leadership/leadership-manager.ts
@@ -34,7 +34,7 @@
 
   /** Null while this controller doesn't lead, or is loading what the store holds. */
   get leader(): Leader | null {
-    return this.leaderLoop?.leaderCore ?? null;
+    return this.leaderLoop?.leader ?? null;
   }
 
   /** To be called once, before the first request to the store. */
@@ -66,7 +66,7 @@
     if (!this.leaderLoop || links.length === 0 || !election.hasAuthority) return;
     const limitMs =
       platform.workers.heartbeatIntervalS * MS_PER_S * UNREACHABLE_INTERVALS + UNREACHABLE_SLACK_MS;
-    if (this.leaderLoop.withoutHeartbeatsForMs(monotonicNow()) >= limitMs)
+    if (this.leaderLoop.timeSinceHeartbeatMs(monotonicNow()) >= limitMs)
       election.resign('no heartbeat received');
   }
 }
--- a/src/runtime/leadership/stored-state.ts
+++ b/src/runtime/leadership/stored-state.ts
@@ -61,7 +61,7 @@
 
 const loadProgress = (item: Item, { leader, records }: StoredStateTargets): void => {
   const { job, segment } = progressKeyParts(item.key);
-  records.progressLoaded(item.key, item.revision);
+  records.recordLoadedProgress(item.key, item.revision);
   const bits = parseProgressRecord(item.data);
   if (bits !== null) leader.loadProgress(job, segment, Buffer.from(bits, 'base64'));
 };
--- a/src/runtime/peers/peer-handler.ts
+++ b/src/runtime/peers/peer-handler.ts
@@ -74,7 +74,7 @@
   }
 
   private onRecentHeartbeats({ machines }: RequestOf<'recent-heartbeats'>): Response<'recent-heartbeats'> {
-    return { machines: this.dependencies.heartbeatHandler.recentlyReporting(machines) };
+    return { machines: this.dependencies.heartbeatHandler.machinesWithRecentHeartbeat(machines) };
   }
 
   private async onForwardedHeartbeat({
--- a/src/runtime/peers/peer-status.ts
+++ b/src/runtime/peers/peer-status.ts
@@ -40,8 +40,8 @@
     const { election, heartbeatHandler } = this.dependencies;
     const { node, term, leading, holdsLease, reachableLeader, leaderSeenAgoMs } = status;
     if (leaderSeenAgoMs !== null) heartbeatHandler.recordLeaderSeen(leaderSeenAgoMs);
-    if (leading || holdsLease) election.noteLeader(node, term);
+    if (leading || holdsLease) election.updateLeader(node, term);
     if (leading) heartbeatHandler.recordLeaderSeen();
-    if (reachableLeader) election.noteLeader(reachableLeader.node, reachableLeader.term);
+    if (reachableLeader) election.updateLeader(reachableLeader.node, reachableLeader.term);
   }
 }
--- a/src/runtime/users/job-lookup.ts
+++ b/src/runtime/users/job-lookup.ts
@@ -26,7 +26,7 @@
   | { kind: 'pending'; dependsOn: readonly JobId[] };
 
 /** The part of the feed that says what is known of other jobs without asking. */
-export type KnownJobs = Pick<CancellationFeed, 'has' | 'indexed' | 'isFresh'>;
+export type KnownJobs = Pick<CancellationFeed, 'has' | 'indexedJob' | 'isFresh'>;
 
 /** Looks up jobs, and what follows for a job from those that it depends on. */
 export class JobLookup {
@@ -63,7 +63,7 @@
   /** Whether each of these jobs was accepted, at whichever controller. */
   async checkAccepted(ids: readonly JobId[]): Promise<AcceptanceResult> {
     const unknown = ids.filter(
-      (id) => !this.finalRecords.has(id) && !this.known.indexed(id) && !this.known.has(id),
+      (id) => !this.finalRecords.has(id) && !this.known.indexedJob(id) && !this.known.has(id),
     );
     for (const id of unknown) {
       const found = await this.find(id);
@@ -97,7 +97,7 @@
 
   private async dependencyState(id: JobId, feedIsFresh: boolean): Promise<DependencyState> {
     if (this.known.has(id)) return { kind: 'cancelled' };
-    const indexed = feedIsFresh && !this.finalRecords.has(id) ? this.known.indexed(id) : undefined;
+    const indexed = feedIsFresh && !this.finalRecords.has(id) ? this.known.indexedJob(id) : undefined;
     if (indexed) {
       if (indexed.cancelled) return { kind: 'cancelled' };
       return { kind: 'pending', dependsOn: indexed.dependsOn };
--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -120,14 +120,14 @@
     const now = this.clock();
     const { outcome, reply, machineOfLeader: machine } = await this.route(body, 'peer', now);
     this.countOutcome(outcome, now);
-    const leader = this.dependencies.leaderLoop()?.leaderCore;
+    const leader = this.dependencies.leaderLoop()?.leader;
     const inSync = machine !== undefined && (leader?.isInSync(machine) ?? false);
     return { ...reply, inSync: reply.status === HTTP_STATUS.ok && inSync };
   }
 
   /** Whether the whole cluster is known to somebody: to this controller, or to one that it can reach. */
   isLeaderReachable(now: MonotonicTime): boolean {
-    return (this.dependencies.leaderLoop()?.leaderCore ?? null) !== null || this.leaderRoute(now) !== null;
+    return (this.dependencies.leaderLoop()?.leader ?? null) !== null || this.leaderRoute(now) !== null;
   }
 
   /** Machines that sent heartbeats here, and for so long none any more, with what they last held. */
@@ -136,14 +136,14 @@
   }
 
   /** Of these machines, the ones that sent a heartbeat here within the last lease. */
-  recentlyReporting(machines: string[]): MachineId[] {
+  machinesWithRecentHeartbeat(machines: string[]): MachineId[] {
     const since = this.clock() - this.dependencies.platform.workers.leaseS * 1000;
     return (machines as MachineId[]).filter((id) => this.lastHeartbeats.receivedSince(id, since));
   }
 
   /** Drops what is known of a machine. */
-  forgetHeartbeat(id: MachineId): void {
-    this.lastHeartbeats.forget(id);
+  removeHeartbeat(id: MachineId): void {
+    this.lastHeartbeats.remove(id);
   }
 
   private async route(body: Buffer, from: 'worker' | 'peer', now: MonotonicTime): Promise<RoutedHeartbeat> {
@@ -185,7 +185,7 @@
     // An answer under a lower token would be dropped and would hold the worker here.
     if (heartbeat.fencingToken > term) return redirected(null);
     if (!election.hasAuthority) {
-      loop?.leaderCore?.onHeartbeatWithoutAuthority(heartbeat, now);
+      loop?.leader?.onHeartbeatWithoutAuthority(heartbeat, now);
       return this.leaderlessRenewal.answer(heartbeat, now);
     }
     this.leaderlessRenewal.recordLeaderSeen(now);
--- a/src/runtime/workers/last-heartbeats.ts
+++ b/src/runtime/workers/last-heartbeats.ts
@@ -34,7 +34,7 @@
   }
 
   /** Drops what is known of a machine. */
-  forget(id: MachineId): void {
+  remove(id: MachineId): void {
     this.byMachine.delete(id);
   }
 }
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -84,7 +84,7 @@
     const running = (listed ?? [])
       .filter((machine) => machine.status === 'running')
       .map((machine) => machine.id);
-    const reporting = new Set(heartbeatHandler.recentlyReporting(running));
+    const reporting = new Set(heartbeatHandler.machinesWithRecentHeartbeat(running));
     return running.filter((id) => !reporting.has(id));
   }
 
@@ -95,7 +95,7 @@
     if (machines.length === 0) return;
     // They may report to another controller by now, which tells them to stop.
     const { reporting, allPeersAnswered } = await this.askPeers(machines);
-    for (const id of machines) if (reporting.has(id)) heartbeatHandler.forgetHeartbeat(id);
+    for (const id of machines) if (reporting.has(id)) heartbeatHandler.removeHeartbeat(id);
     // Those that a controller out of reach may get heartbeats from are spared, unless they are known to hold such a
     // task.
     const unreachable = machines.filter(
@@ -104,7 +104,7 @@
     if (unreachable.length === 0) return;
     const ok = await cloud.deleteMachines(unreachable);
     log.info({ machines: unreachable, ok }, 'machines fenced without a leader');
-    if (ok) for (const id of unreachable) heartbeatHandler.forgetHeartbeat(id);
+    if (ok) for (const id of unreachable) heartbeatHandler.removeHeartbeat(id);
   }
 
   /** Which of the machines send heartbeats to other controllers, and whether every one of these said so. */
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -81,7 +81,7 @@
     index,
     cancelled,
     has: (id: JobId) => cancelled.has(id),
-    indexed: (id: JobId) => index.get(id),
+    indexedJob: (id: JobId) => index.get(id),
     isFresh: () => fresh,
   };
 };
