--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the log of cancelled jobs up to date: from the store, from peers, and from what this controller confirms itself.
- * With it goes an index of the unfinished jobs, from the same reads of the store.
+ * Keeps the log of cancelled jobs up to date from the key-value store, from peers, and from the cancellations that this
+ * controller confirms itself. The same reads of the store update an index of the unfinished jobs.
  */
 import { randomBytes } from 'node:crypto';
 import type { PlatformSettings } from '../../config/platform.js';
@@ -21,34 +21,34 @@
 import type { Logger } from '../logger.js';
 import type { PeerLink } from '../peers/peer-link.js';
 
-const POLL_MS = 1000;
+const STORE_POLL_INTERVAL_MS = 1000;
 const PUSH_TIMEOUT_MS = 1000;
 const INCARNATION_BYTES = 9;
 const MS_PER_S = 1000;
-/** What is known of jobs counts as current for this part of `cancel_s`: users see a cancellation in time. */
-const FRESH_CANCEL_FRACTION = 0.25;
+/** The job data counts as fresh for this fraction of `cancel_s`, so that users see a cancellation in time. */
+const FRESH_AGE_CANCEL_FRACTION = 0.25;
 
 type ReadOutcome =
   | { kind: 'ok'; storeRevision: Revision; cancelled: JobId[] }
   | { kind: 'no-answer' }
-  /** What has changed since is not kept any more. */
+  /** The store no longer keeps the requested changes. */
   | { kind: 'compacted' };
 
-/** What the feed works with. */
+/** Dependencies of the cancellation feed. */
 export interface CancellationFeedDependencies {
   platform: PlatformSettings;
   store: KeyValueStoreClient;
   links: readonly PeerLink[];
   log: Logger;
-  /** These jobs were not known to be cancelled before. */
+  /** These jobs are cancelled, which was not known before. */
   onCancelled: (jobs: JobId[]) => void;
 }
 
-/** One for each controller process. */
+/** Provides a controller process with the cancelled jobs and the unfinished jobs. */
 export class CancellationFeed {
   private readonly cancellationLog: CancellationLog;
   private readonly renewalWindowMs: number;
-  private readonly freshMs: number;
+  private readonly maxFreshAgeMs: number;
   private readonly index = new JobIndex();
   private indexReadAt = -Infinity;
 
@@ -59,11 +59,11 @@
       peers.map((peer) => peer.name),
       cancellationRetentionMs(workers.cancelS),
     );
-    this.freshMs = workers.cancelS * MS_PER_S * FRESH_CANCEL_FRACTION;
+    this.maxFreshAgeMs = workers.cancelS * MS_PER_S * FRESH_AGE_CANCEL_FRACTION;
     this.renewalWindowMs = renewalWindowMs(workers.cancelS, workers.leaseS);
   }
 
-  /** Begins to read the store. */
+  /** Starts to read the store periodically. */
   start(): void {
     void this.followStore();
   }
@@ -73,15 +73,15 @@
     return this.cancellationLog.has(job);
   }
 
-  /** What is known of an unfinished job; undefined also for one accepted a moment ago. */
+  /** The index entry of an unfinished job; may be undefined for a job that was accepted a moment ago. */
   indexedJob(job: JobId): IndexedJob | undefined {
     return this.index.get(job);
   }
 
-  /** Every cancellation is known that was confirmed longer than a part of `cancel_s` ago. */
+  /** Whether all cancellations confirmed more than `FRESH_AGE_CANCEL_FRACTION` of `cancel_s` ago are known. */
   isFresh(): boolean {
     const now = monotonicNow();
-    return now - Math.min(this.indexReadAt, this.cancellationLog.provenUntil(now)) <= this.freshMs;
+    return now - Math.min(this.indexReadAt, this.cancellationLog.provenUntil(now)) <= this.maxFreshAgeMs;
   }
 
   /** When this controller learned of the job's cancellation. */
@@ -89,55 +89,62 @@
     return this.cancellationLog.learnedAtOf(job);
   }
 
-  /** Whether it learned of any cancellation from one instant until before the other. */
+  /** Whether this controller learned of any cancellation at or after `from` and before `until`. */
   anyLearnedBetween(from: MonotonicTime, until: MonotonicTime): boolean {
     return this.cancellationLog.anyLearnedBetween(from, until);
   }
 
-  /** Whether a heartbeat may be answered 200: no cancelled task that is unknown here would be kept beyond its time. */
+  /**
+   * Whether a heartbeat may get a reply with status 200: a task whose cancellation is unknown to this controller would
+   * still end within `cancel_s`.
+   */
   mayRenewLeases(now: MonotonicTime): boolean {
     return now <= this.cancellationLog.provenUntil(now) + this.renewalWindowMs;
   }
 
-  /** How old the instant is up to which all cancellations are proven to be known; null: there is no proof. */
+  /** Age of the instant up to which all cancellations are proven to be known; null if there is no such proof. */
   coverageAgeMs(now: MonotonicTime): number | null {
     const until = this.cancellationLog.provenUntil(now);
     return until === -Infinity ? null : Math.round(now - until);
   }
 
-  /** Called before a user is told, so that every page of the log sent from then on has it. */
+  /**
+   * Adds a cancellation before it is confirmed to the user, so that every page of the log that is sent after the
+   * confirmation contains the job.
+   */
   recordConfirmed(job: JobId): void {
     if (!this.cancellationLog.add(job, monotonicNow())) return;
     const { links, onCancelled } = this.dependencies;
     onCancelled([job]);
-    // The heartbeats carry it for certain; this is only sooner, so that nothing of the job is started meanwhile.
+    // The heartbeats between controllers deliver it reliably. This push only arrives sooner, so that no task of the job
+    // is started in the meantime.
     for (const link of links) void link.ask({ kind: 'cancellations', jobs: [job] }, PUSH_TIMEOUT_MS);
   }
 
-  /** A peer tells jobs that it has confirmed just now. */
+  /** Adds the jobs in a push from a peer that has just confirmed their cancellation. */
   onPushed(raw: unknown): void {
     const jobs = parseCancelledJobs(raw);
     if (jobs) this.addAll(jobs);
     else this.onMalformedPage(null, 'not a list of job ids');
   }
 
-  /** How much of the peer's log is held here. */
+  /** The position up to which this controller holds the peer's log; null if it holds none of it. */
   positionOf(peer: NodeName): CancellationLogPosition | null {
     return this.cancellationLog.positionOf(peer);
   }
 
-  /** What a peer is told that holds this much of this controller's log. */
+  /** The page of this controller's log for a peer that holds the log up to this position. */
   pageAfter(position: CancellationLogPosition | null): CancellationLogPage {
     return this.cancellationLog.pageAfter(position, monotonicNow());
   }
 
-  /** A peer's page, in answer to a heartbeat sent at this instant. */
-  onPeerPage(peer: NodeName, page: CancellationLogPage, askedAt: MonotonicTime): void {
-    const added = this.cancellationLog.mergePage(peer, page, askedAt, monotonicNow());
+  /** Merges a peer's page, received in response to a heartbeat that was sent at `requestedAt`. */
+  onPeerPage(peer: NodeName, page: CancellationLogPage, requestedAt: MonotonicTime): void {
+    const added = this.cancellationLog.mergePage(peer, page, requestedAt, monotonicNow());
     if (added.length > 0) this.dependencies.onCancelled(added);
   }
 
-  /** It is dropped: it proves nothing. */
+  /** Logs a malformed page. The page is dropped and proves nothing. */
   onMalformedPage(peer: NodeName | null, cause: string): void {
     const { log } = this.dependencies;
     log.rateLimited('peer-frame', 'info', { peer, cause }, 'malformed cancellations of a peer dropped');
@@ -148,19 +155,19 @@
     if (added.length > 0) this.dependencies.onCancelled(added);
   }
 
-  /** Short reads rather than one long watch: an answer proves something only as of when it was asked for. */
+  /** Polls instead of using a long watch: a response only proves what was recorded before its request was sent. */
   private async followStore(): Promise<never> {
     let since: Revision | null = null;
     for (;;) {
-      const askedAt = monotonicNow();
+      const requestedAt = monotonicNow();
       const outcome: ReadOutcome = since === null ? await this.readAll() : await this.readSince(since);
       if (outcome.kind === 'ok') {
         since = outcome.storeRevision;
         this.addAll(outcome.cancelled);
-        this.cancellationLog.onStoreRead(askedAt);
-        this.indexReadAt = askedAt;
+        this.cancellationLog.onStoreRead(requestedAt);
+        this.indexReadAt = requestedAt;
       } else if (outcome.kind === 'compacted') since = null;
-      await sleep(Math.max(0, askedAt + POLL_MS - monotonicNow()));
+      await sleep(Math.max(0, requestedAt + STORE_POLL_INTERVAL_MS - monotonicNow()));
     }
   }
 
@@ -170,7 +177,7 @@
     const { items, storeRevision } = listing.value;
     this.index.clear();
     const cancelled = items.filter((item) => this.indexRecord(item.key, item.data));
-    return { kind: 'ok', storeRevision, cancelled: cancelled.map((item) => jobOf(item.key)) };
+    return { kind: 'ok', storeRevision, cancelled: cancelled.map((item) => jobIdOf(item.key)) };
   }
 
   private async readSince(since: Revision): Promise<ReadOutcome> {
@@ -179,18 +186,18 @@
     const { changes, storeRevision } = outcome.value;
     const cancelled: JobId[] = [];
     for (const change of changes) {
-      if (change.kind === 'deleted') this.index.remove(jobOf(change.key));
-      else if (this.indexRecord(change.key, change.data)) cancelled.push(jobOf(change.key));
+      if (change.kind === 'deleted') this.index.remove(jobIdOf(change.key));
+      else if (this.indexRecord(change.key, change.data)) cancelled.push(jobIdOf(change.key));
     }
     return { kind: 'ok', storeRevision, cancelled };
   }
 
-  /** Whether the record says that its job is cancelled. */
+  /** Adds a job record to the index; returns whether its job is cancelled. */
   private indexRecord(key: string, data: unknown): boolean {
     const cancelled = isCancelledRecord(data);
-    this.index.put(jobOf(key), dependenciesIn(data), cancelled);
+    this.index.put(jobIdOf(key), dependenciesIn(data), cancelled);
     return cancelled;
   }
 }
 
-const jobOf = (key: string): JobId => key.slice(keys.activePrefix.length) as JobId;
+const jobIdOf = (key: string): JobId => key.slice(keys.activePrefix.length) as JobId;
--- a/src/runtime/leadership/effect-executor.ts
+++ b/src/runtime/leadership/effect-executor.ts
@@ -1,4 +1,4 @@
-/** Carries out the leader's effects, and tells it how they ended. */
+/** Executes the leader's effects, and reports their outcomes to it. */
 import { HTTP_STATUS } from '../http/http-status.js';
 import type { Effect } from '../../core/leader/effects.js';
 import type { Leader } from '../../core/leader/leader.js';
@@ -11,27 +11,27 @@
 import type { LeaderRecords } from './leader-records.js';
 
 const DIRECT_COMMANDS_TIMEOUT_MS = 2500;
-const SCALE_OUT_RETRY_MS = 1200;
+const SCALE_OUT_RETRY_DELAY_MS = 1200;
 
 type EffectOf<K extends Effect['kind']> = Extract<Effect, { kind: K }>;
 
-/** What carries effects out. */
+/** Dependencies of the effect executor. */
 export interface EffectExecutorDependencies {
   records: LeaderRecords;
   cloud: CloudProviderClient;
   workers: WorkerClient;
   log: Logger;
-  /** Once the leadership has ended, outcomes are not told any more. */
+  /** Whether the leadership has ended: outcomes are then dropped, except those of progress writes and deletions. */
   isStopped: () => boolean;
-  /** An outcome was told that may call for decisions. */
+  /** An outcome was reported that may require new decisions. */
   onOutcome: () => void;
 }
 
-/** The effects of one leadership. */
+/** Executes the effects of one leadership. */
 export class EffectExecutor {
   constructor(private readonly dependencies: EffectExecutorDependencies) {}
 
-  /** Begins to carry it out. */
+  /** Starts to execute an effect. */
   execute(leader: Leader, effect: Effect): void {
     switch (effect.kind) {
       case 'log':
@@ -104,7 +104,7 @@
     else if (outcome.kind === 'no-capacity')
       leader.onScaleOutResult(requestId, 'no-capacity', monotonicNow());
     else {
-      await sleep(SCALE_OUT_RETRY_MS);
+      await sleep(SCALE_OUT_RETRY_DELAY_MS);
       if (!isStopped()) leader.onScaleOutResult(requestId, 'retry', monotonicNow());
     }
     onOutcome();
@@ -114,7 +114,7 @@
     const { cloud, log, onOutcome } = this.dependencies;
     const ok = await cloud.deleteMachines(machines);
     leader.onDeletionResult(machines, ok, monotonicNow());
-    log.info({ machines, ok }, 'machines deleted');
+    log.info({ machines, ok }, 'machine deletion requested');
     onOutcome();
   }
 
@@ -126,7 +126,7 @@
     const reply = await workers.request(endpoint, DIRECT_COMMANDS_TARGET, body, DIRECT_COMMANDS_TIMEOUT_MS);
     if (isStopped()) return;
     const answer = reply.ok ? reply.status : reply.cause;
-    log.debug({ machine, incarnation, term, answer }, 'direct command answered');
+    log.debug({ machine, incarnation, term, answer }, 'direct command request finished');
     if (reply.ok) {
       const heartbeat = parseHeartbeat(tryDecode(reply.body));
       const kind = reply.status === HTTP_STATUS.ok ? 'executed' : 'refused';
--- a/src/runtime/leadership/job-watch.ts
+++ b/src/runtime/leadership/job-watch.ts
@@ -1,4 +1,4 @@
-/** Brings jobs' records to the leader: those of the first load, and then each change. */
+/** Passes job records to the leader: all of them at its start, and then each change. */
 import type { Leader } from '../../core/leader/leader.js';
 import type { JobId, Revision } from '../../core/units.js';
 import type { Item } from '../../wire/key-value-store.js';
@@ -9,24 +9,24 @@
 import { listUntilAnswered } from '../key-value-store/list-until-answered.js';
 import type { Logger } from '../logger.js';
 
-const WATCH_MS = 10_000;
-const RETRY_MS = 250;
+const JOB_WATCH_TIMEOUT_MS = 10_000;
+const JOB_WATCH_RETRY_DELAY_MS = 250;
 
-/** What the watch needs. */
+/** Dependencies of the job watch. */
 export interface JobWatchDependencies {
   store: KeyValueStoreClient;
   log: Logger;
   cancellations: Pick<CancellationFeed, 'has'>;
-  /** Null once this leadership has ended. */
+  /** The leader; null once this leadership has ended. */
   leader: () => Leader | null;
   onChanges: () => void;
 }
 
-/** The jobs of one leadership. */
+/** Watches the job records during one leadership. */
 export class JobWatch {
   constructor(private readonly dependencies: JobWatchDependencies) {}
 
-  /** A record as the store has it; one that can't be read is passed over. */
+  /** Passes a stored record to the leader; a damaged record is logged and skipped. */
   applyRecord(
     leader: Leader,
     { key, data, revision }: Pick<Item, 'key' | 'data' | 'revision'>,
@@ -35,7 +35,7 @@
     const { cancellations, log } = this.dependencies;
     const record = parseJobRecord(data);
     if (!record) {
-      log.error({ key }, 'damaged job record, not placed');
+      log.error({ key }, 'damaged job record skipped; its job is not scheduled');
       return;
     }
     const id = key.slice(keys.activePrefix.length) as JobId;
@@ -43,12 +43,12 @@
     if (cancellations.has(id)) leader.applyCancellation(id, monotonicNow());
   }
 
-  /** Follows the changes since this revision until the leadership ends. */
+  /** Passes on the changes after this revision until the leadership ends. */
   async run(from: Revision): Promise<void> {
     const { store, onChanges } = this.dependencies;
     let since = from;
     for (;;) {
-      const outcome = await store.watch(keys.activePrefix, since, WATCH_MS);
+      const outcome = await store.watch(keys.activePrefix, since, JOB_WATCH_TIMEOUT_MS);
       const leader = this.dependencies.leader();
       if (!leader) return;
       if (outcome.kind === 'ok') {
@@ -57,16 +57,16 @@
           if (change.kind === 'put') this.applyRecord(leader, change, false);
         if (outcome.value.changes.length > 0) onChanges();
       } else if (outcome.kind === 'gone') {
-        const current = await this.applyAll();
+        const current = await this.reloadAll();
         if (current === null) return;
         since = current;
-      } else await sleep(RETRY_MS);
+      } else await sleep(JOB_WATCH_RETRY_DELAY_MS);
       if (!this.dependencies.leader()) return;
     }
   }
 
-  /** The changes asked for are not kept any more: reads all records. */
-  private async applyAll(): Promise<Revision | null> {
+  /** Reads all records again, because the store no longer keeps the changes since the last revision. */
+  private async reloadAll(): Promise<Revision | null> {
     const { store } = this.dependencies;
     const listing = await listUntilAnswered(
       store,
--- a/src/runtime/leadership/leader-election.ts
+++ b/src/runtime/leadership/leader-election.ts
@@ -1,8 +1,8 @@
 /**
- * Who leads, and whether this controller may act as the leader.
+ * Leader election of this controller, and its authority to act as the leader.
  *
- * `hasAuthority` is the right to act: it is checked before every tick and reply. It ends on this controller's own clock
- * before the store can let another one lead.
+ * `hasAuthority` is checked before every tick and every reply to a worker. By this controller's own clock, authority
+ * ends before the key-value store can let another controller become the leader.
  */
 import type { PlatformSettings } from '../../config/platform.js';
 import {
@@ -23,21 +23,21 @@
 import { acquireLeaderLease } from './lease-acquisition.js';
 import { renewHeldLease } from './lease-renewal.js';
 
-const PROBE_MS = 1000;
-/** A store that answered within this time needs no probe. */
-const ANSWER_FRESH_MS = 900;
-/** For how long one that resigned leaves leadership to the others. */
-const STAND_ASIDE_MS = 12_000;
+const PROBE_INTERVAL_MS = 1000;
+/** The store is not probed if it has responded within this time. */
+const STORE_RESPONSE_FRESH_MS = 900;
+/** How long a controller that resigned does not run for election, so that another one can win it. */
+const RESIGNATION_BACKOFF_MS = 12_000;
 
-/** What the rest of the controller is told. */
+/** Callbacks to the other parts of the controller. */
 export interface LeaderElectionEvents {
   onElected: () => void;
   onLeadershipLost: (reason: string) => void;
-  /** The leader key was read, and is alive. */
+  /** The leader key was read and exists, so the lease of the leader that it names has not expired. */
   onLeaderKeyRead: () => void;
 }
 
-/** What an election needs. */
+/** Dependencies of the leader election. */
 export interface LeaderElectionDependencies {
   platform: PlatformSettings;
   leaseMs: number;
@@ -46,12 +46,12 @@
   events: LeaderElectionEvents;
 }
 
-/** Takes part in elections for as long as the process runs. */
+/** Takes part in leader elections for the lifetime of the process. */
 export class LeaderElection {
   readonly electionState: ElectionState = initialElectionState();
   private acquiring = false;
   private leaderKeyWasRead = false;
-  private standAsideUntil = -Infinity;
+  private backoffUntil = -Infinity;
 
   constructor(private readonly dependencies: LeaderElectionDependencies) {}
 
@@ -60,23 +60,23 @@
     return hasAuthority(this.electionState, this.dependencies.leaseMs, monotonicNow());
   }
 
-  /** For how long it may still act as the leader by its own clock; null: it holds no lease. */
+  /** Time until this controller's authority ends by its own clock, negative afterwards; null if it holds no lease. */
   get authorityLeftMs(): number | null {
     const { heldLease } = this.electionState;
     if (heldLease === null) return null;
     return Math.round(leaseExpiresAt(heldLease, this.dependencies.leaseMs) - monotonicNow());
   }
 
-  /** Whether it holds the leader's lease, with or without authority. */
+  /** Whether this controller holds the leader lease, with or without authority. */
   get holdsLease(): boolean {
     return this.electionState.heldLease !== null;
   }
 
-  /** Begins to watch, renew and probe. */
+  /** Starts to watch the leader key, to renew the lease and to probe the store. */
   start(): void {
     const { store, log, leaseMs } = this.dependencies;
     void watchLeaderKey(store, {
-      readLeaderKey: () => this.readLeaderKey(),
+      checkLeaderKey: () => this.checkLeaderKey(),
       onLeader: (node, term) => this.updateLeader(node, term),
     });
     void renewHeldLease({
@@ -85,38 +85,38 @@
       leaseMs,
       electionState: this.electionState,
       authorityLeftMs: () => this.authorityLeftMs,
-      onLeaseGone: () => this.loseLease('lease gone'),
+      onLeaseGone: () => this.endLeadership('lease gone'),
     });
-    void this.probe();
+    void this.probeStore();
   }
 
-  /** The store or a peer names a leader. */
+  /** Records a leader named by the store or by a peer; a higher term ends this controller's own leadership. */
   updateLeader(node: NodeName, term: Term): void {
     const held = this.electionState.heldLease;
     recordLeader(this.electionState, node, term);
     if (held && !this.electionState.heldLease) this.dependencies.events.onLeadershipLost('higher term seen');
   }
 
-  /** Gives leadership up while the lease is alive, and leaves it to the others for a while. */
+  /** Gives up leadership by revoking the lease, and does not run for election for `RESIGNATION_BACKOFF_MS`. */
   resign(reason: string): void {
     const held = this.electionState.heldLease;
     if (!held) return;
-    this.standAsideUntil = monotonicNow() + STAND_ASIDE_MS;
-    this.loseLease(reason);
+    this.backoffUntil = monotonicNow() + RESIGNATION_BACKOFF_MS;
+    this.endLeadership(reason);
     void this.dependencies.store.revokeLease(held.leaseId);
   }
 
-  /** A write as the leader failed because the leader key is another one's, or gone. */
+  /** A write of the leader failed because the leader key was deleted or belongs to another controller. */
   onLeaderKeyChanged(): void {
-    if (this.electionState.heldLease) this.loseLease('leader key changed');
+    if (this.electionState.heldLease) this.endLeadership('leader key changed');
   }
 
-  private loseLease(reason: string): void {
+  private endLeadership(reason: string): void {
     this.electionState.heldLease = null;
     this.dependencies.events.onLeadershipLost(reason);
   }
 
-  private async readLeaderKey(): Promise<void> {
+  private async checkLeaderKey(): Promise<void> {
     const current = await this.dependencies.store.get(keys.leader, budgetReserves.urgent);
     if (current.kind === 'gone') await this.acquire();
     else if (current.kind === 'ok') {
@@ -125,14 +125,15 @@
     this.leaderKeyWasRead = true;
   }
 
-  /** False for a damaged record. */
+  /** Returns false for a damaged record. */
   private async onLeaderKeyItem({ data, lease }: Item): Promise<boolean> {
     const leader = parseLeaderRecord(data);
     if (!leader) return false;
     const { platform, store, log, events } = this.dependencies;
     this.updateLeader(leader.node, leader.term);
     events.onLeaderKeyRead();
-    // This controller's own key from before a restart: that process is dead, so its lease need not run out.
+    // This controller created the key before it was restarted. That process has ended, so its lease can be revoked
+    // instead of waiting for it to expire.
     if (!this.leaderKeyWasRead && leader.node === platform.name && !this.holdsLease && lease) {
       log.info({ term: leader.term, lease }, 'lease of the previous process revoked');
       await store.revokeLease(lease);
@@ -140,22 +141,26 @@
     return true;
   }
 
-  /** Tells a store that doesn't answer from one without changes to tell. */
-  private async probe(): Promise<never> {
+  /**
+   * Reads the leader key while no other leader is known, and whenever the store has not responded recently: the watch
+   * alone does not distinguish an outage of the store from a time without changes.
+   */
+  private async probeStore(): Promise<never> {
     for (;;) {
-      await sleep(PROBE_MS);
-      const storeIsSilent = monotonicNow() - this.dependencies.store.lastAnswerAt >= ANSWER_FRESH_MS;
-      if (storeIsSilent || (!this.holdsLease && !this.knowsOtherLeader())) await this.readLeaderKey();
+      await sleep(PROBE_INTERVAL_MS);
+      const responseIsStale =
+        monotonicNow() - this.dependencies.store.lastAnswerAt >= STORE_RESPONSE_FRESH_MS;
+      if (responseIsStale || (!this.holdsLease && !this.hasOtherLeader())) await this.checkLeaderKey();
     }
   }
 
-  private knowsOtherLeader(): boolean {
+  private hasOtherLeader(): boolean {
     const { leader } = this.electionState;
     return leader !== null && leader.node !== this.dependencies.platform.name;
   }
 
   private async acquire(): Promise<void> {
-    if (this.acquiring || this.holdsLease || monotonicNow() < this.standAsideUntil) return;
+    if (this.acquiring || this.holdsLease || monotonicNow() < this.backoffUntil) return;
     const { platform, store, leaseMs } = this.dependencies;
     this.acquiring = true;
     try {
--- a/src/runtime/leadership/leader-key-watch.ts
+++ b/src/runtime/leadership/leader-key-watch.ts
@@ -5,18 +5,18 @@
 import { sleep } from '../clock.js';
 import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 
-const WATCH_MS = 10_000;
-const RETRY_MS = 300;
+const LEADER_KEY_WATCH_TIMEOUT_MS = 10_000;
+const LEADER_KEY_RETRY_DELAY_MS = 300;
 
-/** Where what the watch sees goes. */
+/** Callbacks of the leader key watch. */
 export interface LeaderKeyListener {
-  /** Reads the key, and runs for election where there is none. */
-  readLeaderKey: () => Promise<void>;
-  /** The key names this leader. */
+  /** Reads the leader key, and runs for election if it doesn't exist. */
+  checkLeaderKey: () => Promise<void>;
+  /** The leader key was written and names this leader. */
   onLeader: (node: NodeName, term: Term) => void;
 }
 
-/** Follows the changes of the leader key; never returns. */
+/** Watches the leader key; never returns. */
 export const watchLeaderKey = async (
   store: KeyValueStoreClient,
   listener: LeaderKeyListener,
@@ -26,25 +26,25 @@
     if (since === null) {
       const listing = await store.list(keys.leaderPrefix);
       if (listing.kind !== 'ok') {
-        await sleep(RETRY_MS);
+        await sleep(LEADER_KEY_RETRY_DELAY_MS);
         continue;
       }
       since = listing.value.storeRevision;
-      await listener.readLeaderKey();
+      await listener.checkLeaderKey();
     }
-    const outcome = await store.watch(keys.leaderPrefix, since, WATCH_MS);
+    const outcome = await store.watch(keys.leaderPrefix, since, LEADER_KEY_WATCH_TIMEOUT_MS);
     if (outcome.kind === 'ok') {
       since = outcome.value.storeRevision;
       for (const change of outcome.value.changes) onChange(change, listener);
     } else if (outcome.kind === 'gone') since = null;
-    else await sleep(RETRY_MS);
+    else await sleep(LEADER_KEY_RETRY_DELAY_MS);
   }
 };
 
 const onChange = (change: ChangeEvent, listener: LeaderKeyListener): void => {
   if (change.key !== keys.leader) return;
   if (change.kind === 'deleted') {
-    void listener.readLeaderKey();
+    void listener.checkLeaderKey();
     return;
   }
   const leader = parseLeaderRecord(change.data);
--- a/src/runtime/leadership/leader-loop.ts
+++ b/src/runtime/leadership/leader-loop.ts
@@ -1,4 +1,4 @@
-/** Runs a leader: loads it with what the store holds, ticks, carries out its effects, and feeds it what it is to know. */
+/** Runs a leader: loads the stored state into it, ticks it, executes its effects, and passes events to it. */
 import type { OperatorSettings } from '../../config/operator.js';
 import type { PlatformSettings } from '../../config/platform.js';
 import type { HeldLease } from '../../core/election.js';
@@ -22,12 +22,12 @@
 import { loadStoredState, readStoredState, type StoredState } from './stored-state.js';
 import { TickTiming } from './tick-timing.js';
 
-const MIN_POLL_MS = 2000;
-/** Of the cloud provider's rate limit, a poll takes one request in so many. */
-const REQUESTS_PER_POLL = 4;
+const MIN_MACHINE_LIST_POLL_INTERVAL_MS = 2000;
+/** Of the requests that the cloud provider's rate limit allows, one in this many starts a poll of the machine list. */
+const CLOUD_REQUESTS_PER_POLL = 4;
 const MS_PER_S = 1000;
 
-/** What one leadership works with. */
+/** Dependencies of one leadership. */
 export interface LeaderLoopDependencies {
   platform: PlatformSettings;
   operator: OperatorSettings;
@@ -37,19 +37,19 @@
   log: Logger;
   random: () => number;
   machineTypes: () => MachineType[];
-  /** What is known from the leader before. */
+  /** The image locations known from earlier leaders. */
   imageLocations: ImageLocations;
   directCommandConnections: number;
   cancellations: Pick<CancellationFeed, 'has'>;
 }
 
 type LoopState =
-  /** Not started, or reading what the store holds. */
+  /** Not started yet, or reading the stored state. */
   | { kind: 'loading' }
   | { kind: 'leading'; leader: Leader; since: MonotonicTime; cycleTimer: NodeJS.Timeout }
   | { kind: 'stopped' };
 
-/** One leadership of this controller. */
+/** Runs one leadership of this controller. */
 export class LeaderLoop {
   private state: LoopState = { kind: 'loading' };
   private tickRequested = false;
@@ -82,12 +82,12 @@
     });
   }
 
-  /** Null while it is loading, and once it is stopped. */
+  /** The leader; null while the stored state is being loaded, and after `stop`. */
   get leader(): Leader | null {
     return this.state.kind === 'leading' ? this.state.leader : null;
   }
 
-  /** Loads the leader, and leads until it is stopped. */
+  /** Loads the stored state, then leads until `stop` is called. */
   async start(): Promise<void> {
     const { platform, operator, election, store, random, machineTypes, imageLocations, log } =
       this.dependencies;
@@ -98,15 +98,15 @@
     const leader = new Leader(leadership, leaderSettings(platform, operator, random), startedAt);
     const stored = await readStoredState(store, () => this.isStopped);
     if (!stored) return;
-    // Read only now: types that arrive while the store is being read would otherwise be missed, and nothing could be
-    // placed before the next refresh.
+    // The machine types are read after the stored state. Otherwise, types that arrive during that read would be missed,
+    // and no task could be placed before the next refresh of the types.
     leader.setMachineTypes(machineTypes());
     const { records, jobWatch } = this;
     loadStoredState(stored, { leader, records, jobWatch, imageLocations, startedAt, log });
-    this.lead(leader, heldLease, stored, startedAt);
+    this.startLeading(leader, heldLease, stored, startedAt);
   }
 
-  /** Nothing is decided or written any more. */
+  /** Ends the leadership: it makes no further decisions and writes nothing. */
   stop(): void {
     if (this.state.kind === 'leading') clearInterval(this.state.cycleTimer);
     this.state = { kind: 'stopped' };
@@ -114,7 +114,7 @@
     this.workers.close();
   }
 
-  /** These jobs are cancelled; their records may reach the leader much later. */
+  /** Marks these jobs as cancelled, since their changed records may reach the leader much later. */
   applyCancellations(jobs: JobId[]): void {
     const leader = this.leader;
     if (!leader) return;
@@ -122,7 +122,7 @@
     this.requestTick();
   }
 
-  /** The commands that the reply is to carry. */
+  /** Processes a heartbeat; returns the commands for its reply. */
   onHeartbeat(heartbeat: Heartbeat): Command[] {
     const leader = this.leader;
     if (!leader) return [];
@@ -133,7 +133,7 @@
     return commands;
   }
 
-  /** The machines whose next heartbeat is needed in full. */
+  /** Processes unchanged heartbeats; returns the machines whose next one must be full, or null without a leader. */
   onUnchangedHeartbeats(unchanged: UnchangedHeartbeat[]): MachineId[] | null {
     const leader = this.leader;
     if (!leader) return null;
@@ -144,13 +144,13 @@
       .map((heartbeat) => heartbeat.machine);
   }
 
-  /** How long no heartbeat at all has come, though machines are known to be up. */
+  /** Time without any heartbeat in this leadership; 0 while too few machines are up to expect one. */
   timeSinceHeartbeatMs(now: number): number {
     if (this.state.kind !== 'leading' || !this.state.leader.expectsHeartbeats) return 0;
     return now - Math.max(this.lastHeartbeatAt, this.state.since);
   }
 
-  /** The machine types have changed. */
+  /** Passes changed machine types to the leader. */
   setMachineTypes(types: MachineType[]): void {
     this.leader?.setMachineTypes(types);
   }
@@ -159,7 +159,7 @@
     return this.state.kind === 'stopped';
   }
 
-  private lead(leader: Leader, held: HeldLease, stored: StoredState, startedAt: MonotonicTime): void {
+  private startLeading(leader: Leader, held: HeldLease, stored: StoredState, startedAt: MonotonicTime): void {
     const { operator, log } = this.dependencies;
     const { registry, jobs, progress } = stored;
     const since = monotonicNow();
@@ -180,14 +180,14 @@
     const cycleTimer = setInterval(() => this.requestTick(), operator.cycleMs);
     this.state = { kind: 'leading', leader, since, cycleTimer };
     void this.jobWatch.run(jobs.storeRevision);
-    void this.pollCloud();
+    void this.pollMachineList();
   }
 
-  private async pollCloud(): Promise<void> {
+  private async pollMachineList(): Promise<void> {
     const { platform, election, cloud } = this.dependencies;
     const intervalMs = Math.max(
-      MIN_POLL_MS,
-      (REQUESTS_PER_POLL * MS_PER_S) / platform.cloudProviderLimits.rps,
+      MIN_MACHINE_LIST_POLL_INTERVAL_MS,
+      (CLOUD_REQUESTS_PER_POLL * MS_PER_S) / platform.cloudProviderLimits.rps,
     );
     while (!this.isStopped) {
       if (election.hasAuthority) {
@@ -198,7 +198,7 @@
     }
   }
 
-  /** Ticks soon. */
+  /** Schedules a tick unless one is scheduled already. */
   private requestTick(): void {
     if (this.tickRequested) return;
     this.tickRequested = true;
@@ -213,11 +213,11 @@
     if (!leader) return;
     const { election, log } = this.dependencies;
     const beganAt = monotonicNow();
-    // Without authority nothing is decided: another controller may lead already.
+    // Without authority, only cancellations are enforced: another controller may already be the leader.
     if (election.hasAuthority) leader.tick(beganAt, wallClockNow());
     else {
       const { authorityLeftMs } = election;
-      log.rateLimited('authority', 'info', { authorityLeftMs }, 'no authority: nothing is decided');
+      log.rateLimited('authority', 'info', { authorityLeftMs }, 'no authority: scheduling paused');
       leader.tickWithoutAuthority(beganAt, wallClockNow());
     }
     this.timing.record(beganAt, monotonicNow(), log);
--- a/src/runtime/leadership/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -1,4 +1,4 @@
-/** What a leader writes to the store: final records, progress, pages of the machine registry. */
+/** Writes of a leader to the key-value store: final records, progress, and pages of the machine registry. */
 import type { KeyValueStoreLimits } from '../../config/platform.js';
 import type { Effect, FinalRecordOutcome } from '../../core/leader/effects.js';
 import type { FinalState } from '../../core/job-spec.js';
@@ -22,11 +22,11 @@
 import type { LeaderElection } from './leader-election.js';
 import { ProgressStore, type ProgressOutcome } from './progress-store.js';
 
-const DELETE_RETRY_MS = 2000;
-/** Changes of the transaction that finishes a job, beside the deletion of its progress. */
+const DELETE_RETRY_DELAY_MS = 2000;
+/** Changes in the transaction that finishes a job, apart from the deletions of its progress records. */
 const FINAL_RECORD_CHANGES = 2;
 
-/** What the writes need. */
+/** Dependencies of the leader's writes. */
 export interface LeaderRecordsDependencies {
   limits: KeyValueStoreLimits;
   election: LeaderElection;
@@ -34,7 +34,7 @@
   log: Logger;
 }
 
-/** The records of one leadership; after `stop` nothing more is written. */
+/** Writes the records of one leadership; after `stop`, it writes nothing more. */
 export class LeaderRecords {
   private stopped = false;
   private readonly progress: ProgressStore;
@@ -46,12 +46,12 @@
     );
   }
 
-  /** The leadership has ended. */
+  /** Prevents further writes, at the end of the leadership. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** A segment of progress that was there when the leadership began. */
+  /** Records the revision of a progress segment that was stored before this leadership. */
   recordLoadedProgress(key: string, revision: Revision): void {
     this.progress.recordLoaded(key, revision);
   }
@@ -61,18 +61,18 @@
     return this.progress.save(job, segment, bytes);
   }
 
-  /** Replaces the job's active record by its final one, and deletes its progress. */
+  /** Replaces the job's active record with its final record, and deletes its progress. */
   async writeFinalRecord(
     effect: Extract<Effect, { kind: 'write-final-record' }>,
   ): Promise<FinalRecordOutcome> {
     const { job, revision: recordRevision, state, segments } = effect;
-    const deletionsAtOnce = Math.max(0, this.dependencies.limits.txnOps - FINAL_RECORD_CHANGES);
+    const maxDeletionsInTransaction = Math.max(0, this.dependencies.limits.txnOps - FINAL_RECORD_CHANGES);
     const progressKeys = segments.map((segment) => keys.progress(job, segment));
     const outcome = await this.write(
       [
         { put: keys.final(job), data: finalRecordData(effect) },
         { delete: keys.active(job) },
-        ...progressKeys.slice(0, deletionsAtOnce).map((key) => ({ delete: key })),
+        ...progressKeys.slice(0, maxDeletionsInTransaction).map((key) => ({ delete: key })),
       ],
       [{ key: keys.active(job), revision: recordRevision }],
     );
@@ -82,18 +82,18 @@
       { job, state, revision: outcome.revision, recordRevision },
       'final state recorded',
     );
-    this.progress.forget(job, segments);
-    void this.deleteKeys(progressKeys.slice(deletionsAtOnce));
+    this.progress.removeRevisions(job, segments);
+    void this.deleteKeys(progressKeys.slice(maxDeletionsInTransaction));
     return { kind: 'ok', state };
   }
 
-  /** Null where there is no final record, or no answer. */
+  /** Returns null if there is no final record or the store gave no usable response. */
   async readFinalRecord(job: JobId): Promise<FinalState | null> {
     const final = await this.dependencies.store.get(keys.final(job), budgetReserves.urgent);
     return final.kind === 'ok' ? (parseFinalRecord(final.value.data)?.state ?? null) : null;
   }
 
-  /** False: it has to be tried again. */
+  /** Writes a page of the machine registry, or deletes an empty one; returns false if this must be retried. */
   async writeRegistryPage(page: string, machines: MachineInfo[]): Promise<boolean> {
     const key = keys.registryPage(page);
     const change = machines.length === 0 ? { delete: key } : { put: key, data: registryPageData(machines) };
@@ -104,13 +104,13 @@
         'registry',
         'info',
         fields,
-        'machine registry not written, tried again',
+        'machine registry page not written; it will be retried',
       );
     }
     return outcome.kind === 'ok';
   }
 
-  /** Records that nothing refers to any more, without haste; what is left when this leadership ends, the next finds. */
+  /** Deletes unused records at low priority; the next leadership deletes those that are left when this one ends. */
   async deleteKeys(unused: string[]): Promise<void> {
     let remaining = unused;
     while (remaining.length > 0 && !this.stopped) {
@@ -118,11 +118,14 @@
       const changes = batch.map((key) => ({ delete: key }));
       const outcome = await this.write(changes, [], budgetReserves.normal);
       if (outcome.kind === 'ok') remaining = remaining.slice(batch.length);
-      else await sleep(DELETE_RETRY_MS);
+      else await sleep(DELETE_RETRY_DELAY_MS);
     }
   }
 
-  /** The record changed in between: a cancellation came first, or a lost write of this leader was carried out. */
+  /**
+   * Reads the record after a conflict: either a cancellation was written first, or an earlier write of this leader,
+   * whose response was lost, was executed.
+   */
   private async readChangedRecord(job: JobId): Promise<FinalRecordOutcome> {
     const active = await this.dependencies.store.get(keys.active(job), budgetReserves.urgent);
     const record = active.kind === 'ok' ? parseJobRecord(active.value.data) : null;
@@ -131,7 +134,7 @@
     return final === null ? { kind: 'retry' } : { kind: 'ok', state: final };
   }
 
-  /** Every write of a leader depends on its leader key. Guards against a late write of a former leader. */
+  /** Makes each write conditional on this leadership's leader key, so that a late write of a former leader fails. */
   private async write(
     changes: Change[],
     conditions: Condition[] = [],
--- a/src/runtime/leadership/leader-settings.ts
+++ b/src/runtime/leadership/leader-settings.ts
@@ -1,13 +1,13 @@
-/** Derives what the leader is told at its start from the settings of the platform and the operators. */
+/** Derives the leader's settings from the platform settings and the operator settings. */
 import type { OperatorSettings } from '../../config/operator.js';
 import type { PlatformSettings } from '../../config/platform.js';
 import type { LeaderSettings } from '../../core/leader/effects.js';
 import { fitsRegistryPage, segmentBytes } from '../../wire/stored-records.js';
 
-/** Evaluations of machines in a cycle, for each processor core of the controller. */
-const CYCLE_WORK_PER_CORE = 600_000;
-const MIN_CYCLE_WORK = 30_000;
-/** Of the store's rate of writes: what a leader's progress may take. */
+/** Machines that one scheduling cycle may evaluate, per processor core of the controller. */
+const CYCLE_MACHINE_EVALUATIONS_PER_CORE = 600_000;
+const MIN_CYCLE_MACHINE_EVALUATIONS = 30_000;
+/** Fraction of the store's write rate limit that a leader may use for progress. */
 const PROGRESS_WRITES_FRACTION = 0.2;
 
 /** The settings of one leadership. */
@@ -29,7 +29,10 @@
     fitsRegistryPage: (machines) => fitsRegistryPage(machines, valueKb),
     segmentBytes: segmentBytes(valueKb),
     progressWritesPerS: writeRps * PROGRESS_WRITES_FRACTION,
-    cycleWorkLimit: Math.max(MIN_CYCLE_WORK, platform.limits.cpu * CYCLE_WORK_PER_CORE),
+    cycleWorkLimit: Math.max(
+      MIN_CYCLE_MACHINE_EVALUATIONS,
+      platform.limits.cpu * CYCLE_MACHINE_EVALUATIONS_PER_CORE,
+    ),
     random,
   };
 };
--- a/src/runtime/leadership/leadership-manager.ts
+++ b/src/runtime/leadership/leadership-manager.ts
@@ -1,71 +1,72 @@
-/** Begins and ends this controller's leaderships, as the election decides. */
+/** Starts and stops this controller's leaderships according to the leader election. */
 import type { Leader } from '../../core/leader/leader.js';
 import { monotonicNow } from '../clock.js';
 import type { ImageLocationStore } from '../peers/image-locations.js';
 import type { PeerLink } from '../peers/peer-link.js';
 import { LeaderLoop, type LeaderLoopDependencies } from './leader-loop.js';
 
-/** The leader's share of the store's rate limits. */
-const LEADER_SHARE = 0.6;
-const MAX_FOLLOWER_SHARE = 0.4;
-/** Without any heartbeat for so many intervals, and some slack, a leader counts as unreachable. */
+/** Fraction of the store's rate limits that the leader may use. */
+const LEADER_BUDGET_SHARE = 0.6;
+/** Upper bound of the fraction that a follower may use. */
+const MAX_FOLLOWER_BUDGET_SHARE = 0.4;
+/** A leader without any heartbeat for this many intervals, plus a margin, counts as unreachable. */
 const UNREACHABLE_INTERVALS = 2.5;
-const UNREACHABLE_SLACK_MS = 2500;
+const UNREACHABLE_MARGIN_MS = 2500;
 const MS_PER_S = 1000;
 
-/** More than an equal share, since users' requests come in bursts. */
-const followerShare = (peers: number): number => Math.min(MAX_FOLLOWER_SHARE, 1 / peers);
+/** Larger than an equal share, because user requests arrive in bursts. */
+const followerBudgetShare = (peers: number): number => Math.min(MAX_FOLLOWER_BUDGET_SHARE, 1 / peers);
 
-/** What leaderships work with. */
+/** Dependencies of all leaderships. */
 export interface LeadershipManagerDependencies extends Omit<LeaderLoopDependencies, 'imageLocations'> {
   links: readonly PeerLink[];
   imageLocations: ImageLocationStore;
 }
 
-/** At most one leadership at a time. */
+/** Runs at most one leadership at a time. */
 export class LeadershipManager {
   /** Null while this controller doesn't lead. */
   leaderLoop: LeaderLoop | null = null;
-  private readonly followerShare: number;
+  private readonly followerBudgetShare: number;
 
   constructor(private readonly dependencies: LeadershipManagerDependencies) {
-    this.followerShare = followerShare(dependencies.platform.peers.length);
+    this.followerBudgetShare = followerBudgetShare(dependencies.platform.peers.length);
   }
 
-  /** Null while this controller doesn't lead, or is loading what the store holds. */
+  /** Null while this controller doesn't lead, or is loading the stored state. */
   get leader(): Leader | null {
     return this.leaderLoop?.leader ?? null;
   }
 
-  /** To be called once, before the first request to the store. */
+  /** Sets a follower's share of the store's rate limits; called once, before the first request to the store. */
   start(): void {
-    this.dependencies.store.setBudgetShare(this.followerShare);
+    this.dependencies.store.setBudgetShare(this.followerBudgetShare);
   }
 
-  /** This controller has won an election. */
+  /** Starts a leadership after this controller has won an election. */
   onElected(): void {
     const { store, imageLocations } = this.dependencies;
     this.leaderLoop?.stop();
-    store.setBudgetShare(LEADER_SHARE);
+    store.setBudgetShare(LEADER_BUDGET_SHARE);
     this.leaderLoop = new LeaderLoop({ ...this.dependencies, imageLocations: imageLocations.all() });
     void this.leaderLoop.start();
   }
 
-  /** Another one leads, or may. */
+  /** Stops the leadership, because another controller leads or may lead. */
   onLeadershipLost(reason: string): void {
     const { store, log } = this.dependencies;
     log.info({ reason }, 'leadership lost');
     this.leaderLoop?.stop();
     this.leaderLoop = null;
-    store.setBudgetShare(this.followerShare);
+    store.setBudgetShare(this.followerBudgetShare);
   }
 
-  /** A leader that no heartbeat reaches, directly or through its peers, gives way to one that may be reached. */
+  /** Resigns if no heartbeat arrives, directly or through peers, so that a controller that workers reach may lead. */
   resignIfUnreachable(): void {
     const { platform, election, links } = this.dependencies;
     if (!this.leaderLoop || links.length === 0 || !election.hasAuthority) return;
     const limitMs =
-      platform.workers.heartbeatIntervalS * MS_PER_S * UNREACHABLE_INTERVALS + UNREACHABLE_SLACK_MS;
+      platform.workers.heartbeatIntervalS * MS_PER_S * UNREACHABLE_INTERVALS + UNREACHABLE_MARGIN_MS;
     if (this.leaderLoop.timeSinceHeartbeatMs(monotonicNow()) >= limitMs)
       election.resign('no heartbeat received');
   }
--- a/src/runtime/leadership/lease-acquisition.ts
+++ b/src/runtime/leadership/lease-acquisition.ts
@@ -1,4 +1,7 @@
-/** Takes leadership: one compare-and-swap creates the leader key, attached to a new lease, and raises the term. */
+/**
+ * Acquires leadership: one conditional transaction creates the leader key, attached to a new lease, and increments the
+ * term.
+ */
 import type { HeldLease } from '../../core/election.js';
 import type { NodeName, Revision, Term, Uint64 } from '../../core/units.js';
 import type { Item } from '../../wire/key-value-store.js';
@@ -10,9 +13,10 @@
   type StoreOutcome,
 } from '../key-value-store/key-value-store-client.js';
 
-const ABSENT: Revision = 0;
+/** The revision that a condition names for a key that doesn't exist. */
+const ABSENT_KEY_REVISION: Revision = 0;
 
-/** Null: there is a leader already, or the store gave no certain answer. */
+/** Returns null if there is already a leader, or if the store did not confirm the acquisition. */
 export const acquireLeaderLease = async (
   store: KeyValueStoreClient,
   node: NodeName,
@@ -24,7 +28,7 @@
   const previous = await store.get(keys.term, budgetReserves.urgent);
   if (previous.kind !== 'ok' && previous.kind !== 'gone') return null;
   const term = nextTerm(previous);
-  const termRevision = previous.kind === 'ok' ? previous.value.revision : ABSENT;
+  const termRevision = previous.kind === 'ok' ? previous.value.revision : ABSENT_KEY_REVISION;
   const keyRevision = await createLeaderKey(store, { node, term, lease: lease.value, termRevision });
   if (keyRevision === null) {
     void store.revokeLease(lease.value);
@@ -38,22 +42,22 @@
   return (last + 1) as Term;
 };
 
-interface Candidacy {
+interface LeaderCandidate {
   node: NodeName;
   term: Term;
   lease: Uint64;
   termRevision: Revision;
 }
 
-/** The revision of the leader key; null where it was not created. */
+/** Returns the revision of the leader key, or null if it was not created. */
 const createLeaderKey = async (
   store: KeyValueStoreClient,
-  { node, term, lease, termRevision }: Candidacy,
+  { node, term, lease, termRevision }: LeaderCandidate,
 ): Promise<Revision | null> => {
   const outcome = await store.transact(
     {
       conditions: [
-        { key: keys.leader, revision: ABSENT },
+        { key: keys.leader, revision: ABSENT_KEY_REVISION },
         { key: keys.term, revision: termRevision },
       ],
       changes: [
@@ -65,7 +69,7 @@
   );
   if (outcome.kind === 'ok') return outcome.revision;
   if (outcome.kind !== 'unknown') return null;
-  // The answer was lost: the key says whether it was carried out.
+  // The response was lost: the leader key shows whether the transaction was executed.
   const current = await store.get(keys.leader, budgetReserves.urgent);
   const leader = current.kind === 'ok' ? parseLeaderRecord(current.value.data) : null;
   return current.kind === 'ok' && leader?.node === node && leader.term === term
--- a/src/runtime/leadership/lease-renewal.ts
+++ b/src/runtime/leadership/lease-renewal.ts
@@ -1,24 +1,24 @@
-/** Keeps the leader's lease alive for as long as it is held. */
+/** Renews the leader lease while this controller holds it. */
 import type { ElectionState } from '../../core/election.js';
 import { monotonicNow, sleep } from '../clock.js';
 import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { Logger } from '../logger.js';
 
-/** Several renewals may fail before the lease expires. */
+/** More than one, so that several renewals may fail before the lease expires. */
 const RENEWALS_PER_LEASE = 5;
 
-/** What a renewal needs of the election. */
+/** Dependencies of the lease renewal. */
 export interface LeaseRenewalDependencies {
   store: KeyValueStoreClient;
   log: Logger;
   leaseMs: number;
   electionState: ElectionState;
   authorityLeftMs: () => number | null;
-  /** The store doesn't know the lease any more. */
+  /** The lease no longer exists in the store. */
   onLeaseGone: () => void;
 }
 
-/** Renews whichever lease is held; never returns. */
+/** Renews the lease that is held, if any; never returns. */
 export const renewHeldLease = async (dependencies: LeaseRenewalDependencies): Promise<never> => {
   const { store, log, leaseMs, electionState, authorityLeftMs, onLeaseGone } = dependencies;
   for (;;) {
@@ -29,7 +29,7 @@
     const outcome = await store.renewLease(held.leaseId);
     if (electionState.heldLease !== held) continue;
     if (outcome.kind === 'ok') {
-      // From the sending: the store may have counted from then on.
+      // The time of sending: the store may have renewed the lease at any time since then.
       held.renewedAt = sentAt;
       log.debug({ term: held.term, lease: held.leaseId, authorityMs: authorityLeftMs() }, 'lease renewed');
     } else if (outcome.kind === 'gone') onLeaseGone();
--- a/src/runtime/leadership/progress-store.ts
+++ b/src/runtime/leadership/progress-store.ts
@@ -1,4 +1,4 @@
-/** Progress of jobs that are not over, kept in the store a segment at a time. */
+/** Progress of unfinished jobs, stored in segments under one key each. */
 import type { JobId, SegmentName, Revision } from '../../core/units.js';
 import type { Change, Condition, Item } from '../../wire/key-value-store.js';
 import { keys, parseProgressRecord, progressRecordData } from '../../wire/stored-records.js';
@@ -7,18 +7,20 @@
 type Write = (changes: Change[], conditions: Condition[]) => Promise<TransactionOutcome>;
 type Read = (key: string) => Promise<StoreOutcome<Item>>;
 
-const ABSENT: Revision = 0;
+/** The revision that a condition names for a key that doesn't exist. */
+const ABSENT_KEY_REVISION: Revision = 0;
 
-/** How a write of progress ended. */
+/** Outcome of a progress write. */
 export type ProgressOutcome =
   | { kind: 'ok' }
   | { kind: 'retry' }
-  /** Another write came in between; what is recorded now is to be merged before the next try. */
+  /** The segment was changed by another write; its stored `bytes` must be merged before the write is retried. */
   | { kind: 'changed'; bytes: Uint8Array };
 
 /**
- * Each write names the revision of the one before it. Guards against a write without an answer that is carried out late:
- * unconditional, it would put back older bits, and a next leader would run completed tasks again.
+ * Writes progress segments, each on the condition that its revision is that of the previous write. Guards against a
+ * write whose response was lost and that is executed late: without the condition it would restore older bits, and the
+ * next leader would run completed tasks again.
  */
 export class ProgressStore {
   private readonly revisions = new Map<string, Revision>();
@@ -28,13 +30,13 @@
     private readonly readFromStore: Read,
   ) {}
 
-  /** A segment that was there when the leadership began. */
+  /** Records the revision of a segment that was stored before the leadership. */
   recordLoaded(key: string, revision: Revision): void {
     this.revisions.set(key, revision);
   }
 
-  /** The job is over, and its segments with it. */
-  forget(job: JobId, segments: SegmentName[]): void {
+  /** Removes the revisions of a finished job's segments. */
+  removeRevisions(job: JobId, segments: SegmentName[]): void {
     for (const segment of segments) this.revisions.delete(keys.progress(job, segment));
   }
 
@@ -42,16 +44,16 @@
   async save(job: JobId, segment: SegmentName, bytes: Uint8Array): Promise<ProgressOutcome> {
     const key = keys.progress(job, segment);
     const data = progressRecordData(bytes);
-    const condition = { key, revision: this.revisions.get(key) ?? ABSENT };
+    const condition = { key, revision: this.revisions.get(key) ?? ABSENT_KEY_REVISION };
     const outcome = await this.writeToStore([{ put: key, data }], [condition]);
     if (outcome.kind === 'ok') {
       this.revisions.set(key, outcome.revision);
       return { kind: 'ok' };
     }
-    return outcome.kind === 'conflict' ? this.readChanged(key) : { kind: 'retry' };
+    return outcome.kind === 'conflict' ? this.readChangedSegment(key) : { kind: 'retry' };
   }
 
-  private async readChanged(key: string): Promise<ProgressOutcome> {
+  private async readChangedSegment(key: string): Promise<ProgressOutcome> {
     const current = await this.readFromStore(key);
     if (current.kind === 'gone') this.revisions.delete(key);
     if (current.kind !== 'ok') return { kind: 'retry' };
--- a/src/runtime/leadership/stored-state.ts
+++ b/src/runtime/leadership/stored-state.ts
@@ -1,4 +1,4 @@
-/** Reads the records that leaders left in the store, and loads a new leader with them. */
+/** Reads the records that earlier leaders stored, and loads them into a new leader. */
 import type { ImageLocations } from '../../core/leader/effects.js';
 import type { Leader } from '../../core/leader/leader.js';
 import type { JobId, MonotonicTime, SegmentName } from '../../core/units.js';
@@ -10,7 +10,7 @@
 import type { JobWatch } from './job-watch.js';
 import type { LeaderRecords } from './leader-records.js';
 
-/** What leaders before this one left. */
+/** The records that earlier leaders stored. */
 export interface StoredState {
   registry: Listing;
   jobs: Listing;
@@ -18,8 +18,8 @@
 }
 
 /**
- * Jobs are read before progress: only a leader writes progress, so progress without a job is that of one that is over.
- * Null once stopped.
+ * Reads the stored state; returns null once the leadership has ended. Jobs are read before progress: only a leader
+ * writes progress, so a progress record without a job record belongs to a finished job.
  */
 export const readStoredState = async (
   store: KeyValueStoreClient,
@@ -31,8 +31,8 @@
   return registry && jobs && progress && !isStopped() ? { registry, jobs, progress } : null;
 };
 
-/** What loading a leader needs beside the records. */
-export interface StoredStateTargets {
+/** Dependencies of loading the stored state. */
+export interface StoredStateLoadDependencies {
   leader: Leader;
   records: LeaderRecords;
   jobWatch: JobWatch;
@@ -41,25 +41,25 @@
   log: Logger;
 }
 
-/** Loads the leader, and deletes progress of jobs that are over. */
-export const loadStoredState = (state: StoredState, targets: StoredStateTargets): void => {
-  const { leader, records, jobWatch, imageLocations } = targets;
-  for (const item of state.registry.items) loadRegistryPage(item, targets);
+/** Loads the stored state into the leader, and deletes the progress of finished jobs. */
+export const loadStoredState = (state: StoredState, dependencies: StoredStateLoadDependencies): void => {
+  const { leader, records, jobWatch, imageLocations } = dependencies;
+  for (const item of state.registry.items) loadRegistryPage(item, dependencies);
   leader.loadImageLocations(imageLocations);
   for (const item of state.jobs.items) jobWatch.applyRecord(leader, item, true);
-  for (const item of state.progress.items) loadProgress(item, targets);
+  for (const item of state.progress.items) loadProgress(item, dependencies);
   const orphans = state.progress.items.filter((item) => !leader.jobs.has(progressKeyParts(item.key).job));
   void records.deleteKeys(orphans.map((item) => item.key));
 };
 
-const loadRegistryPage = (item: Item, { leader, startedAt, log }: StoredStateTargets): void => {
+const loadRegistryPage = (item: Item, { leader, startedAt, log }: StoredStateLoadDependencies): void => {
   const page = item.key.slice(keys.registryPrefix.length);
   const machines = parseRegistryPage(item.data);
-  if (!machines) log.error({ key: item.key }, 'damaged page of the machine registry');
+  if (!machines) log.error({ key: item.key }, 'damaged machine registry page skipped');
   for (const machine of machines ?? []) leader.loadMachine(machine, page, startedAt);
 };
 
-const loadProgress = (item: Item, { leader, records }: StoredStateTargets): void => {
+const loadProgress = (item: Item, { leader, records }: StoredStateLoadDependencies): void => {
   const { job, segment } = progressKeyParts(item.key);
   records.recordLoadedProgress(item.key, item.revision);
   const bits = parseProgressRecord(item.data);
--- a/src/runtime/leadership/tick-timing.ts
+++ b/src/runtime/leadership/tick-timing.ts
@@ -1,49 +1,53 @@
-/** When the next tick may run, and what ticks cost. */
+/** Delays between the leader's ticks, and statistics of their durations. */
 import type { MonotonicTime } from '../../core/units.js';
 import type { Logger } from '../logger.js';
 
-/** Events that come together share one tick. */
-const EVENT_DELAY_MS = 25;
-/** Pause after a tick, in durations of that tick. */
+/** Events within this time are processed by one tick. */
+const EVENT_BATCH_DELAY_MS = 25;
+/** Pause after a tick, as a multiple of its duration. */
 const PAUSE_PER_TICK = 4;
 const MAX_PAUSE_MS = 500;
 const LOG_INTERVAL_MS = 10_000;
-const TENTHS = 10;
+const ROUNDING_STEPS_PER_MS = 10;
 
 /** The durations of one leadership's ticks. */
 export class TickTiming {
   private lastEndedAt = 0;
-  private lastMs = 0;
-  private longestMs = 0;
-  private count = 0;
-  private totalMs = 0;
+  private lastDurationMs = 0;
+  private longestDurationMs = 0;
+  private tickCount = 0;
+  private totalDurationMs = 0;
   private loggedAt = 0;
 
   /**
-   * Until the next tick. A tick's cost rises with the cluster: its pace falls with it. Guards against replies to
-   * workers and users, and renewals of the lease, that are crowded out.
+   * Delay until the next tick. It grows with the duration of the last tick, which grows with the cluster, so that ticks
+   * don't starve the replies to workers and users and the renewals of the lease.
    */
   delayMs(now: MonotonicTime): number {
-    const earliest = this.lastEndedAt + this.lastMs * PAUSE_PER_TICK;
-    return Math.max(EVENT_DELAY_MS, Math.min(MAX_PAUSE_MS, earliest - now));
+    const earliest = this.lastEndedAt + this.lastDurationMs * PAUSE_PER_TICK;
+    return Math.max(EVENT_BATCH_DELAY_MS, Math.min(MAX_PAUSE_MS, earliest - now));
   }
 
-  /** A tick ran between these instants. */
+  /** Records the duration of a tick, and logs the statistics periodically. */
   record(beganAt: MonotonicTime, endedAt: MonotonicTime, log: Logger): void {
     this.lastEndedAt = endedAt;
-    this.lastMs = endedAt - beganAt;
-    this.longestMs = Math.max(this.longestMs, this.lastMs);
-    this.count++;
-    this.totalMs += this.lastMs;
+    this.lastDurationMs = endedAt - beganAt;
+    this.longestDurationMs = Math.max(this.longestDurationMs, this.lastDurationMs);
+    this.tickCount++;
+    this.totalDurationMs += this.lastDurationMs;
     if (endedAt - this.loggedAt >= LOG_INTERVAL_MS) this.log(log);
   }
 
   private log(log: Logger): void {
     this.loggedAt = this.lastEndedAt;
-    const meanMs = Math.round((this.totalMs / this.count) * TENTHS) / TENTHS;
-    log.info({ ticks: this.count, meanMs, longestMs: Math.round(this.longestMs) }, 'cycles');
-    this.count = 0;
-    this.totalMs = 0;
-    this.longestMs = 0;
+    const meanMs =
+      Math.round((this.totalDurationMs / this.tickCount) * ROUNDING_STEPS_PER_MS) / ROUNDING_STEPS_PER_MS;
+    log.info(
+      { ticks: this.tickCount, meanMs, longestMs: Math.round(this.longestDurationMs) },
+      'tick durations',
+    );
+    this.tickCount = 0;
+    this.totalDurationMs = 0;
+    this.longestDurationMs = 0;
   }
 }
--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Workers' heartbeats, at whichever controller they arrive: the leader answers with commands; others forward them to
- * it, redirect the worker, or renew its lease while no leader can be reached.
+ * Handles workers' heartbeats at any controller. The leader replies with commands. A follower forwards the heartbeat to
+ * the leader, redirects the worker, or renews the worker's lease itself while no leader can be reached.
  */
 import type { PlatformSettings } from '../../config/platform.js';
 import { highestKnownTerm } from '../../core/election.js';
@@ -31,18 +31,18 @@
 import { WorkerRedirection } from './worker-redirection.js';
 import { HTTP_STATUS } from '../http/http-status.js';
 
-const FORWARD_TIMEOUT_MS = 2500;
+const HEARTBEAT_FORWARD_TIMEOUT_MS = 2500;
 const OUTCOMES_LOG_INTERVAL_MS = 10_000;
-/** After so many heartbeat intervals without one, and a margin, no worker reaches this controller. */
+/** After this many intervals without a heartbeat, plus a margin, workers count as unable to reach this controller. */
 const MISSED_INTERVALS = 2;
 const MISSED_MARGIN_MS = 500;
 
-/** What the handling of heartbeats depends on. */
+/** Dependencies of the heartbeat handler. */
 export interface HeartbeatHandlerDependencies {
   platform: PlatformSettings;
   election: LeaderElection;
   links: PeerLink[];
-  /** The leader's loop while this controller leads. */
+  /** The leader loop; null while this controller doesn't lead. */
   leaderLoop: () => LeaderLoop | null;
   cancellations: Pick<CancellationFeed, 'has' | 'mayRenewLeases'>;
   storeAvailable: () => boolean;
@@ -52,16 +52,19 @@
 
 /** A reply to a heartbeat that a peer forwarded. */
 export interface ForwardedHeartbeatResult extends HttpReply {
-  /** The leader expects nothing of the machine: its next heartbeats need not be forwarded while they are unchanged. */
+  /**
+   * The leader has no command for the machine and awaits no change of it: the next heartbeats need not be forwarded
+   * while they are unchanged.
+   */
   inSync: boolean;
 }
 
-/** The result of a heartbeat, and its machine if this controller holds the leader's lease. */
+/** The result of a heartbeat, and its machine if this controller holds the leader lease. */
 interface RoutedHeartbeat extends HeartbeatResult {
-  machineOfLeader?: MachineId;
+  machineIfLeader?: MachineId;
 }
 
-/** Answers heartbeats, and knows which workers reach this controller. */
+/** Replies to heartbeats, and records which workers send them to this controller. */
 export class HeartbeatHandler {
   private readonly lastHeartbeats = new LastHeartbeats();
   private readonly unchangedHeartbeats = new UnchangedHeartbeats();
@@ -82,8 +85,8 @@
   }
 
   /**
-   * A leader was known to exist, to us now or to a peer some time ago: the renewal of leases without a leader is
-   * bounded from here. What a peer knows is all that a controller has that was just restarted.
+   * Records that a leader existed `agoMs` ago, as observed by this controller or reported by a peer. The time in which
+   * leases are renewed without a leader starts there. A controller that was just restarted has only its peers' reports.
    */
   recordLeaderSeen(agoMs = 0): void {
     this.leaderlessRenewal.recordLeaderSeen(this.clock() - agoMs);
@@ -94,59 +97,62 @@
     return this.leaderlessRenewal.leaderSeenAgoMs(this.clock());
   }
 
-  /** Whether workers reach this controller themselves; a partition may spare the links to peers and store. */
+  /**
+   * Whether workers send heartbeats directly to this controller. A network partition can cut off the workers while the
+   * peers and the key-value store remain reachable.
+   */
   get receivesHeartbeats(): boolean {
-    const toleratedMs = this.dependencies.platform.workers.heartbeatIntervalS * 1000 * MISSED_INTERVALS;
-    return this.clock() - this.lastDirectHeartbeatAt < toleratedMs + MISSED_MARGIN_MS;
+    const maxGapMs = this.dependencies.platform.workers.heartbeatIntervalS * 1000 * MISSED_INTERVALS;
+    return this.clock() - this.lastDirectHeartbeatAt < maxGapMs + MISSED_MARGIN_MS;
   }
 
-  /** The leader that this controller reaches without another one in between. */
+  /** The leader that this controller reaches directly, not through another controller. */
   get reachableLeader(): LeaderStatus | null {
     return this.routes.directlyReachableLeader(this.minLeaderTerm, this.clock());
   }
 
-  /** Answers a heartbeat that its worker sent here. */
+  /** Handles a heartbeat that a worker sent to this controller. */
   async handle(body: Buffer): Promise<HttpReply> {
     const now = this.clock();
     this.lastDirectHeartbeatAt = now;
     this.redirection.recordDirectHeartbeat(now);
-    const { outcome, reply } = await this.route(body, 'worker', now);
+    const { outcome, reply } = await this.process(body, 'worker', now);
     this.countOutcome(outcome, now);
     return reply;
   }
 
-  /** Answers a heartbeat that a peer forwards. */
+  /** Handles a heartbeat that a peer forwarded. */
   async handleForwarded(body: Buffer): Promise<ForwardedHeartbeatResult> {
     const now = this.clock();
-    const { outcome, reply, machineOfLeader: machine } = await this.route(body, 'peer', now);
+    const { outcome, reply, machineIfLeader: machine } = await this.process(body, 'peer', now);
     this.countOutcome(outcome, now);
     const leader = this.dependencies.leaderLoop()?.leader;
     const inSync = machine !== undefined && (leader?.isInSync(machine) ?? false);
     return { ...reply, inSync: reply.status === HTTP_STATUS.ok && inSync };
   }
 
-  /** Whether the whole cluster is known to somebody: to this controller, or to one that it can reach. */
+  /** Whether this controller leads with loaded state, or reaches a controller that leads or holds the leader lease. */
   isLeaderReachable(now: MonotonicTime): boolean {
     return (this.dependencies.leaderLoop()?.leader ?? null) !== null || this.leaderRoute(now) !== null;
   }
 
-  /** Machines that sent heartbeats here, and for so long none any more, with what they last held. */
+  /** Machines whose last heartbeat to this controller is at least this old, with the tasks that it reported. */
   machinesWithoutHeartbeatFor(ms: number, now: MonotonicTime): MachineTasks[] {
     return this.lastHeartbeats.olderThan(ms, now);
   }
 
-  /** Of these machines, the ones that sent a heartbeat here within the last lease. */
+  /** Returns those of the machines that sent a heartbeat to this controller within the last lease duration. */
   machinesWithRecentHeartbeat(machines: string[]): MachineId[] {
     const since = this.clock() - this.dependencies.platform.workers.leaseS * 1000;
     return (machines as MachineId[]).filter((id) => this.lastHeartbeats.receivedSince(id, since));
   }
 
-  /** Drops what is known of a machine. */
+  /** Removes a machine's last heartbeat. */
   removeHeartbeat(id: MachineId): void {
     this.lastHeartbeats.remove(id);
   }
 
-  private async route(body: Buffer, from: 'worker' | 'peer', now: MonotonicTime): Promise<RoutedHeartbeat> {
+  private async process(body: Buffer, from: 'worker' | 'peer', now: MonotonicTime): Promise<RoutedHeartbeat> {
     const { log, election } = this.dependencies;
     const parsed = parseHeartbeat(tryDecode(body));
     if (!parsed.ok) {
@@ -156,7 +162,7 @@
     const heartbeat = parsed.value;
     if (from === 'worker') this.lastHeartbeats.record(heartbeat, now);
     if (election.holdsLease)
-      return { ...this.answerAsLeader(heartbeat, from, now), machineOfLeader: heartbeat.id };
+      return { ...this.answerAsLeader(heartbeat, from, now), machineIfLeader: heartbeat.id };
     const route = this.leaderRoute(now);
     if (route) {
       if (route.leader.leading) this.leaderlessRenewal.recordLeaderSeen(now);
@@ -168,8 +174,9 @@
   }
 
   /**
-   * Connections between controllers are refused, but the key-value store says who leads: the worker reports there
-   * itself. Not behind a partition, which answers nothing: there the move would cost the worker its lease.
+   * The known leader, if it refuses connections from this controller while the key-value store is available; workers
+   * are then redirected to it. In a network partition, connections get no response instead of a refusal, and a redirect
+   * would cost the worker its lease.
    */
   private leaderRefusingConnections(now: MonotonicTime): PeerLink | null {
     const { leader } = this.dependencies.election.electionState;
@@ -182,7 +189,7 @@
     const { election, cancellations } = this.dependencies;
     const loop = this.dependencies.leaderLoop();
     const { term } = election.electionState.heldLease!;
-    // An answer under a lower token would be dropped and would hold the worker here.
+    // The worker would ignore a reply with a lower fencing token, but continue to send heartbeats to this controller.
     if (heartbeat.fencingToken > term) return redirected(null);
     if (!election.hasAuthority) {
       loop?.leader?.onHeartbeatWithoutAuthority(heartbeat, now);
@@ -197,12 +204,15 @@
 
   private controllerForWorker(heartbeat: Heartbeat, now: MonotonicTime): PeerLink | null {
     const { redirection } = this;
-    return redirection.closerController(heartbeat, now) ?? redirection.lessBusyController(heartbeat, now);
+    return (
+      redirection.controllerInWorkerZone(heartbeat, now) ??
+      redirection.controllerForOffloading(heartbeat, now)
+    );
   }
 
   /**
-   * Whoever a worker reports to forwards its heartbeats: it need not find the leader anew whenever another one leads,
-   * and a leader that workers can't reach still gets them. A forwarded answer is acted upon like a direct one.
+   * Forwards a heartbeat to the leader. Workers thus need not find the new leader after each election, and a leader
+   * that workers can't reach still receives their heartbeats. A worker treats a forwarded reply like a direct one.
    */
   private async forward(
     heartbeat: Heartbeat,
@@ -210,16 +220,19 @@
     route: LeaderRoute,
     now: MonotonicTime,
   ): Promise<HeartbeatResult> {
-    const closer = this.redirection.closerController(heartbeat, now);
-    if (closer) return redirected(closer.name);
+    const controllerInZone = this.redirection.controllerInWorkerZone(heartbeat, now);
+    if (controllerInZone) return redirected(controllerInZone.name);
     const { term, leading } = route.leader;
     if (
       this.mayConfirmUnchanged(heartbeat, now) &&
       this.unchangedHeartbeats.tryConfirmUnchanged(heartbeat, route)
     )
       return answered('confirmed unchanged', heartbeatReply(term, []));
-    const answer = await route.ask({ kind: 'forwarded-heartbeat', heartbeat: body }, FORWARD_TIMEOUT_MS);
-    // One without authority may not be able to answer for the worker; then we may.
+    const answer = await route.ask(
+      { kind: 'forwarded-heartbeat', heartbeat: body },
+      HEARTBEAT_FORWARD_TIMEOUT_MS,
+    );
+    // A lease holder without authority may be unable to renew the worker's lease, while this controller can.
     if (answer && (answer.status === HTTP_STATUS.ok || leading)) {
       const { status, body: replyBody, inSync } = answer;
       this.unchangedHeartbeats.recordFullHeartbeat(heartbeat, term, status === HTTP_STATUS.ok && inSync);
@@ -233,7 +246,10 @@
     return cancellations.mayRenewLeases(now) && !tasks.some((task) => cancellations.has(task.job));
   }
 
-  /** To the leader; else to whoever holds its lease: it goes on learning where tasks are, and whom to fence. */
+  /**
+   * The route to the leader, or without one, to the holder of the leader lease, which still needs heartbeats to track
+   * where tasks run and which machines to fence.
+   */
   private leaderRoute(now: MonotonicTime): LeaderRoute | null {
     return this.routes.find(this.minLeaderTerm, now);
   }
--- a/src/runtime/workers/heartbeat-outcome.ts
+++ b/src/runtime/workers/heartbeat-outcome.ts
@@ -1,11 +1,11 @@
-/** What a controller made of a heartbeat, and the replies that it may give. */
+/** Outcomes of heartbeats, and the replies to workers. */
 import type { NodeName } from '../../core/units.js';
 import { encode } from '../../wire/cbor.js';
 import { redirectBody } from '../../wire/workers.js';
 import type { HttpReply } from '../http/http-reply.js';
 import { HTTP_STATUS } from '../http/http-status.js';
 
-/** How a heartbeat was dealt with: counted for the log. */
+/** How a heartbeat was handled; each outcome is counted in the log. */
 export type HeartbeatOutcome =
   | 'answered by the leader'
   | 'forwarded'
@@ -20,25 +20,25 @@
   reply: HttpReply;
 }
 
-/** The worker's lease is renewed under the fencing token in `body`, which may hold commands. */
+/** Renews the worker's lease under the fencing token in `body`, which may also contain commands. */
 export const answered = (outcome: HeartbeatOutcome, body: unknown): HeartbeatResult => ({
   outcome,
   reply: { status: HTTP_STATUS.ok, body: encode(body) },
 });
 
-/** The worker is to try another controller: this one, or whichever answers if null. */
+/** Redirects the worker to the named controller, or if null, to any that accepts it. */
 export const redirected = (controller: NodeName | null): HeartbeatResult => ({
   outcome: 'redirected',
   reply: { status: HTTP_STATUS.misdirected, body: encode(redirectBody(controller)) },
 });
 
-/** Nothing can be said to the worker now: its lease runs on. */
+/** Doesn't renew the worker's lease, which continues to run until it expires or another reply renews it. */
 export const unavailable = (): HeartbeatResult => ({
   outcome: 'refused',
   reply: { status: HTTP_STATUS.unavailable, body: encode({}) },
 });
 
-/** The heartbeat can't be read. */
+/** Rejects a heartbeat that can't be parsed. */
 export const malformed = (cause: string): HeartbeatResult => ({
   outcome: 'refused',
   reply: { status: HTTP_STATUS.badRequest, body: encode({ error: cause }) },
--- a/src/runtime/workers/last-heartbeats.ts
+++ b/src/runtime/workers/last-heartbeats.ts
@@ -1,24 +1,24 @@
-/** The last heartbeat of each worker that sends its heartbeats to this controller itself. */
+/** The last heartbeat of each worker that sends its heartbeats directly to this controller. */
 import type { Heartbeat } from '../../core/heartbeat.js';
 import { equalUint64, type MachineId, type MonotonicTime } from '../../core/units.js';
 
-/** Guards against names without end from outside. */
-const MAX_MACHINES = 5000;
+/** Bounds the memory use, because requests may contain an unlimited number of different machine ids. */
+const MAX_TRACKED_MACHINES = 5000;
 
 type LastHeartbeat = Pick<Heartbeat, 'incarnation' | 'sequence' | 'tasks'> & { receivedAt: MonotonicTime };
 
-/** A machine, and the tasks that its last heartbeat named. */
+/** A machine, and the tasks in its last heartbeat. */
 export type MachineTasks = [machine: MachineId, tasks: Heartbeat['tasks']];
 
-/** Remembers when machines sent their last heartbeats, and which tasks these named. */
+/** Stores the time and the tasks of each machine's last heartbeat. */
 export class LastHeartbeats {
   private readonly byMachine = new Map<MachineId, LastHeartbeat>();
 
-  /** Takes in a heartbeat, unless it is a late copy, which says nothing of the present. */
+  /** Records a heartbeat, unless it is outdated: a duplicate, or older than the last one. */
   record({ id, incarnation, sequence, tasks }: Heartbeat, now: MonotonicTime): void {
     const last = this.byMachine.get(id);
     if (last && !isNewer(incarnation, sequence, last)) return;
-    if (!last && this.byMachine.size >= MAX_MACHINES) this.byMachine.clear();
+    if (!last && this.byMachine.size >= MAX_TRACKED_MACHINES) this.byMachine.clear();
     this.byMachine.set(id, { incarnation, sequence, tasks, receivedAt: now });
   }
 
@@ -33,7 +33,7 @@
     return (this.byMachine.get(id)?.receivedAt ?? -Infinity) > since;
   }
 
-  /** Drops what is known of a machine. */
+  /** Removes a machine's last heartbeat. */
   remove(id: MachineId): void {
     this.byMachine.delete(id);
   }
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -1,6 +1,7 @@
 /**
- * Guards against a cancelled task on a machine that hangs while nobody leads: the leader ended, and in an outage of
- * the key-value store none can follow it. A hanging worker acts on no stop, and does not notice the end of its lease.
+ * Guards against a cancelled task on a hung machine while there is no leader: the leader has ended, and no other one
+ * can be elected during an outage of the key-value store. A hung worker does not execute stop commands and does not
+ * notice that its lease has expired, so its machine is deleted.
  */
 import type { PlatformSettings } from '../../config/platform.js';
 import type { MachineId, MonotonicTime } from '../../core/units.js';
@@ -11,16 +12,16 @@
 import type { PeerLink } from '../peers/peer-link.js';
 import type { HeartbeatHandler } from './heartbeat-handler.js';
 
-/** Of the time in which a cancelled task must be gone: later than a leader would act, were there one. */
+/** Fraction of `cancel_s` after which a cancellation is overdue; a leader, if there were one, would act earlier. */
 const OVERDUE_CANCEL_FRACTION = 0.6;
-/** In multiples of the same time: older cancellations are not considered. */
-const MAX_CANCEL_AGE = 2;
-const ASK_TIMEOUT_MS = 1500;
+/** Cancellations older than this multiple of `cancel_s` are ignored. */
+const MAX_CANCEL_AGE_MULTIPLE = 2;
+const PEER_REQUEST_TIMEOUT_MS = 1500;
 const MAX_FENCED_AT_ONCE = 100;
-/** Within this many leases a controller that was ended and its workers have found one another again. */
-const SETTLING_LEASES = 1.5;
+/** Within this many lease durations, a restarted controller and its workers have reconnected. */
+const RECONNECT_LEASES = 1.5;
 
-/** What the fencing without a leader depends on. */
+/** Dependencies of the leaderless fencing. */
 export interface LeaderlessFencingDependencies {
   platform: PlatformSettings;
   heartbeatHandler: HeartbeatHandler;
@@ -43,24 +44,27 @@
     this.startedAt = this.clock();
   }
 
-  /** To be called regularly. */
+  /** Fences machines if no leader is reachable and a cancellation is overdue; called periodically. */
   async check(): Promise<void> {
     const now = this.clock();
     if (this.inProgress || this.dependencies.heartbeatHandler.isLeaderReachable(now)) return;
     const cancelMs = this.dependencies.platform.workers.cancelS * 1000;
-    const oldest = (now - cancelMs * MAX_CANCEL_AGE) as MonotonicTime;
+    const oldest = (now - cancelMs * MAX_CANCEL_AGE_MULTIPLE) as MonotonicTime;
     const overdue = (now - cancelMs * OVERDUE_CANCEL_FRACTION) as MonotonicTime;
     if (!this.dependencies.cancellations.anyLearnedBetween(oldest, overdue)) return;
     this.inProgress = true;
     try {
-      await this.fence(this.holdingCancelledTasks(overdue, now), await this.neverReported(now));
+      await this.fence(
+        this.machinesWithOverdueTasks(overdue, now),
+        await this.machinesWithoutRecentHeartbeat(now),
+      );
     } finally {
       this.inProgress = false;
     }
   }
 
-  /** Machines that send no heartbeats any more, and last held a task whose cancellation is overdue. */
-  private holdingCancelledTasks(overdue: MonotonicTime, now: MonotonicTime): MachineId[] {
+  /** Machines that stopped sending heartbeats, and last reported a task whose cancellation is overdue. */
+  private machinesWithOverdueTasks(overdue: MonotonicTime, now: MonotonicTime): MachineId[] {
     const { heartbeatHandler, cancellations, platform } = this.dependencies;
     return heartbeatHandler
       .machinesWithoutHeartbeatFor(platform.workers.leaseS * 1000, now)
@@ -73,13 +77,14 @@
   }
 
   /**
-   * Machines of which nothing is known here. What they held was told to a controller that has ended, and the machine
-   * registry can't be read in an outage: one that reports to nobody may hang with any task.
+   * Running machines that did not send a heartbeat to this controller recently. Their tasks may have been reported only
+   * to a controller that has ended, and the machine registry can't be read during an outage, so a machine that sends
+   * heartbeats to no controller may be hung with any task.
    */
-  private async neverReported(now: MonotonicTime): Promise<MachineId[]> {
+  private async machinesWithoutRecentHeartbeat(now: MonotonicTime): Promise<MachineId[]> {
     const { heartbeatHandler, cloud, platform, storeAvailable } = this.dependencies;
-    const settlingMs = platform.workers.leaseS * 1000 * SETTLING_LEASES;
-    if (storeAvailable() || now - this.startedAt < settlingMs) return [];
+    const reconnectMs = platform.workers.leaseS * 1000 * RECONNECT_LEASES;
+    if (storeAvailable() || now - this.startedAt < reconnectMs) return [];
     const listed = await cloud.listMachines();
     const running = (listed ?? [])
       .filter((machine) => machine.status === 'running')
@@ -88,18 +93,21 @@
     return running.filter((id) => !reporting.has(id));
   }
 
-  /** Deletes those of the machines that send heartbeats to nobody. */
-  private async fence(holdingCancelled: MachineId[], neverReported: MachineId[]): Promise<void> {
+  /** Deletes those of the machines that send heartbeats to no controller. */
+  private async fence(withOverdueTasks: MachineId[], withoutRecentHeartbeat: MachineId[]): Promise<void> {
     const { heartbeatHandler, cloud, log } = this.dependencies;
-    const machines = [...new Set([...holdingCancelled, ...neverReported])].slice(0, MAX_FENCED_AT_ONCE);
+    const machines = [...new Set([...withOverdueTasks, ...withoutRecentHeartbeat])].slice(
+      0,
+      MAX_FENCED_AT_ONCE,
+    );
     if (machines.length === 0) return;
-    // They may report to another controller by now, which tells them to stop.
-    const { reporting, allPeersAnswered } = await this.askPeers(machines);
+    // The machines may by now send heartbeats to a peer, which commands them to stop cancelled tasks.
+    const { reporting, allPeersAnswered } = await this.queryPeers(machines);
     for (const id of machines) if (reporting.has(id)) heartbeatHandler.removeHeartbeat(id);
-    // Those that a controller out of reach may get heartbeats from are spared, unless they are known to hold such a
-    // task.
+    // If a peer did not respond, it may receive heartbeats of the machines: then only those that last reported an
+    // overdue task are deleted.
     const unreachable = machines.filter(
-      (id) => !reporting.has(id) && (allPeersAnswered || holdingCancelled.includes(id)),
+      (id) => !reporting.has(id) && (allPeersAnswered || withOverdueTasks.includes(id)),
     );
     if (unreachable.length === 0) return;
     const ok = await cloud.deleteMachines(unreachable);
@@ -107,13 +115,13 @@
     if (ok) for (const id of unreachable) heartbeatHandler.removeHeartbeat(id);
   }
 
-  /** Which of the machines send heartbeats to other controllers, and whether every one of these said so. */
-  private async askPeers(
+  /** Returns which of the machines send heartbeats to peers, and whether every peer responded. */
+  private async queryPeers(
     machines: MachineId[],
   ): Promise<{ reporting: Set<string>; allPeersAnswered: boolean }> {
     const answers = await Promise.all(
       this.dependencies.links.map((link) =>
-        link.ask({ kind: 'recent-heartbeats', machines }, ASK_TIMEOUT_MS),
+        link.ask({ kind: 'recent-heartbeats', machines }, PEER_REQUEST_TIMEOUT_MS),
       ),
     );
     return {
--- a/src/runtime/workers/leaderless-renewal.ts
+++ b/src/runtime/workers/leaderless-renewal.ts
@@ -1,6 +1,6 @@
 /**
- * Renews workers' leases while no leader can be reached, for as long as every cancellation that could matter is known
- * here. Tasks of cancelled jobs are stopped: that is final, so it needs no authority.
+ * Renews workers' leases while no leader can be reached, as long as this controller knows every cancellation that could
+ * affect them. Tasks of cancelled jobs are stopped; this needs no authority, because a cancellation is final.
  */
 import type { PlatformSettings } from '../../config/platform.js';
 import { highestKnownTerm } from '../../core/election.js';
@@ -15,10 +15,10 @@
 import { redirected, answered, unavailable, type HeartbeatResult } from './heartbeat-outcome.js';
 import type { WorkerRedirection } from './worker-redirection.js';
 
-/** Taken off the time in which workers go on without a leader. */
-const WINDOW_MARGIN_S = 4;
+/** Safety margin, subtracted from the time in which leases are renewed without a leader. */
+const LEADERLESS_MARGIN_S = 4;
 
-/** What the renewal of leases without a leader depends on. */
+/** Dependencies of the lease renewal without a leader. */
 export interface LeaderlessRenewalDependencies {
   platform: PlatformSettings;
   election: LeaderElection;
@@ -35,7 +35,7 @@
 
   constructor(private readonly dependencies: LeaderlessRenewalDependencies) {}
 
-  /** There was a leader at this time: the renewal of leases without one is bounded from here. */
+  /** Records that there was a leader at this time, from which the renewal of leases without a leader is bounded. */
   recordLeaderSeen(at: number): void {
     this.leaderSeenAt = Math.max(this.leaderSeenAt, at);
   }
@@ -45,7 +45,7 @@
     return this.leaderSeenAt === -Infinity ? null : now - this.leaderSeenAt;
   }
 
-  /** The answer to a worker whose heartbeat reaches no leader. */
+  /** Returns the reply to a heartbeat that can't be forwarded to a leader. */
   answer(heartbeat: Heartbeat, now: MonotonicTime): HeartbeatResult {
     const result = this.decide(heartbeat, now);
     const { id: machine, incarnation, sequence, fencingToken } = heartbeat;
@@ -62,36 +62,38 @@
   private decide(heartbeat: Heartbeat, now: MonotonicTime): HeartbeatResult {
     const { cancellations, storeAvailable, redirection, election } = this.dependencies;
     if (!cancellations.mayRenewLeases(now)) return unavailable();
-    // The key-value store answers, and yet no leader for long: the worker may well reach one where we can't.
-    if (storeAvailable() && now - this.leaderSeenAt > this.windowMs) return unavailable();
-    // Partitioned from everybody but the workers: another controller may lead, and they can reach it. If none
-    // answers them they come back, and their leases are renewed.
+    // The key-value store is available, but no leader was seen for a long time: the worker may be able to reach a
+    // leader that this controller can't reach.
+    if (storeAvailable() && now - this.leaderSeenAt > this.maxLeaderlessMs) return unavailable();
+    // Neither the store nor a peer can be reached. Another controller may lead, and the worker may be able to reach it.
+    // If no other controller accepts the worker, it returns to this one and its lease is renewed.
     if (this.isIsolated(now) && redirection.tryClaimRedirect(heartbeat.id, now)) return redirected(null);
     const term = highestKnownTerm(election.electionState);
-    // A token above ours: another controller has a newer leader. A worker that comes back has found none, and is
-    // answered under the token that it has, since a lower one would hold it here in vain.
+    // A fencing token above the known term means that another controller has a newer leader. A worker that returns
+    // after a redirect has not found that leader. It gets its own token in the reply, because it would ignore a lower
+    // one and still stay at this controller.
     const newerLeader = heartbeat.fencingToken > term;
     if (newerLeader && (storeAvailable() || redirection.tryClaimRedirect(heartbeat.id, now)))
       return redirected(null);
     const fencingToken = newerLeader ? heartbeat.fencingToken : term;
     return answered(
       'lease renewed without a leader',
-      heartbeatReply(fencingToken, this.stopCancelled(heartbeat)),
+      heartbeatReply(fencingToken, this.stopCommandsForCancelled(heartbeat)),
     );
   }
 
-  private stopCancelled({ tasks }: Heartbeat): Command[] {
-    const stops: Command[] = [];
+  private stopCommandsForCancelled({ tasks }: Heartbeat): Command[] {
+    const commands: Command[] = [];
     for (const { state, job, index, attempt } of tasks) {
       if (state === 'exited' || !this.dependencies.cancellations.has(job)) continue;
-      stops.push({ op: 'stop', job, index, attempt, gracePeriodS: 0 });
+      commands.push({ op: 'stop', job, index, attempt, gracePeriodS: 0 });
     }
-    return stops;
+    return commands;
   }
 
-  private get windowMs(): number {
+  private get maxLeaderlessMs(): number {
     const { cancelS, leaseS, heartbeatIntervalS } = this.dependencies.platform.workers;
-    return (cancelS - leaseS - 2 * heartbeatIntervalS - WINDOW_MARGIN_S) * 1000;
+    return (cancelS - leaseS - 2 * heartbeatIntervalS - LEADERLESS_MARGIN_S) * 1000;
   }
 
   private isIsolated(now: MonotonicTime): boolean {
--- a/src/runtime/workers/rate-counter.ts
+++ b/src/runtime/workers/rate-counter.ts
@@ -1,30 +1,30 @@
-/** A rate of events, cheap enough to be counted on every heartbeat. */
+/** Counts events per second, cheaply enough to be updated on every heartbeat. */
 
 const WINDOW_MS = 1000;
 
-/** Events in the last full second. */
+/** Counts the events in fixed windows of one second. */
 export class RateCounter {
   private windowStart = -Infinity;
-  private current = 0;
-  private previous = 0;
+  private currentCount = 0;
+  private previousCount = 0;
 
-  /** An event happens. */
+  /** Records one event. */
   record(now: number): void {
     this.startWindow(now);
-    this.current++;
+    this.currentCount++;
   }
 
-  /** How many events there were in the last full second. */
+  /** The number of events in the last full second. */
   perSecond(now: number): number {
     this.startWindow(now);
-    return this.previous;
+    return this.previousCount;
   }
 
   private startWindow(now: number): void {
     const elapsedMs = now - this.windowStart;
     if (elapsedMs < WINDOW_MS) return;
-    this.previous = elapsedMs < 2 * WINDOW_MS ? this.current : 0;
+    this.previousCount = elapsedMs < 2 * WINDOW_MS ? this.currentCount : 0;
     this.windowStart = now;
-    this.current = 0;
+    this.currentCount = 0;
   }
 }
--- a/src/runtime/workers/unchanged-heartbeats.ts
+++ b/src/runtime/workers/unchanged-heartbeats.ts
@@ -1,6 +1,7 @@
 /**
- * Unchanged heartbeats, confirmed to the leader in batches: most heartbeats of a large cluster say what the one before
- * said, and the leader need not read each. It decides which machines this holds for, and asks for others in full.
+ * Confirms unchanged heartbeats to the leader in batches. In a large cluster most heartbeats repeat the previous one,
+ * and the leader need not process each of them. The leader decides for which machines this is enough, and requests full
+ * heartbeats of the others.
  */
 import { sameTaskStatuses } from '../../core/task-status.js';
 import type { Heartbeat, UnchangedHeartbeat } from '../../core/heartbeat.js';
@@ -9,35 +10,38 @@
 
 const BATCH_INTERVAL_MS = 200;
 const BATCH_TIMEOUT_MS = 1500;
-/** Guards against names without end from outside. */
-const MAX_MACHINES = 5000;
+/** Bounds the memory use, because requests may contain an unlimited number of different machine ids. */
+const MAX_SYNCED_MACHINES = 5000;
 
-/** What the leader knows of a machine that it expects nothing from. */
+/** A machine for which the leader has no command and from which it awaits no change. */
 interface SyncedMachine {
   term: Term;
-  /** The heartbeat that the leader has read in full. */
+  /** The heartbeat that the leader has processed in full. */
   base: Heartbeat;
-  /** Of the newest heartbeat that was confirmed as unchanged. */
+  /** The sequence number of the newest heartbeat that was confirmed as unchanged. */
   confirmedSequence: Uint64;
 }
 
-/** Tells which heartbeats need not be forwarded, and confirms them to the leader. */
+/** Determines which heartbeats need not be forwarded, and confirms them to the leader as unchanged. */
 export class UnchangedHeartbeats {
   private readonly synced = new Map<MachineId, SyncedMachine>();
   private batch = new Map<MachineId, UnchangedHeartbeat>();
   private batchRoute: LeaderRoute | null = null;
 
-  /** The leader has read this heartbeat; `inSync`: its machine needs nothing and awaits nothing. */
+  /**
+   * Records that the leader processed this heartbeat; `inSync`: it has no command for the machine and awaits no change
+   * of it.
+   */
   recordFullHeartbeat(heartbeat: Heartbeat, term: Term, inSync: boolean): void {
     if (!inSync || heartbeat.interruptionNoticeS !== null || !equalUint64(heartbeat.fencingToken, term)) {
       this.synced.delete(heartbeat.id);
       return;
     }
-    if (this.synced.size >= MAX_MACHINES) this.synced.clear();
+    if (this.synced.size >= MAX_SYNCED_MACHINES) this.synced.clear();
     this.synced.set(heartbeat.id, { term, base: heartbeat, confirmedSequence: heartbeat.sequence });
   }
 
-  /** Whether this heartbeat can be answered here; if so the leader is told of it soon. */
+  /** Returns whether this controller may reply to the heartbeat; if so, the next batch confirms it to the leader. */
   tryConfirmUnchanged(heartbeat: Heartbeat, route: LeaderRoute): boolean {
     const machine = this.synced.get(heartbeat.id);
     if (!machine || !isUnchanged(heartbeat, machine, route.leader.term)) return false;
@@ -69,12 +73,12 @@
       { kind: 'unchanged-heartbeats', term: route.leader.term, heartbeats: [...batch.values()] },
       BATCH_TIMEOUT_MS,
     );
-    // No answer from the leader, or another one leads: every machine is reported in full again.
+    // Without a response, or if another controller leads by now, all machines of the batch need a full heartbeat again.
     for (const id of answer?.fullHeartbeatNeeded ?? batch.keys()) this.synced.delete(id);
   }
 }
 
-/** Whether a heartbeat says what the leader has read before. An older one or a copy is not taken as unchanged. */
+/** Whether a heartbeat repeats the one that the leader processed; an older heartbeat or a duplicate does not count. */
 const isUnchanged = (heartbeat: Heartbeat, machine: SyncedMachine, term: Term): boolean => {
   const { base } = machine;
   return (
--- a/src/runtime/workers/worker-client.ts
+++ b/src/runtime/workers/worker-client.ts
@@ -1,4 +1,4 @@
-/** Direct commands to workers, over a bounded number of connections. */
+/** Sends direct commands to workers over a bounded number of connections. */
 import { parseAddress } from '../../config/address.js';
 import type { Endpoint } from '../../core/units.js';
 import { HttpClient, type HttpResult } from '../http/http-client.js';
@@ -12,12 +12,13 @@
 }
 
 /**
- * One connection for each worker lately talked to. Guards against a leader of many machines that runs out of
- * sockets, and can then neither renew its lease nor be reached: beyond the budget the longest unused is closed, and
- * when all are busy the command is not sent; it goes with the answer to the worker's next heartbeat.
+ * Keeps one connection to each worker that it recently sent a request to. Guards against a leader of many machines that
+ * runs out of sockets, and can then neither renew its lease nor be reached: beyond the limit, the least recently used
+ * idle connection is closed. If all are busy the command is not sent, and goes with the reply to the worker's next
+ * heartbeat.
  */
 export class WorkerClient {
-  /** In the order of their last use. */
+  /** Ordered from the least to the most recently used. */
   private readonly connections = new Map<Endpoint, WorkerConnection>();
 
   constructor(private readonly maxConnections: number) {}
@@ -32,12 +33,12 @@
     return result;
   }
 
-  /** The number of connections that are kept. */
+  /** The number of open connections. */
   get connectionCount(): number {
     return this.connections.size;
   }
 
-  /** Closes all connections that are not in use. */
+  /** Removes all connections, and closes those that are idle. */
   close(): void {
     for (const { client } of this.connections.values()) client.close();
     this.connections.clear();
@@ -50,14 +51,14 @@
       this.connections.set(endpoint, known);
       return known;
     }
-    if (this.connections.size >= this.maxConnections && !this.closeLongestUnused()) return null;
+    if (this.connections.size >= this.maxConnections && !this.closeLeastRecentlyUsed()) return null;
     const client = new HttpClient(parseAddress(endpoint), 1, MAX_IDLE_MS, MAX_BODY_BYTES);
     const connection = { client, busy: false };
     this.connections.set(endpoint, connection);
     return connection;
   }
 
-  private closeLongestUnused(): boolean {
+  private closeLeastRecentlyUsed(): boolean {
     for (const [endpoint, { client, busy }] of this.connections) {
       if (busy) continue;
       client.close();
--- a/src/runtime/workers/worker-redirection.ts
+++ b/src/runtime/workers/worker-redirection.ts
@@ -1,24 +1,24 @@
-/** Sends workers to other controllers, each of them seldom: every move may cost a worker some of its lease. */
+/** Redirects workers to other controllers, each one rarely, because a redirect may cost a worker some of its lease. */
 import type { PlatformSettings } from '../../config/platform.js';
 import type { Heartbeat } from '../../core/heartbeat.js';
 import type { MachineId, MonotonicTime } from '../../core/units.js';
 import type { PeerLink } from '../peers/peer-link.js';
 import { RateCounter } from './rate-counter.js';
 
-/** A worker is sent to its own zone at most once in this time: each move may cost it 5 s of its lease. */
+/** A worker is redirected to its own zone at most once in this time: each redirect may cost it 5 s of its lease. */
 const ZONE_REDIRECT_INTERVAL_MS = 60_000;
-/** A worker sent to look for a better controller is kept here if it comes back within this time. */
+/** A worker redirected to find a better controller is kept if it returns within this time. */
 const REDIRECT_INTERVAL_MS = 20_000;
-/** Guards against names without end from outside. */
-const MAX_MACHINES = 5000;
-/** Heartbeats a second that a leader takes itself, by the part of a core that it has. */
-const DIRECT_HEARTBEATS_PER_CORE = 200;
-const MIN_DIRECT_HEARTBEATS = 10;
+/** Bounds the memory use, because requests may contain an unlimited number of different machine ids. */
+const MAX_REDIRECTED_MACHINES = 5000;
+/** Direct heartbeats that a leader accepts, per second and processor core of its limit. */
+const DIRECT_HEARTBEATS_PER_S_PER_CORE = 200;
+const MIN_DIRECT_HEARTBEATS_PER_S = 10;
 
-/** Decides which workers go elsewhere, and remembers when each was sent. */
+/** Selects the workers to redirect, and records when each was redirected. */
 export class WorkerRedirection {
   private readonly redirectedToZoneAt = new Map<MachineId, MonotonicTime>();
-  private readonly redirectedElsewhereAt = new Map<MachineId, MonotonicTime>();
+  private readonly redirectedAt = new Map<MachineId, MonotonicTime>();
   private readonly directHeartbeats = new RateCounter();
 
   constructor(
@@ -26,32 +26,36 @@
     private readonly links: PeerLink[],
   ) {}
 
-  /** A heartbeat arrives from its worker itself. */
+  /** Records a heartbeat that a worker sent to this controller. */
   recordDirectHeartbeat(now: MonotonicTime): void {
     this.directHeartbeats.record(now);
   }
 
   /**
-   * A controller in the worker's own zone, if workers do reach it. When the zones are partitioned, the worker is then
-   * already where its lease can be renewed: trying the others one by one could outlast it.
+   * A controller in the worker's zone that receives heartbeats; null if this controller is in that zone. If the zones
+   * are partitioned later, the worker is then already at a controller that can renew its lease; trying the controllers
+   * one by one could take longer than the lease lasts.
    */
-  closerController(heartbeat: Heartbeat, now: MonotonicTime): PeerLink | null {
+  controllerInWorkerZone(heartbeat: Heartbeat, now: MonotonicTime): PeerLink | null {
     if (heartbeat.zone === this.platform.zone) return null;
     return this.controllerInZone(heartbeat, now);
   }
 
-  /** A leader with more direct heartbeats than it has processor for leaves them to others of the worker's zone. */
-  lessBusyController(heartbeat: Heartbeat, now: MonotonicTime): PeerLink | null {
-    const limit = Math.max(MIN_DIRECT_HEARTBEATS, this.platform.limits.cpu * DIRECT_HEARTBEATS_PER_CORE);
+  /** A controller in the worker's zone, if the leader receives more direct heartbeats than its processor can handle. */
+  controllerForOffloading(heartbeat: Heartbeat, now: MonotonicTime): PeerLink | null {
+    const limit = Math.max(
+      MIN_DIRECT_HEARTBEATS_PER_S,
+      this.platform.limits.cpu * DIRECT_HEARTBEATS_PER_S_PER_CORE,
+    );
     return this.directHeartbeats.perSecond(now) > limit ? this.controllerInZone(heartbeat, now) : null;
   }
 
-  /** Whether a worker may be sent to look for a better controller now; if so it may not again for some time. */
+  /** Whether a worker may be redirected to find a better controller; if so, it may not again for some time. */
   tryClaimRedirect(machine: MachineId, now: MonotonicTime): boolean {
-    const last = this.redirectedElsewhereAt.get(machine);
-    if (this.redirectedElsewhereAt.size > MAX_MACHINES) this.redirectedElsewhereAt.clear();
+    const last = this.redirectedAt.get(machine);
+    if (this.redirectedAt.size > MAX_REDIRECTED_MACHINES) this.redirectedAt.clear();
     if (last !== undefined && now - last < REDIRECT_INTERVAL_MS) return false;
-    this.redirectedElsewhereAt.set(machine, now);
+    this.redirectedAt.set(machine, now);
     return true;
   }
 
@@ -62,9 +66,9 @@
       (link) => link.zone === zone && link.isAlive(now) && link.status?.receivesHeartbeats,
     );
     if (candidates.length === 0) return null;
-    if (this.redirectedToZoneAt.size > MAX_MACHINES) this.redirectedToZoneAt.clear();
+    if (this.redirectedToZoneAt.size > MAX_REDIRECTED_MACHINES) this.redirectedToZoneAt.clear();
     this.redirectedToZoneAt.set(id, now);
-    // Spread over the controllers there.
+    // Spreads the workers over the controllers in the zone.
     return candidates[this.redirectedToZoneAt.size % candidates.length];
   }
 }
