--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -18,7 +18,7 @@
 import { LeaderRoutes, type LeaderRoute } from '../peers/leader-route.js';
 import type { PeerLink } from '../peers/peer-link.js';
 import {
-  answered,
+  leaseRenewed,
   malformed,
   redirected,
   unavailable,
@@ -31,6 +31,7 @@
 import { WorkerRedirection } from './worker-redirection.js';
 import { HTTP_STATUS } from '../http/http-status.js';
 
+const MS_PER_S = 1000;
 const HEARTBEAT_FORWARD_TIMEOUT_MS = 2500;
 const OUTCOMES_LOG_INTERVAL_MS = 10_000;
 /** After this many intervals without a heartbeat, plus a margin, workers count as unable to reach this controller. */
@@ -102,7 +103,7 @@
    * peers and the key-value store remain reachable.
    */
   get receivesHeartbeats(): boolean {
-    const maxGapMs = this.dependencies.platform.workers.heartbeatIntervalS * 1000 * MISSED_INTERVALS;
+    const maxGapMs = this.dependencies.platform.workers.heartbeatIntervalS * MS_PER_S * MISSED_INTERVALS;
     return this.clock() - this.lastDirectHeartbeatAt < maxGapMs + MISSED_MARGIN_MS;
   }
 
@@ -143,7 +144,7 @@
 
   /** Returns those of the machines that sent a heartbeat to this controller within the last lease duration. */
   machinesWithRecentHeartbeat(machines: string[]): MachineId[] {
-    const since = this.clock() - this.dependencies.platform.workers.leaseS * 1000;
+    const since = this.clock() - this.dependencies.platform.workers.leaseS * MS_PER_S;
     return (machines as MachineId[]).filter((id) => this.lastHeartbeats.receivedSince(id, since));
   }
 
@@ -199,7 +200,7 @@
     if (!cancellations.mayRenewLeases(now)) return unavailable();
     const other = from === 'worker' ? this.controllerForWorker(heartbeat, now) : null;
     if (other) return redirected(other.name);
-    return answered('answered by the leader', heartbeatReply(term, loop?.onHeartbeat(heartbeat) ?? []));
+    return leaseRenewed('answered by the leader', heartbeatReply(term, loop?.onHeartbeat(heartbeat) ?? []));
   }
 
   private controllerForWorker(heartbeat: Heartbeat, now: MonotonicTime): PeerLink | null {
@@ -227,7 +228,7 @@
       this.mayConfirmUnchanged(heartbeat, now) &&
       this.unchangedHeartbeats.tryConfirmUnchanged(heartbeat, route)
     )
-      return answered('confirmed unchanged', heartbeatReply(term, []));
+      return leaseRenewed('confirmed unchanged', heartbeatReply(term, []));
     const answer = await route.ask(
       { kind: 'forwarded-heartbeat', heartbeat: body },
       HEARTBEAT_FORWARD_TIMEOUT_MS,
--- a/src/runtime/workers/heartbeat-outcome.ts
+++ b/src/runtime/workers/heartbeat-outcome.ts
@@ -21,7 +21,7 @@
 }
 
 /** Renews the worker's lease under the fencing token in `body`, which may also contain commands. */
-export const answered = (outcome: HeartbeatOutcome, body: unknown): HeartbeatResult => ({
+export const leaseRenewed = (outcome: HeartbeatOutcome, body: unknown): HeartbeatResult => ({
   outcome,
   reply: { status: HTTP_STATUS.ok, body: encode(body) },
 });
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -12,6 +12,7 @@
 import type { PeerLink } from '../peers/peer-link.js';
 import type { HeartbeatHandler } from './heartbeat-handler.js';
 
+const MS_PER_S = 1000;
 /** Fraction of `cancel_s` after which a cancellation is overdue; a leader, if there were one, would act earlier. */
 const OVERDUE_CANCEL_FRACTION = 0.6;
 /** Cancellations older than this multiple of `cancel_s` are ignored. */
@@ -48,7 +49,7 @@
   async check(): Promise<void> {
     const now = this.clock();
     if (this.inProgress || this.dependencies.heartbeatHandler.isLeaderReachable(now)) return;
-    const cancelMs = this.dependencies.platform.workers.cancelS * 1000;
+    const cancelMs = this.dependencies.platform.workers.cancelS * MS_PER_S;
     const oldest = (now - cancelMs * MAX_CANCEL_AGE_MULTIPLE) as MonotonicTime;
     const overdue = (now - cancelMs * OVERDUE_CANCEL_FRACTION) as MonotonicTime;
     if (!this.dependencies.cancellations.anyLearnedBetween(oldest, overdue)) return;
@@ -67,7 +68,7 @@
   private machinesWithOverdueTasks(overdue: MonotonicTime, now: MonotonicTime): MachineId[] {
     const { heartbeatHandler, cancellations, platform } = this.dependencies;
     return heartbeatHandler
-      .machinesWithoutHeartbeatFor(platform.workers.leaseS * 1000, now)
+      .machinesWithoutHeartbeatFor(platform.workers.leaseS * MS_PER_S, now)
       .filter(([, tasks]) =>
         tasks.some(
           (task) => task.state !== 'exited' && (cancellations.learnedAtOf(task.job) ?? Infinity) < overdue,
@@ -83,7 +84,7 @@
    */
   private async machinesWithoutRecentHeartbeat(now: MonotonicTime): Promise<MachineId[]> {
     const { heartbeatHandler, cloud, platform, storeAvailable } = this.dependencies;
-    const reconnectMs = platform.workers.leaseS * 1000 * RECONNECT_LEASES;
+    const reconnectMs = platform.workers.leaseS * MS_PER_S * RECONNECT_LEASES;
     if (storeAvailable() || now - this.startedAt < reconnectMs) return [];
     const listed = await cloud.listMachines();
     const running = (listed ?? [])
--- a/src/runtime/workers/leaderless-renewal.ts
+++ b/src/runtime/workers/leaderless-renewal.ts
@@ -12,9 +12,10 @@
 import type { LeaderElection } from '../leadership/leader-election.js';
 import type { Logger } from '../logger.js';
 import type { PeerLink } from '../peers/peer-link.js';
-import { redirected, answered, unavailable, type HeartbeatResult } from './heartbeat-outcome.js';
+import { redirected, leaseRenewed, unavailable, type HeartbeatResult } from './heartbeat-outcome.js';
 import type { WorkerRedirection } from './worker-redirection.js';
 
+const MS_PER_S = 1000;
 /** Safety margin, subtracted from the time in which leases are renewed without a leader. */
 const LEADERLESS_MARGIN_S = 4;
 
@@ -76,7 +77,7 @@
     if (newerLeader && (storeAvailable() || redirection.tryClaimRedirect(heartbeat.id, now)))
       return redirected(null);
     const fencingToken = newerLeader ? heartbeat.fencingToken : term;
-    return answered(
+    return leaseRenewed(
       'lease renewed without a leader',
       heartbeatReply(fencingToken, this.stopCommandsForCancelled(heartbeat)),
     );
@@ -93,7 +94,7 @@
 
   private get maxLeaderlessMs(): number {
     const { cancelS, leaseS, heartbeatIntervalS } = this.dependencies.platform.workers;
-    return (cancelS - leaseS - 2 * heartbeatIntervalS - LEADERLESS_MARGIN_S) * 1000;
+    return (cancelS - leaseS - 2 * heartbeatIntervalS - LEADERLESS_MARGIN_S) * MS_PER_S;
   }
 
   private isIsolated(now: MonotonicTime): boolean {
--- a/src/runtime/workers/worker-redirection.ts
+++ b/src/runtime/workers/worker-redirection.ts
@@ -32,9 +32,9 @@
   }
 
   /**
-   * A controller in the worker's zone that receives heartbeats; null if this controller is in that zone. If the zones
-   * are partitioned later, the worker is then already at a controller that can renew its lease; trying the controllers
-   * one by one could take longer than the lease lasts.
+   * A controller in the worker's zone that receives heartbeats and to which the worker should move; null if this
+   * controller is in that zone. If the zones are partitioned later, the worker is then already at a controller that can
+   * renew its lease; trying the controllers one by one could take longer than the lease lasts.
    */
   controllerInWorkerZone(heartbeat: Heartbeat, now: MonotonicTime): PeerLink | null {
     if (heartbeat.zone === this.platform.zone) return null;
