--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -30,7 +30,7 @@
 
 type ReadOutcome =
   | { kind: 'ok'; storeRevision: Revision; cancelled: JobId[] }
-  | { kind: 'no-answer' }
+  | { kind: 'no-response' }
   /** The store no longer keeps the requested changes. */
   | { kind: 'compacted' };
 
@@ -173,7 +173,7 @@
 
   private async readAll(): Promise<ReadOutcome> {
     const listing = await this.dependencies.store.list(keys.activePrefix);
-    if (listing.kind !== 'ok') return { kind: 'no-answer' };
+    if (listing.kind !== 'ok') return { kind: 'no-response' };
     const { items, storeRevision } = listing.value;
     this.index.clear();
     const cancelled = items.filter((item) => this.indexRecord(item.key, item.data));
@@ -182,7 +182,7 @@
 
   private async readSince(since: Revision): Promise<ReadOutcome> {
     const outcome = await this.dependencies.store.changesSince(keys.activePrefix, since);
-    if (outcome.kind !== 'ok') return { kind: outcome.kind === 'gone' ? 'compacted' : 'no-answer' };
+    if (outcome.kind !== 'ok') return { kind: outcome.kind === 'gone' ? 'compacted' : 'no-response' };
     const { changes, storeRevision } = outcome.value;
     const cancelled: JobId[] = [];
     for (const change of changes) {
--- a/src/runtime/leadership/leader-election.ts
+++ b/src/runtime/leadership/leader-election.ts
@@ -142,7 +142,7 @@
   }
 
   /**
-   * Reads the leader key while no other leader is known, and whenever the store has not responded recently: the watch
+   * Reads the leader key while no leader is known, and whenever the store has not responded recently: the watch
    * alone does not distinguish an outage of the store from a time without changes.
    */
   private async probeStore(): Promise<never> {
--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -163,7 +163,7 @@
     const heartbeat = parsed.value;
     if (from === 'worker') this.lastHeartbeats.record(heartbeat, now);
     if (election.holdsLease)
-      return { ...this.answerAsLeader(heartbeat, from, now), machineIfLeader: heartbeat.id };
+      return { ...this.respondAsLeader(heartbeat, from, now), machineIfLeader: heartbeat.id };
     const route = this.leaderRoute(now);
     if (route) {
       if (route.leader.leading) this.leaderlessRenewal.recordLeaderSeen(now);
@@ -171,7 +171,7 @@
     }
     const leader = this.leaderRefusingConnections(now);
     if (leader && this.redirection.tryClaimRedirect(heartbeat.id, now)) return redirected(leader.name);
-    return this.leaderlessRenewal.answer(heartbeat, now);
+    return this.leaderlessRenewal.respond(heartbeat, now);
   }
 
   /**
@@ -186,7 +186,11 @@
     return links.find((link) => link.name === leader.node && link.refusesConnections(now)) ?? null;
   }
 
-  private answerAsLeader(heartbeat: Heartbeat, from: 'worker' | 'peer', now: MonotonicTime): HeartbeatResult {
+  private respondAsLeader(
+    heartbeat: Heartbeat,
+    from: 'worker' | 'peer',
+    now: MonotonicTime,
+  ): HeartbeatResult {
     const { election, cancellations } = this.dependencies;
     const loop = this.dependencies.leaderLoop();
     const { term } = election.electionState.heldLease!;
@@ -194,7 +198,7 @@
     if (heartbeat.fencingToken > term) return redirected(null);
     if (!election.hasAuthority) {
       loop?.leader?.onHeartbeatWithoutAuthority(heartbeat, now);
-      return this.leaderlessRenewal.answer(heartbeat, now);
+      return this.leaderlessRenewal.respond(heartbeat, now);
     }
     this.leaderlessRenewal.recordLeaderSeen(now);
     if (!cancellations.mayRenewLeases(now)) return unavailable();
@@ -229,17 +233,17 @@
       this.unchangedHeartbeats.tryConfirmUnchanged(heartbeat, route)
     )
       return leaseRenewed('confirmed unchanged', heartbeatReply(term, []));
-    const answer = await route.ask(
+    const response = await route.ask(
       { kind: 'forwarded-heartbeat', heartbeat: body },
       HEARTBEAT_FORWARD_TIMEOUT_MS,
     );
     // A lease holder without authority may be unable to renew the worker's lease, while this controller can.
-    if (answer && (answer.status === HTTP_STATUS.ok || leading)) {
-      const { status, body: replyBody, inSync } = answer;
+    if (response && (response.status === HTTP_STATUS.ok || leading)) {
+      const { status, body: replyBody, inSync } = response;
       this.unchangedHeartbeats.recordFullHeartbeat(heartbeat, term, status === HTTP_STATUS.ok && inSync);
       return { outcome: 'forwarded', reply: { status, body: Buffer.from(replyBody) } };
     }
-    return this.leaderlessRenewal.answer(heartbeat, this.clock());
+    return this.leaderlessRenewal.respond(heartbeat, this.clock());
   }
 
   private mayConfirmUnchanged({ tasks }: Heartbeat, now: MonotonicTime): boolean {
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -103,12 +103,12 @@
     );
     if (machines.length === 0) return;
     // The machines may by now send heartbeats to a peer, which commands them to stop cancelled tasks.
-    const { reporting, allPeersAnswered } = await this.queryPeers(machines);
+    const { reporting, allPeersResponded } = await this.queryPeers(machines);
     for (const id of machines) if (reporting.has(id)) heartbeatHandler.removeHeartbeat(id);
     // If a peer did not respond, it may receive heartbeats of the machines: then only those that last reported an
     // overdue task are deleted.
     const unreachable = machines.filter(
-      (id) => !reporting.has(id) && (allPeersAnswered || withOverdueTasks.includes(id)),
+      (id) => !reporting.has(id) && (allPeersResponded || withOverdueTasks.includes(id)),
     );
     if (unreachable.length === 0) return;
     const ok = await cloud.deleteMachines(unreachable);
@@ -119,15 +119,15 @@
   /** Returns which of the machines send heartbeats to peers, and whether every peer responded. */
   private async queryPeers(
     machines: MachineId[],
-  ): Promise<{ reporting: Set<string>; allPeersAnswered: boolean }> {
-    const answers = await Promise.all(
+  ): Promise<{ reporting: Set<string>; allPeersResponded: boolean }> {
+    const responses = await Promise.all(
       this.dependencies.links.map((link) =>
         link.ask({ kind: 'recent-heartbeats', machines }, PEER_REQUEST_TIMEOUT_MS),
       ),
     );
     return {
-      reporting: new Set(answers.flatMap((answer) => answer?.machines ?? [])),
-      allPeersAnswered: answers.every((answer) => answer !== null),
+      reporting: new Set(responses.flatMap((response) => response?.machines ?? [])),
+      allPeersResponded: responses.every((response) => response !== null),
     };
   }
 }
--- a/src/runtime/workers/leaderless-renewal.ts
+++ b/src/runtime/workers/leaderless-renewal.ts
@@ -47,7 +47,7 @@
   }
 
   /** Returns the reply to a heartbeat that can't be forwarded to a leader. */
-  answer(heartbeat: Heartbeat, now: MonotonicTime): HeartbeatResult {
+  respond(heartbeat: Heartbeat, now: MonotonicTime): HeartbeatResult {
     const result = this.decide(heartbeat, now);
     const { id: machine, incarnation, sequence, fencingToken } = heartbeat;
     const { outcome } = result;
--- a/src/runtime/workers/unchanged-heartbeats.ts
+++ b/src/runtime/workers/unchanged-heartbeats.ts
@@ -69,12 +69,12 @@
     const { batchRoute: route, batch } = this;
     this.batch = new Map();
     if (!route || batch.size === 0) return;
-    const answer = await route.ask(
+    const response = await route.ask(
       { kind: 'unchanged-heartbeats', term: route.leader.term, heartbeats: [...batch.values()] },
       BATCH_TIMEOUT_MS,
     );
     // Without a response, or if another controller leads by now, all machines of the batch need a full heartbeat again.
-    for (const id of answer?.fullHeartbeatNeeded ?? batch.keys()) this.synced.delete(id);
+    for (const id of response?.fullHeartbeatNeeded ?? batch.keys()) this.synced.delete(id);
   }
 }
 
