--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -111,7 +111,7 @@
     const { links, onCancelled } = this.dependencies;
     onCancelled([job]);
     // The heartbeats carry it for certain; this is only sooner, so that nothing of the job is started meanwhile.
-    for (const link of links) void link.ask({ kind: 'cancellations', jobs: [job] }, PUSH_TIMEOUT_MS);
+    for (const link of links) void link.sendRequest({ kind: 'cancellations', jobs: [job] }, PUSH_TIMEOUT_MS);
   }
 
   /** A peer tells jobs that it has confirmed just now. */
--- a/src/runtime/cloud/cloud-provider-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -18,7 +18,7 @@
   /** It may have been carried out. */
   | { kind: 'unknown' };
 
-const TIMEOUT_MS = 3000;
+const REQUEST_TIMEOUT_MS = 3000;
 const MAX_CONNECTIONS = 6;
 const MAX_IDLE_MS = 20_000;
 const BUDGET_FRACTION = 0.85;
@@ -67,7 +67,7 @@
   async createMachines(request: wire.ScaleOutRequest): Promise<ScaleOutOutcome> {
     if (!this.budget.take(1, monotonicNow())) return { kind: 'refused' };
     const body = encode(wire.createMachinesBody(request));
-    const result = await this.http.request('POST', '/machines', body, TIMEOUT_MS);
+    const result = await this.http.request('POST', '/machines', body, REQUEST_TIMEOUT_MS);
     if (!result.ok) return result.sent ? { kind: 'unknown' } : { kind: 'refused' };
     const answer = tryDecode(result.body);
     if (result.status === HTTP_STATUS.ok) {
@@ -83,7 +83,7 @@
   async deleteMachines(machines: MachineId[]): Promise<boolean> {
     if (!this.budget.take(1, monotonicNow())) return false;
     const body = encode(wire.deleteMachinesBody(machines));
-    const result = await this.http.request('POST', '/machines/return', body, TIMEOUT_MS);
+    const result = await this.http.request('POST', '/machines/return', body, REQUEST_TIMEOUT_MS);
     return result.ok && result.status === HTTP_STATUS.ok;
   }
 
@@ -101,7 +101,7 @@
 
   private async read<T>(target: string, parse: (raw: unknown) => T | null): Promise<T | null> {
     if (!this.budget.take(1, monotonicNow(), this.reservedForChanges)) return null;
-    const result = await this.http.request('GET', target, null, TIMEOUT_MS);
+    const result = await this.http.request('GET', target, null, REQUEST_TIMEOUT_MS);
     return result.ok && result.status === HTTP_STATUS.ok ? parse(tryDecode(result.body)) : null;
   }
 }
--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -13,7 +13,7 @@
 import { KeyValueStoreClient } from './key-value-store/key-value-store-client.js';
 import { LeaderElection } from './leadership/leader-election.js';
 import { LeadershipManager } from './leadership/leadership-manager.js';
-import { listenInternally, listenPublicly } from './listeners.js';
+import { startInternalListener, startPublicListener } from './listeners.js';
 import { Logger } from './logger.js';
 import { ImageLocationStore, shareImageLocations } from './peers/image-locations.js';
 import { PeerHandler } from './peers/peer-handler.js';
@@ -157,8 +157,8 @@
       platform: this.platform,
       store: this.store,
       machineTypes: () => this.machineTypes.current,
-      taskCounts: (id) => this.taskCounts.counts(id),
-      onCancellationTold: (id) => this.cancellations.recordConfirmed(id),
+      taskCounts: (id) => this.taskCounts.find(id),
+      onCancellationReported: (id) => this.cancellations.recordConfirmed(id),
       knownJobs: this.cancellations,
     });
   }
@@ -210,17 +210,17 @@
     const router = this.createRouter();
     const statusPage = this.createStatusPage();
     const peerHandler = this.createPeerHandler();
-    listenPublicly(
+    startPublicListener(
       platform.publicAddress,
       sockets,
       (request, reply) => void router.handle(request, reply),
       log,
     );
-    listenInternally(
+    startInternalListener(
       platform.internalAddress,
       {
         statusPage: (request) => statusPage.handle(request),
-        peerRequest: (request) => peerHandler.answer(request),
+        peerRequest: (request) => peerHandler.handle(request),
         onMalformedPeerRequest: (cause) => this.logMalformed(null, cause),
       },
       log,
@@ -259,7 +259,7 @@
       leaderLoop: () => this.leadership.leaderLoop,
       status: () => this.peerStatus.ownStatus(),
       onPeerStatus: (status) => this.peerStatus.onPeerStatus(status),
-      taskCounts: (id) => this.taskCounts.ownCounts(id),
+      taskCounts: (id) => this.taskCounts.localCounts(id),
     });
   }
 
--- a/src/runtime/health-check.ts
+++ b/src/runtime/health-check.ts
@@ -9,7 +9,7 @@
 
 /** What health depends on. */
 export interface HealthCheckDependencies {
-  store: Pick<KeyValueStoreClient, 'lastAnswerAt'>;
+  store: Pick<KeyValueStoreClient, 'lastResponseAt'>;
   links: readonly PeerLink[];
   machineTypes: Pick<MachineTypeCatalog, 'current'>;
 }
@@ -20,7 +20,7 @@
 
   /** The key-value store answered lately. */
   isStoreAvailable(): boolean {
-    return monotonicNow() - this.dependencies.store.lastAnswerAt < STORE_TIMEOUT_MS;
+    return monotonicNow() - this.dependencies.store.lastResponseAt < STORE_TIMEOUT_MS;
   }
 
   /** While the store is down for everybody, leaving the load balancer would only delay the return. */
@@ -32,6 +32,6 @@
     const reached = links.filter((link) => link.isAlive(now));
     // Cut off from the store and from every peer: it is this controller that is cut off, and others can serve.
     if (links.length > 0 && reached.length === 0) return false;
-    return store.lastAnswerAt > -Infinity && !reached.some((link) => link.status?.storeAvailable);
+    return store.lastResponseAt > -Infinity && !reached.some((link) => link.status?.storeAvailable);
   }
 }
--- a/src/runtime/http/http-server.ts
+++ b/src/runtime/http/http-server.ts
@@ -8,7 +8,7 @@
 import { HTTP_STATUS } from './http-status.js';
 
 /** Answers a request by calling `reply` once, at once or later; further calls are ignored. */
-export type HttpHandler = (request: HttpMessage, reply: (answer: HttpReply) => void) => void;
+export type HttpRequestHandler = (request: HttpMessage, reply: (answer: HttpReply) => void) => void;
 
 /** Bounds of what clients may take up. */
 export interface HttpServerLimits {
@@ -25,7 +25,7 @@
 interface ServerContext {
   limits: HttpServerLimits;
   log: Logger;
-  handler: HttpHandler;
+  handler: HttpRequestHandler;
   pool: ConnectionPool;
 }
 
@@ -33,7 +33,7 @@
 export const httpConnectionHandler = (
   limits: HttpServerLimits,
   log: Logger,
-  handler: HttpHandler,
+  handler: HttpRequestHandler,
 ): ((socket: Socket) => void) => {
   const pool = new ConnectionPool(limits.connections);
   const context: ServerContext = { limits, log, handler, pool };
--- a/src/runtime/http/socket-budget.ts
+++ b/src/runtime/http/socket-budget.ts
@@ -5,7 +5,7 @@
 /** Each peer dials us, we dial it, and old connections linger behind a cut. */
 const SOCKETS_PER_PEER = 4;
 /** Connections to our internal address that are not peers'. */
-export const STATUS_CONNECTIONS = 16;
+export const MAX_STATUS_CONNECTIONS = 16;
 const MIN_SHARED = 16;
 const DIRECT_COMMAND_FRACTION = 0.15;
 const MIN_DIRECT_COMMANDS = 4;
@@ -30,7 +30,7 @@
 
 /** Divides the platform's limit on sockets for a controller with this many peers. */
 export const socketBudget = (limit: number, peerCount: number): SocketBudget => {
-  const reserved = OWN_FILES + STATUS_CONNECTIONS + SOCKETS_PER_PEER * peerCount;
+  const reserved = OWN_FILES + MAX_STATUS_CONNECTIONS + SOCKETS_PER_PEER * peerCount;
   const shared = Math.max(MIN_SHARED, limit - reserved);
   const directCommands = fractionWithin(
     shared,
--- a/src/runtime/key-value-store/key-value-store-client.ts
+++ b/src/runtime/key-value-store/key-value-store-client.ts
@@ -39,7 +39,7 @@
 /** What callers leave in the budget for others that must not be starved. */
 export const budgetReserves = { urgent: 0, normal: 2 };
 
-const TIMEOUT_MS = 1200;
+const REQUEST_TIMEOUT_MS = 1200;
 /** Beyond the time that the store itself holds a watch open. */
 const WATCH_GRACE_MS = 3000;
 const MAX_IDLE_MS = 20_000;
@@ -56,7 +56,7 @@
   private readonly leases: HttpClient;
   private readonly budget: RequestBudget;
   /** Monotonic time of the last answer that was not an error; tells an outage from a time without changes. */
-  lastAnswerAt = -Infinity;
+  lastResponseAt = -Infinity;
 
   constructor({ keyValueStore, keyValueStoreLimits }: PlatformSettings) {
     this.calls = new HttpClient(keyValueStore, CALL_CONNECTIONS, MAX_IDLE_MS);
@@ -102,7 +102,7 @@
   ): Promise<TransactionOutcome> {
     if (!(await this.budget.acquire(1, transaction.changes.length, reserve))) return { kind: 'refused' };
     const encoded = encode(wire.transactionBody(transaction));
-    const reply = await this.calls.request('POST', wire.TRANSACTION_TARGET, encoded, TIMEOUT_MS);
+    const reply = await this.calls.request('POST', wire.TRANSACTION_TARGET, encoded, REQUEST_TIMEOUT_MS);
     if (!reply.ok) return reply.sent ? { kind: 'unknown' } : { kind: 'refused' };
     this.budget.recordStatus(reply.status);
     return this.transactionOutcome(reply.status, tryDecode(reply.body));
@@ -111,19 +111,19 @@
   /** Asks for a new lease. */
   async grantLease(ttlMs: number): Promise<StoreOutcome<Uint64>> {
     const encoded = encode(wire.leaseBody(ttlMs));
-    const reply = await this.leases.request('POST', wire.LEASES_TARGET, encoded, TIMEOUT_MS);
+    const reply = await this.leases.request('POST', wire.LEASES_TARGET, encoded, REQUEST_TIMEOUT_MS);
     return this.outcome(reply, wire.parseLease);
   }
 
   /** Renewals pass the budget by: nothing may starve them. */
   async renewLease(lease: Uint64): Promise<StoreOutcome<true>> {
-    const reply = await this.leases.request('POST', wire.leaseRenewalTarget(lease), null, TIMEOUT_MS);
+    const reply = await this.leases.request('POST', wire.leaseRenewalTarget(lease), null, REQUEST_TIMEOUT_MS);
     return this.outcome(reply, () => true as const);
   }
 
   /** Ends a lease before its time, with the keys attached to it. */
   async revokeLease(lease: Uint64): Promise<void> {
-    await this.leases.request('DELETE', wire.leaseTarget(lease), null, TIMEOUT_MS);
+    await this.leases.request('DELETE', wire.leaseTarget(lease), null, REQUEST_TIMEOUT_MS);
   }
 
   /** What has changed since, at once. */
@@ -144,7 +144,7 @@
     reserve: number,
   ): Promise<StoreOutcome<T>> {
     if (!(await this.budget.acquire(1, 0, reserve))) return { kind: 'refused' };
-    const reply = await this.calls.request('GET', target, null, TIMEOUT_MS);
+    const reply = await this.calls.request('GET', target, null, REQUEST_TIMEOUT_MS);
     if (reply.ok) this.budget.recordStatus(reply.status);
     return this.outcome(reply, parse);
   }
@@ -152,12 +152,12 @@
   private outcome<T>(reply: HttpResult, parse: (raw: unknown) => T | null): StoreOutcome<T> {
     if (!reply.ok) return reply.sent ? { kind: 'unknown' } : { kind: 'refused' };
     if (reply.status === HTTP_STATUS.notFound || reply.status === HTTP_STATUS.gone) {
-      this.lastAnswerAt = monotonicNow();
+      this.lastResponseAt = monotonicNow();
       return { kind: 'gone' };
     }
     if (reply.status !== HTTP_STATUS.ok && reply.status !== HTTP_STATUS.created) return { kind: 'refused' };
     const value = parse(reply.body.length === 0 ? {} : tryDecode(reply.body));
-    this.lastAnswerAt = monotonicNow();
+    this.lastResponseAt = monotonicNow();
     return value === null ? { kind: 'unknown' } : { kind: 'ok', value };
   }
 
@@ -165,11 +165,11 @@
     switch (status) {
       case HTTP_STATUS.ok: {
         const revision = wire.parseCommitted(body);
-        this.lastAnswerAt = monotonicNow();
+        this.lastResponseAt = monotonicNow();
         return revision === null ? { kind: 'unknown' } : { kind: 'ok', revision };
       }
       case HTTP_STATUS.conflict:
-        this.lastAnswerAt = monotonicNow();
+        this.lastResponseAt = monotonicNow();
         return { kind: 'conflict', failed: wire.parseConflict(body) ?? [] };
       case HTTP_STATUS.badRequest:
         return { kind: wire.isLeaseGoneError(body) ? 'lease-gone' : 'invalid' };
--- a/src/runtime/key-value-store/list-until-answered.ts
+++ b/src/runtime/key-value-store/list-with-retry.ts
@@ -5,7 +5,7 @@
 const RETRY_MS = 200;
 
 /** Tries until the store answers; null once stopped. */
-export const listUntilAnswered = async (
+export const listWithRetry = async (
   store: KeyValueStoreClient,
   prefix: string,
   isStopped: () => boolean,
--- a/src/runtime/leadership/job-watch.ts
+++ b/src/runtime/leadership/job-watch.ts
@@ -6,7 +6,7 @@
 import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
 import { monotonicNow, sleep, wallClockNow } from '../clock.js';
 import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
-import { listUntilAnswered } from '../key-value-store/list-until-answered.js';
+import { listWithRetry } from '../key-value-store/list-with-retry.js';
 import type { Logger } from '../logger.js';
 
 const WATCH_MS = 10_000;
@@ -68,11 +68,7 @@
   /** The changes asked for are not kept any more: reads all records. */
   private async applyAll(): Promise<Revision | null> {
     const { store } = this.dependencies;
-    const listing = await listUntilAnswered(
-      store,
-      keys.activePrefix,
-      () => this.dependencies.leader() === null,
-    );
+    const listing = await listWithRetry(store, keys.activePrefix, () => this.dependencies.leader() === null);
     const leader = this.dependencies.leader();
     if (!listing || !leader) return null;
     for (const item of listing.items) this.applyRecord(leader, item, false);
--- a/src/runtime/leadership/leader-election.ts
+++ b/src/runtime/leadership/leader-election.ts
@@ -144,7 +144,7 @@
   private async probe(): Promise<never> {
     for (;;) {
       await sleep(PROBE_MS);
-      const storeIsSilent = monotonicNow() - this.dependencies.store.lastAnswerAt >= ANSWER_FRESH_MS;
+      const storeIsSilent = monotonicNow() - this.dependencies.store.lastResponseAt >= ANSWER_FRESH_MS;
       if (storeIsSilent || (!this.holdsLease && !this.knowsOtherLeader())) await this.readLeaderKey();
     }
   }
--- a/src/runtime/leadership/stored-state.ts
+++ b/src/runtime/leadership/stored-state.ts
@@ -5,7 +5,7 @@
 import type { Item } from '../../wire/key-value-store.js';
 import { keys, parseProgressRecord, parseRegistryPage } from '../../wire/stored-records.js';
 import type { KeyValueStoreClient, Listing } from '../key-value-store/key-value-store-client.js';
-import { listUntilAnswered } from '../key-value-store/list-until-answered.js';
+import { listWithRetry } from '../key-value-store/list-with-retry.js';
 import type { Logger } from '../logger.js';
 import type { JobWatch } from './job-watch.js';
 import type { LeaderRecords } from './leader-records.js';
@@ -25,9 +25,9 @@
   store: KeyValueStoreClient,
   isStopped: () => boolean,
 ): Promise<StoredState | null> => {
-  const registry = await listUntilAnswered(store, keys.registryPrefix, isStopped);
-  const jobs = await listUntilAnswered(store, keys.activePrefix, isStopped);
-  const progress = await listUntilAnswered(store, keys.progressPrefix, isStopped);
+  const registry = await listWithRetry(store, keys.registryPrefix, isStopped);
+  const jobs = await listWithRetry(store, keys.activePrefix, isStopped);
+  const progress = await listWithRetry(store, keys.progressPrefix, isStopped);
   return registry && jobs && progress && !isStopped() ? { registry, jobs, progress } : null;
 };
 
--- a/src/runtime/listeners.ts
+++ b/src/runtime/listeners.ts
@@ -4,8 +4,8 @@
 import type { PeerRequest } from '../wire/peer-messages.js';
 import type { HttpMessage } from './http/http-message.js';
 import type { HttpReply } from './http/http-reply.js';
-import { httpConnectionHandler, type HttpHandler } from './http/http-server.js';
-import { STATUS_CONNECTIONS, type SocketBudget } from './http/socket-budget.js';
+import { httpConnectionHandler, type HttpRequestHandler } from './http/http-server.js';
+import { MAX_STATUS_CONNECTIONS, type SocketBudget } from './http/socket-budget.js';
 import type { Logger } from './logger.js';
 import { servePeer } from './peers/peer-server.js';
 import { clientGroup } from './public-router.js';
@@ -30,10 +30,10 @@
 };
 
 /** For workers, users and the load balancer. */
-export const listenPublicly = (
+export const startPublicListener = (
   address: Address,
   sockets: SocketBudget,
-  handler: HttpHandler,
+  handler: HttpRequestHandler,
   log: Logger,
 ): void => {
   const limits = {
@@ -57,9 +57,9 @@
 const FRAME_FIRST_BYTE = 0;
 
 /** For peers and for the status page. */
-export const listenInternally = (address: Address, handlers: InternalHandlers, log: Logger): void => {
+export const startInternalListener = (address: Address, handlers: InternalHandlers, log: Logger): void => {
   const limits = {
-    connections: STATUS_CONNECTIONS,
+    connections: MAX_STATUS_CONNECTIONS,
     idleMs: STATUS_IDLE_MS,
     bodyBytes: STATUS_BODY_BYTES,
   };
@@ -75,5 +75,5 @@
       socket.resume();
     });
   };
-  listen(address, onConnection, STATUS_CONNECTIONS, log);
+  listen(address, onConnection, MAX_STATUS_CONNECTIONS, log);
 };
--- a/src/runtime/peers/image-locations.ts
+++ b/src/runtime/peers/image-locations.ts
@@ -49,5 +49,5 @@
   if (!leader) return;
   const locations = store.nextPage(leader.imageLocations());
   store.merge(locations, monotonicNow());
-  for (const link of links) void link.ask({ kind: 'image-locations', locations }, SHARE_TIMEOUT_MS);
+  for (const link of links) void link.sendRequest({ kind: 'image-locations', locations }, SHARE_TIMEOUT_MS);
 };
--- a/src/runtime/peers/leader-route.ts
+++ b/src/runtime/peers/leader-route.ts
@@ -9,19 +9,22 @@
 import type { PeerLink } from './peer-link.js';
 
 /** A peer gives up on the leader's response before the controller that asked gives up on the peer. */
-export const FORWARD_TIMEOUT_MS = 2000;
+export const PEER_TO_LEADER_TIMEOUT_MS = 2000;
 
 /** A way to a leader. */
 export interface LeaderRoute {
   leader: LeaderStatus;
   /** The peer in between; null when the leader is asked directly. */
-  via: NodeName | null;
-  ask: <R extends LeaderRequest>(request: R, timeoutMs: number) => Promise<PeerResponses[R['kind']] | null>;
+  forwarder: NodeName | null;
+  sendRequest: <R extends LeaderRequest>(
+    request: R,
+    timeoutMs: number,
+  ) => Promise<PeerResponses[R['kind']] | null>;
 }
 
 /** Whether both lead to the same leadership in the same way. */
 export const sameRoute = (a: LeaderRoute, b: LeaderRoute): boolean =>
-  a.leader.node === b.leader.node && a.leader.term === b.leader.term && a.via === b.via;
+  a.leader.node === b.leader.node && a.leader.term === b.leader.term && a.forwarder === b.forwarder;
 
 const directRoute = (link: PeerLink): LeaderRoute | null => {
   const { status } = link;
@@ -29,8 +32,8 @@
   const { node, term, leading, holdsLease } = status;
   return {
     leader: { node, term, leading, holdsLease },
-    via: null,
-    ask: (request, timeoutMs) => link.ask(request, timeoutMs),
+    forwarder: null,
+    sendRequest: (request, timeoutMs) => link.sendRequest(request, timeoutMs),
   };
 };
 
@@ -39,9 +42,9 @@
   if (leader === null) return null;
   return {
     leader,
-    via: link.name,
-    ask: async <R extends LeaderRequest>(request: R, timeoutMs: number) => {
-      const raw = await link.ask({ kind: 'forward', to: leader.node, request }, timeoutMs);
+    forwarder: link.name,
+    sendRequest: async <R extends LeaderRequest>(request: R, timeoutMs: number) => {
+      const raw = await link.sendRequest({ kind: 'forward', to: leader.node, request }, timeoutMs);
       const kind: R['kind'] = request.kind;
       const response = raw === null ? null : parsePeerResponse(kind, raw);
       return response?.ok ? response.value : null;
@@ -72,6 +75,6 @@
   /** What this controller tells its peers: only a leader that it reaches directly, so that no request goes in a circle. */
   directlyReachableLeader(minTerm: Term, now: MonotonicTime): LeaderStatus | null {
     const route = this.find(minTerm, now);
-    return route?.via === null ? route.leader : null;
+    return route?.forwarder === null ? route.leader : null;
   }
 }
--- a/src/runtime/peers/peer-handler.ts
+++ b/src/runtime/peers/peer-handler.ts
@@ -17,7 +17,7 @@
 import type { UserApi } from '../users/user-api.js';
 import type { HeartbeatHandler } from '../workers/heartbeat-handler.js';
 import type { ImageLocationStore } from './image-locations.js';
-import { FORWARD_TIMEOUT_MS } from './leader-route.js';
+import { PEER_TO_LEADER_TIMEOUT_MS } from './leader-route.js';
 import type { PeerLink } from './peer-link.js';
 
 /** What answers are made of. */
@@ -57,7 +57,7 @@
   constructor(private readonly dependencies: PeerHandlerDependencies) {}
 
   /** The response in its encoded form. */
-  async answer(request: PeerRequest): Promise<unknown> {
+  async handle(request: PeerRequest): Promise<unknown> {
     const handle = this.handlers[request.kind] as (request: PeerRequest) => unknown;
     return encodePeerResponse(request.kind, (await handle(request)) as never);
   }
@@ -99,7 +99,9 @@
   private async forward({ to, request }: RequestOf<'forward'>): Promise<unknown> {
     const now = monotonicNow();
     const link = this.dependencies.links.find((peer) => peer.name === to && peer.isAlive(now));
-    return link ? encodePeerResponse(request.kind, await link.ask(request, FORWARD_TIMEOUT_MS)) : null;
+    return link
+      ? encodePeerResponse(request.kind, await link.sendRequest(request, PEER_TO_LEADER_TIMEOUT_MS))
+      : null;
   }
 
   private async onUserRequest({
--- a/src/runtime/peers/peer-link.ts
+++ b/src/runtime/peers/peer-link.ts
@@ -25,7 +25,7 @@
 /** What each heartbeat asks a peer about cancellations, and where its answer goes. */
 export interface CancellationExchange {
   positionOf: (peer: NodeName) => CancellationLogPosition | null;
-  onPeerPage: (peer: NodeName, page: CancellationLogPage, askedAt: MonotonicTime) => void;
+  onPeerPage: (peer: NodeName, page: CancellationLogPage, requestedAt: MonotonicTime) => void;
   onMalformedPage: (peer: NodeName, cause: string) => void;
 }
 
@@ -86,8 +86,11 @@
   }
 
   /** Null without a response in time, or with one of another shape. */
-  async ask<R extends PeerRequest>(request: R, timeoutMs: number): Promise<PeerResponses[R['kind']] | null> {
-    const raw = await this.send(request, timeoutMs);
+  async sendRequest<R extends PeerRequest>(
+    request: R,
+    timeoutMs: number,
+  ): Promise<PeerResponses[R['kind']] | null> {
+    const raw = await this.sendEncoded(request, timeoutMs);
     if (raw === null || raw === undefined) return null;
     const kind: R['kind'] = request.kind;
     const response = parsePeerResponse(kind, raw);
@@ -96,7 +99,7 @@
     return null;
   }
 
-  private send(request: PeerRequest, timeoutMs: number): Promise<unknown> {
+  private sendEncoded(request: PeerRequest, timeoutMs: number): Promise<unknown> {
     const { connection, pending } = this;
     // Heartbeats pass: a link full of other requests is not a dead one.
     const full = pending.isFull && request.kind !== 'heartbeat';
@@ -108,9 +111,9 @@
     if (this.heartbeatPending) return;
     this.heartbeatPending = true;
     const { ownStatus, onStatus, cancellations } = this.dependencies;
-    const askedAt = monotonicNow();
+    const requestedAt = monotonicNow();
     const logPosition = cancellations.positionOf(this.name);
-    const response = await this.ask(
+    const response = await this.sendRequest(
       { kind: 'heartbeat', status: ownStatus(), logPosition },
       DETECTION_TIMEOUT_MS,
     );
@@ -123,7 +126,7 @@
     this.status = response.status;
     onStatus(response.status);
     const page = parseLogPage(response.cancellationPage);
-    if (page.ok) cancellations.onPeerPage(this.name, page.value, askedAt);
+    if (page.ok) cancellations.onPeerPage(this.name, page.value, requestedAt);
     else cancellations.onMalformedPage(this.name, page.cause);
   }
 
--- a/src/runtime/peers/peer-server.ts
+++ b/src/runtime/peers/peer-server.ts
@@ -3,7 +3,7 @@
 import { parsePeerRequest, type PeerRequest } from '../../wire/peer-messages.js';
 import { encodeResponseFrame, FrameReader, type Frame } from './frame-codec.js';
 import { FrameWriter } from './frame-writer.js';
-import { MAX_OPEN_REQUESTS } from './pending-requests.js';
+import { MAX_PENDING_REQUESTS } from './pending-requests.js';
 
 /** Responses are given in their encoded form. */
 export const servePeer = (
@@ -22,7 +22,7 @@
       return;
     }
     // A peer that asks faster than it can be answered gets no response; its heartbeats pass.
-    if (openRequests >= MAX_OPEN_REQUESTS && request.value.kind !== 'heartbeat') return;
+    if (openRequests >= MAX_PENDING_REQUESTS && request.value.kind !== 'heartbeat') return;
     openRequests++;
     void handle(request.value).then((response) => {
       openRequests--;
--- a/src/runtime/peers/pending-requests.ts
+++ b/src/runtime/peers/pending-requests.ts
@@ -3,7 +3,7 @@
 import type { FrameWriter } from './frame-writer.js';
 
 /** Enough for the heartbeats of a large cluster while the leader pauses for as long as a forwarded one waits. */
-export const MAX_OPEN_REQUESTS = 1024;
+export const MAX_PENDING_REQUESTS = 1024;
 
 /** Matches responses to requests by their ids. */
 export class PendingRequests {
@@ -12,7 +12,7 @@
 
   /** So many await a response that others are not to be sent. */
   get isFull(): boolean {
-    return this.waiting.size >= MAX_OPEN_REQUESTS;
+    return this.waiting.size >= MAX_PENDING_REQUESTS;
   }
 
   /** Sends a request in its encoded form; null without a response in time. */
--- a/src/runtime/peers/task-counts.ts
+++ b/src/runtime/peers/task-counts.ts
@@ -15,17 +15,17 @@
   ) {}
 
   /** Null where this controller doesn't lead, or doesn't know the job. */
-  ownCounts(id: JobId): TaskCounts | null {
+  localCounts(id: JobId): TaskCounts | null {
     const job = this.leadership.leader?.jobs.get(id);
     return job ? { done: job.completedCount, running: job.runningCount } : null;
   }
 
   /** Null without a leader in reach. */
-  async counts(id: JobId): Promise<TaskCounts | null> {
-    if (this.leadership.leaderLoop) return this.ownCounts(id);
+  async find(id: JobId): Promise<TaskCounts | null> {
+    if (this.leadership.leaderLoop) return this.localCounts(id);
     const now = monotonicNow();
     const leader = this.links.find((link) => link.isAlive(now) && link.status?.leading);
-    const response = await leader?.ask({ kind: 'task-counts', job: id }, TIMEOUT_MS);
+    const response = await leader?.sendRequest({ kind: 'task-counts', job: id }, TIMEOUT_MS);
     return response?.counts ?? null;
   }
 }
--- a/src/runtime/users/job-lookup.ts
+++ b/src/runtime/users/job-lookup.ts
@@ -12,17 +12,17 @@
   | { kind: 'active'; record: JobRecord; revision: Revision }
   | { kind: 'final'; record: FinalRecord }
   /** A record that can't be read: its job was accepted, and nothing else is known of it. */
-  | { kind: 'damaged' }
-  | { kind: 'none' }
-  | { kind: 'undecided' };
+  | { kind: 'malformed' }
+  | { kind: 'not-found' }
+  | { kind: 'unknown' };
 
 /** Whether jobs were accepted, at whichever controller; the first that was not is named. */
-export type AcceptanceResult = { kind: 'accepted' } | { kind: 'undecided' } | { kind: 'missing'; job: JobId };
+export type AcceptanceResult = { kind: 'accepted' } | { kind: 'unknown' } | { kind: 'missing'; job: JobId };
 
 type DependencyState =
   | { kind: 'cancelled' }
   | { kind: 'done' }
-  | { kind: 'undecided' }
+  | { kind: 'unknown' }
   | { kind: 'pending'; dependsOn: readonly JobId[] };
 
 /** The part of the feed that says what is known of other jobs without asking. */
@@ -49,13 +49,13 @@
     const active = await this.store.get(keys.active(id));
     if (active.kind === 'ok') {
       const record = parseJobRecord(active.value.data);
-      return record ? { kind: 'active', record, revision: active.value.revision } : { kind: 'damaged' };
+      return record ? { kind: 'active', record, revision: active.value.revision } : { kind: 'malformed' };
     }
-    if (active.kind !== 'gone') return { kind: 'undecided' };
+    if (active.kind !== 'gone') return { kind: 'unknown' };
     const final = await this.store.get(keys.final(id));
-    if (final.kind === 'gone') return { kind: 'none' };
+    if (final.kind === 'gone') return { kind: 'not-found' };
     const record = final.kind === 'ok' ? parseFinalRecord(final.value.data) : null;
-    if (!record) return { kind: 'undecided' };
+    if (!record) return { kind: 'unknown' };
     this.keepFinalRecord(id, record);
     return { kind: 'final', record };
   }
@@ -67,8 +67,8 @@
     );
     for (const id of unknown) {
       const found = await this.find(id);
-      if (found.kind === 'undecided') return { kind: 'undecided' };
-      if (found.kind === 'none') return { kind: 'missing', job: id };
+      if (found.kind === 'unknown') return { kind: 'unknown' };
+      if (found.kind === 'not-found') return { kind: 'missing', job: id };
     }
     return { kind: 'accepted' };
   }
@@ -77,14 +77,14 @@
    * Whether a job that the job depends on, directly or through others, is cancelled. What the feed says of jobs that
    * are not over counts only while it is fresh: after an outage it may have missed a cancellation for too long.
    */
-  async dependencyCancelled(dependsOn: readonly JobId[]): Promise<boolean | 'undecided'> {
+  async dependencyCancelled(dependsOn: readonly JobId[]): Promise<boolean | 'unknown'> {
     const feedIsFresh = this.known.isFresh();
     const visited = new Set<JobId>(dependsOn);
     const toVisit = [...dependsOn];
     for (let id = toVisit.pop(); id !== undefined; id = toVisit.pop()) {
       const state = await this.dependencyState(id, feedIsFresh);
       if (state.kind === 'cancelled') return true;
-      if (state.kind === 'undecided') return 'undecided';
+      if (state.kind === 'unknown') return 'unknown';
       if (state.kind === 'done') continue;
       for (const next of state.dependsOn) {
         if (visited.has(next)) continue;
@@ -104,7 +104,7 @@
     }
     const found = await this.find(id);
     if (found.kind === 'final') return { kind: found.record.state };
-    if (found.kind !== 'active') return { kind: 'undecided' };
+    if (found.kind !== 'active') return { kind: 'unknown' };
     if (found.record.cancelledAt !== null) return { kind: 'cancelled' };
     return { kind: 'pending', dependsOn: found.record.spec.dependsOn };
   }
--- a/src/runtime/users/submission-check.ts
+++ b/src/runtime/users/submission-check.ts
@@ -7,7 +7,7 @@
 
 /** Undecided while the machine types are unknown. */
 export type SubmissionCheck =
-  { kind: 'runnable' } | { kind: 'undecided' } | { kind: 'never-runnable'; cause: string };
+  { kind: 'runnable' } | { kind: 'unknown' } | { kind: 'never-runnable'; cause: string };
 
 const neverRunnable = (cause: string): SubmissionCheck => ({ kind: 'never-runnable', cause });
 
@@ -21,7 +21,7 @@
   const tasksAtOnce = spec.kind === 'array' ? 1 : spec.tasks;
   const need = { cpus: spec.cpus * tasksAtOnce, gpus: spec.gpus * tasksAtOnce, memoryGb: 0 };
   if (!withinTeamLimit(need, undefined, team)) return neverRunnable("more than the team's limit");
-  if (types.length === 0) return { kind: 'undecided' };
+  if (types.length === 0) return { kind: 'unknown' };
   if (!fitsSomeType(spec, types)) return neverRunnable('a task fits no allowed machine type');
   if (!canBeSpread(spec, types)) return neverRunnable('its tasks can not be spread over the allowed zones');
   return { kind: 'runnable' };
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -16,7 +16,7 @@
 import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import { JobLookup, type JobLookupResult, type KnownJobs } from './job-lookup.js';
 import { checkSubmission } from './submission-check.js';
-import { jobState, refused, unavailable } from './user-replies.js';
+import { jobStatusReply, errorReply, unavailableReply } from './user-replies.js';
 import { HTTP_STATUS } from '../http/http-status.js';
 
 const JOBS_PATH = '/v1/jobs';
@@ -33,7 +33,7 @@
   /** The numbers of a job's tasks; null where nobody can tell. */
   taskCounts: (id: JobId) => Promise<StatusCounts | null>;
   /** A user is about to be told that this job, whose tasks may still be there, is cancelled. */
-  onCancellationTold: (id: JobId) => void;
+  onCancellationReported: (id: JobId) => void;
   knownJobs: KnownJobs;
 }
 
@@ -53,38 +53,38 @@
     if (path === JOBS_PATH) {
       return request.method === 'POST'
         ? this.submit(request.body)
-        : refused(HTTP_STATUS.methodNotAllowed, 'use POST');
+        : errorReply(HTTP_STATUS.methodNotAllowed, 'use POST');
     }
     const match = JOB_PATH.exec(path);
-    if (!match) return refused(HTTP_STATUS.notFound, 'no such path');
+    if (!match) return errorReply(HTTP_STATUS.notFound, 'no such path');
     const id = match[1];
     const abort = match[2] !== undefined;
     if (request.method !== (abort ? 'POST' : 'GET'))
-      return refused(HTTP_STATUS.methodNotAllowed, abort ? 'use POST' : 'use GET');
-    if (!isJobId(id)) return refused(HTTP_STATUS.notFound, 'no such job');
-    return abort ? this.abort(id) : this.status(id);
+      return errorReply(HTTP_STATUS.methodNotAllowed, abort ? 'use POST' : 'use GET');
+    if (!isJobId(id)) return errorReply(HTTP_STATUS.notFound, 'no such job');
+    return abort ? this.cancel(id) : this.status(id);
   }
 
   private async submit(body: Buffer): Promise<HttpReply> {
     const raw = tryDecode(body);
     if (typeof raw !== 'object' || raw === null || Array.isArray(raw))
-      return refused(HTTP_STATUS.badRequest, 'expected a CBOR map');
+      return errorReply(HTTP_STATUS.badRequest, 'expected a CBOR map');
     const parsed = parseJob(raw);
-    if (!parsed.ok) return this.unlessKnown(raw, refused(HTTP_STATUS.badRequest, parsed.cause));
+    if (!parsed.ok) return this.rejectUnlessAccepted(raw, errorReply(HTTP_STATUS.badRequest, parsed.cause));
     const spec = parsed.value;
     const check = checkSubmission(spec, this.teams.get(spec.team), this.dependencies.machineTypes());
-    if (check.kind === 'undecided') return unavailable('machine types not known yet');
+    if (check.kind === 'unknown') return unavailableReply('machine types not known yet');
     if (check.kind === 'never-runnable')
-      return this.unlessKnown(raw, refused(HTTP_STATUS.unprocessable, check.cause));
+      return this.rejectUnlessAccepted(raw, errorReply(HTTP_STATUS.unprocessable, check.cause));
     const final = this.jobs.cachedFinalRecord(spec.id);
-    if (final) return jobState(spec.id, final.state);
-    const refusal = await this.refuseDependencies(spec);
+    if (final) return jobStatusReply(spec.id, final.state);
+    const refusal = await this.rejectDependencies(spec);
     if (refusal)
-      return refusal.status === HTTP_STATUS.unprocessable ? this.unlessKnown(raw, refusal) : refusal;
+      return refusal.status === HTTP_STATUS.unprocessable ? this.rejectUnlessAccepted(raw, refusal) : refusal;
     const record: JobRecord = { spec, submittedAt: wallClockNow(), cancelledAt: null };
     const largest = jobRecordData({ ...record, cancelledAt: record.submittedAt });
     if (!fitsValue(largest, this.maxValueKb))
-      return this.unlessKnown(raw, refused(HTTP_STATUS.badRequest, 'job description too large'));
+      return this.rejectUnlessAccepted(raw, errorReply(HTTP_STATUS.badRequest, 'job description too large'));
     return this.create(record);
   }
 
@@ -97,64 +97,65 @@
       ],
       changes: [{ put: keys.active(id), data: jobRecordData(record) }],
     });
-    if (result.kind === 'ok') return jobState(id, 'pending', undefined, HTTP_STATUS.created);
+    if (result.kind === 'ok') return jobStatusReply(id, 'pending', undefined, HTTP_STATUS.created);
     if (result.kind === 'refused' || result.kind === 'lease-gone' || result.kind === 'invalid')
-      return unavailable('state service refuses');
+      return unavailableReply('state service refuses');
     // Known already, or the answer was lost: what is recorded decides.
     const known = await this.jobs.find(id);
-    if (known.kind === 'none' || known.kind === 'undecided') return unavailable('not certain to be recorded');
-    return this.describe(id, known);
+    if (known.kind === 'not-found' || known.kind === 'unknown')
+      return unavailableReply('not certain to be recorded');
+    return this.statusReply(id, known);
   }
 
   /** Null if every job that the job depends on was accepted. */
-  private async refuseDependencies({ id, dependsOn }: JobSpec): Promise<HttpReply | null> {
+  private async rejectDependencies({ id, dependsOn }: JobSpec): Promise<HttpReply | null> {
     if (dependsOn.length === 0) return null;
-    if (dependsOn.includes(id)) return refused(HTTP_STATUS.unprocessable, 'awaits itself');
+    if (dependsOn.includes(id)) return errorReply(HTTP_STATUS.unprocessable, 'awaits itself');
     const accepted = await this.jobs.checkAccepted(dependsOn);
     switch (accepted.kind) {
       case 'accepted':
         return null;
-      case 'undecided':
-        return unavailable('state service does not answer');
+      case 'unknown':
+        return unavailableReply('state service does not answer');
       case 'missing':
-        return refused(HTTP_STATUS.unprocessable, `awaits ${accepted.job}, which was never accepted`);
+        return errorReply(HTTP_STATUS.unprocessable, `awaits ${accepted.job}, which was never accepted`);
     }
   }
 
   /** An accepted job is never refused when it is submitted again, whatever has changed since. */
-  private async unlessKnown(raw: object, refusal: HttpReply): Promise<HttpReply> {
+  private async rejectUnlessAccepted(raw: object, refusal: HttpReply): Promise<HttpReply> {
     const id = submittedJobId(raw);
     if (id === null) return refusal;
     const known = await this.jobs.find(id);
-    if (known.kind === 'undecided') return unavailable('state service does not answer');
-    return known.kind === 'none' ? refusal : this.describe(id, known);
+    if (known.kind === 'unknown') return unavailableReply('state service does not answer');
+    return known.kind === 'not-found' ? refusal : this.statusReply(id, known);
   }
 
   private async status(id: JobId): Promise<HttpReply> {
     const found = await this.jobs.find(id);
-    if (found.kind === 'none') return refused(HTTP_STATUS.notFound, 'no such job');
-    if (found.kind === 'undecided') return unavailable('state service does not answer');
-    return this.describe(id, found);
+    if (found.kind === 'not-found') return errorReply(HTTP_STATUS.notFound, 'no such job');
+    if (found.kind === 'unknown') return unavailableReply('state service does not answer');
+    return this.statusReply(id, found);
   }
 
-  private async describe(id: JobId, found: JobLookupResult): Promise<HttpReply> {
+  private async statusReply(id: JobId, found: JobLookupResult): Promise<HttpReply> {
     if (found.kind === 'final')
-      return jobState(id, found.record.state, { done: found.record.tasks, running: 0 });
-    if (found.kind === 'damaged') return jobState(id, 'pending', NO_COUNTS);
-    if (found.kind !== 'active') return unavailable('not certain');
-    if (found.record.cancelledAt !== null) return this.describeCancelled(id);
+      return jobStatusReply(id, found.record.state, { done: found.record.tasks, running: 0 });
+    if (found.kind === 'malformed') return jobStatusReply(id, 'pending', NO_COUNTS);
+    if (found.kind !== 'active') return unavailableReply('not certain');
+    if (found.record.cancelledAt !== null) return this.reportCancelled(id);
     const cancelled = await this.jobs.dependencyCancelled(found.record.spec.dependsOn);
-    if (cancelled === 'undecided') return unavailable('state service does not answer');
+    if (cancelled === 'unknown') return unavailableReply('state service does not answer');
     // Recorded before it is told, so that no controller answers anything older afterwards.
     if (cancelled) return this.recordCancelled(id, found);
     const counts = (await this.dependencies.taskCounts(id)) ?? NO_COUNTS;
     const status: UserStatus = counts.running > 0 ? 'running' : 'pending';
-    return jobState(id, status, counts);
+    return jobStatusReply(id, status, counts);
   }
 
-  private async abort(id: JobId): Promise<HttpReply> {
+  private async cancel(id: JobId): Promise<HttpReply> {
     const found = await this.jobs.find(id);
-    if (found.kind === 'none') return refused(HTTP_STATUS.notFound, 'no such job');
+    if (found.kind === 'not-found') return errorReply(HTTP_STATUS.notFound, 'no such job');
     return this.recordCancelled(id, found);
   }
 
@@ -162,9 +163,9 @@
   private async recordCancelled(id: JobId, first: JobLookupResult): Promise<HttpReply> {
     let found = first;
     for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
-      if (found.kind === 'final') return jobState(id, found.record.state);
-      if (found.kind !== 'active') return unavailable('not certain');
-      if (found.record.cancelledAt !== null) return this.describeCancelled(id);
+      if (found.kind === 'final') return jobStatusReply(id, found.record.state);
+      if (found.kind !== 'active') return unavailableReply('not certain');
+      if (found.record.cancelledAt !== null) return this.reportCancelled(id);
       const record = this.cancelledRecord(found.record);
       const result = await this.dependencies.store.transact(
         {
@@ -173,11 +174,12 @@
         },
         budgetReserves.urgent,
       );
-      if (result.kind === 'ok') return this.describeCancelled(id);
-      if (result.kind === 'refused' || result.kind === 'invalid') return unavailable('state service refuses');
+      if (result.kind === 'ok') return this.reportCancelled(id);
+      if (result.kind === 'refused' || result.kind === 'invalid')
+        return unavailableReply('state service refuses');
       found = await this.jobs.find(id);
     }
-    return unavailable('not certain to be recorded');
+    return unavailableReply('not certain to be recorded');
   }
 
   /**
@@ -190,9 +192,9 @@
     return { ...cancelled, spec: { ...record.spec, types: null } };
   }
 
-  private describeCancelled(id: JobId): HttpReply {
-    this.dependencies.onCancellationTold(id);
-    return jobState(id, 'cancelled', NO_COUNTS);
+  private reportCancelled(id: JobId): HttpReply {
+    this.dependencies.onCancellationReported(id);
+    return jobStatusReply(id, 'cancelled', NO_COUNTS);
   }
 
   private get maxValueKb(): number {
--- a/src/runtime/users/user-replies.ts
+++ b/src/runtime/users/user-replies.ts
@@ -8,7 +8,7 @@
 const RETRY_AFTER_S = 1;
 
 /** Nothing certain can be said now: the user is to come back. */
-export const unavailable = (cause: string): HttpReply => ({
+export const unavailableReply = (cause: string): HttpReply => ({
   status: HTTP_STATUS.unavailable,
   retryAfterS: RETRY_AFTER_S,
   refusalCause: cause,
@@ -16,13 +16,13 @@
 });
 
 /** The request is refused for good. */
-export const refused = (status: number, cause: string): HttpReply => ({
+export const errorReply = (status: number, cause: string): HttpReply => ({
   status,
   body: encode({ error: cause }),
 });
 
 /** The state of a job. */
-export const jobState = (
+export const jobStatusReply = (
   id: JobId,
   state: UserStatus,
   counts?: StatusCounts,
--- a/src/runtime/users/user-request-handler.ts
+++ b/src/runtime/users/user-request-handler.ts
@@ -64,7 +64,10 @@
     const peer = links.find((link) => link.isAlive(now) && link.status?.storeAvailable);
     if (!peer) return own;
     const { method, target, body } = request;
-    const response = await peer.ask({ kind: 'user-request', method, target, body }, FORWARD_TIMEOUT_MS);
+    const response = await peer.sendRequest(
+      { kind: 'user-request', method, target, body },
+      FORWARD_TIMEOUT_MS,
+    );
     return response === null ? own : replyOf(response);
   }
 
--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -218,7 +218,10 @@
       this.unchangedHeartbeats.tryConfirmUnchanged(heartbeat, route)
     )
       return answered('confirmed unchanged', heartbeatReply(term, []));
-    const answer = await route.ask({ kind: 'forwarded-heartbeat', heartbeat: body }, FORWARD_TIMEOUT_MS);
+    const answer = await route.sendRequest(
+      { kind: 'forwarded-heartbeat', heartbeat: body },
+      FORWARD_TIMEOUT_MS,
+    );
     // One without authority may not be able to answer for the worker; then we may.
     if (answer && (answer.status === HTTP_STATUS.ok || leading)) {
       const { status, body: replyBody, inSync } = answer;
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -113,7 +113,7 @@
   ): Promise<{ reporting: Set<string>; allPeersAnswered: boolean }> {
     const answers = await Promise.all(
       this.dependencies.links.map((link) =>
-        link.ask({ kind: 'recent-heartbeats', machines }, ASK_TIMEOUT_MS),
+        link.sendRequest({ kind: 'recent-heartbeats', machines }, ASK_TIMEOUT_MS),
       ),
     );
     return {
--- a/src/runtime/workers/unchanged-heartbeats.ts
+++ b/src/runtime/workers/unchanged-heartbeats.ts
@@ -65,7 +65,7 @@
     const { batchRoute: route, batch } = this;
     this.batch = new Map();
     if (!route || batch.size === 0) return;
-    const answer = await route.ask(
+    const answer = await route.sendRequest(
       { kind: 'unchanged-heartbeats', term: route.leader.term, heartbeats: [...batch.values()] },
       BATCH_TIMEOUT_MS,
     );
--- a/src/test/mutations-pipelines.test.ts
+++ b/src/test/mutations-pipelines.test.ts
@@ -54,8 +54,8 @@
   t.mock.method(
     UserApi.prototype as unknown as { recordCancelled: () => unknown },
     'recordCancelled',
-    function (this: { describeCancelled: (id: JobId) => unknown }, ...[id]: unknown[]) {
-      return Promise.resolve(this.describeCancelled(id as JobId));
+    function (this: { reportCancelled: (id: JobId) => unknown }, ...[id]: unknown[]) {
+      return Promise.resolve(this.reportCancelled(id as JobId));
     },
   );
   // As for a controller that has not received a cancellation yet: the others know no more than the records say.
--- a/src/test/sim/heartbeat-handler-fixtures.ts
+++ b/src/test/sim/heartbeat-handler-fixtures.ts
@@ -60,7 +60,7 @@
     },
     isAlive: () => environment.linkAlive,
     refusesConnections: () => environment.linkRefuses,
-    ask: () => {
+    sendRequest: () => {
       environment.forwardedCount++;
       return Promise.resolve({ status: 200, body: encode({ reins: TERM, calls: [] }) });
     },
@@ -134,7 +134,7 @@
     status: { ...leaderStatus, receivesHeartbeats: true },
     isAlive: () => true,
     refusesConnections: () => false,
-    ask: (request: PeerRequest) => {
+    sendRequest: (request: PeerRequest) => {
       requests.push(request.kind);
       if (!environment.linkAlive) return Promise.resolve(null);
       return Promise.resolve(answerFollower(environment.leader, request, environment.now as MonotonicTime));
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -96,7 +96,7 @@
       store: store as unknown as KeyValueStoreClient,
       machineTypes: () => machineTypes,
       taskCounts: () => Promise.resolve(null),
-      onCancellationTold: (id) => confirmed.push(id),
+      onCancellationReported: (id) => confirmed.push(id),
       knownJobs: known,
     });
   const call = async (api: UserApi, method: string, target: string, body?: unknown): Promise<string> => {
