--- a/src/runtime/cloud/cloud-provider-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -21,27 +21,28 @@
 const REQUEST_TIMEOUT_MS = 3000;
 const MAX_CONNECTIONS = 6;
 const MAX_IDLE_MS = 20_000;
-const BUDGET_FRACTION = 0.85;
-const BURST_S = 1.5;
+const RATE_LIMIT_FRACTION = 0.85;
+const BURST_DURATION_S = 1.5;
 /** What reads leave in the budget: scale-out and scale-in go first. */
-const RESERVED_FOR_CHANGES = 1;
-const PAGE_SIZE = 500;
-const PAGE_ATTEMPTS = 5;
-const PAGE_RETRY_MS = 400;
+const TOKENS_RESERVED_FOR_CHANGES = 1;
+const MACHINES_PER_PAGE = 500;
+const MAX_PAGE_ATTEMPTS = 5;
+const PAGE_RETRY_DELAY_MS = 400;
 const NO_CAPACITY_ERROR = 'no capacity';
 
 /** Lists machine types and machines, creates and deletes machines. */
 export class CloudProviderClient {
   private readonly http: HttpClient;
   private readonly budget: TokenBucket;
-  private readonly reservedForChanges: number;
+  private readonly tokensReservedForChanges: number;
 
   constructor(platform: PlatformSettings) {
     this.http = new HttpClient(platform.cloudProvider, MAX_CONNECTIONS, MAX_IDLE_MS);
-    const rate = platform.cloudProviderLimits.rps * BUDGET_FRACTION;
-    const burst = Math.max(1, rate * BURST_S);
+    const rate = platform.cloudProviderLimits.rps * RATE_LIMIT_FRACTION;
+    const burst = Math.max(1, rate * BURST_DURATION_S);
     this.budget = new TokenBucket(rate, burst, monotonicNow());
-    this.reservedForChanges = burst >= 2 * RESERVED_FOR_CHANGES ? RESERVED_FOR_CHANGES : 0;
+    this.tokensReservedForChanges =
+      burst >= 2 * TOKENS_RESERVED_FOR_CHANGES ? TOKENS_RESERVED_FOR_CHANGES : 0;
   }
 
   /** The machine types on offer; null while the cloud doesn't answer. */
@@ -89,9 +90,9 @@
 
   /** A page that is refused is asked for again: under a tight budget no list would ever be complete otherwise. */
   private async readPage(after: MachineId | null): Promise<wire.MachineListPage | null> {
-    const target = wire.listMachinesTarget(after, PAGE_SIZE);
-    for (let attempt = 0; attempt < PAGE_ATTEMPTS; attempt++) {
-      if (attempt > 0) await sleep(PAGE_RETRY_MS);
+    const target = wire.listMachinesTarget(after, MACHINES_PER_PAGE);
+    for (let attempt = 0; attempt < MAX_PAGE_ATTEMPTS; attempt++) {
+      if (attempt > 0) await sleep(PAGE_RETRY_DELAY_MS);
       const page = await this.read(target, wire.parseMachines);
       // Before the first page there is nothing to lose.
       if (page || after === null) return page;
@@ -100,7 +101,7 @@
   }
 
   private async read<T>(target: string, parse: (raw: unknown) => T | null): Promise<T | null> {
-    if (!this.budget.take(1, monotonicNow(), this.reservedForChanges)) return null;
+    if (!this.budget.take(1, monotonicNow(), this.tokensReservedForChanges)) return null;
     const result = await this.http.request('GET', target, null, REQUEST_TIMEOUT_MS);
     return result.ok && result.status === HTTP_STATUS.ok ? parse(tryDecode(result.body)) : null;
   }
--- a/src/runtime/cloud/machine-type-catalog.ts
+++ b/src/runtime/cloud/machine-type-catalog.ts
@@ -40,10 +40,10 @@
 
   /** Begins to read the machine types, and goes on for good. */
   start(): void {
-    void this.refreshForever();
+    void this.refreshPeriodically();
   }
 
-  private async refreshForever(): Promise<void> {
+  private async refreshPeriodically(): Promise<void> {
     for (;;) {
       await this.refresh();
       await sleep(this.current.length === 0 ? RETRY_INTERVAL_MS : REFRESH_INTERVAL_MS);
@@ -57,10 +57,10 @@
     }
     const { cloud, election } = this.dependencies;
     if (this.current.length > 0 && !election.holdsLease) return;
-    const offered = await cloud.listMachineTypes();
-    if (!offered || offered.length === 0) return;
-    this.setTypes(offered);
-    await this.save(offered);
+    const listed = await cloud.listMachineTypes();
+    if (!listed || listed.length === 0) return;
+    this.setTypes(listed);
+    await this.save(listed);
   }
 
   private setTypes(types: MachineType[]): void {
--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -29,16 +29,16 @@
 import { HeartbeatHandler } from './workers/heartbeat-handler.js';
 import { LeaderlessFencing } from './workers/leaderless-fencing.js';
 
-const MAX_USER_REQUESTS = 32;
-const RESERVED_USER_REQUESTS = 8;
-const IMAGE_LOCATIONS_MS = 1000;
-const FENCING_CHECK_MS = 1000;
-const REACHABILITY_CHECK_MS = 500;
+const MAX_CONCURRENT_USER_REQUESTS = 32;
+const RESERVED_RETRY_REQUESTS = 8;
+const IMAGE_LOCATIONS_INTERVAL_MS = 1000;
+const FENCING_CHECK_INTERVAL_MS = 1000;
+const REACHABILITY_CHECK_INTERVAL_MS = 500;
 
 /** Processes that start at the same time draw other numbers. */
-const PROCESS_ID_SHIFT = 16;
+const PROCESS_ID_SHIFT_BITS = 16;
 const createRandom = (): (() => number) => {
-  const generator = xoroshiro128plus((wallClockNow() ^ (process.pid << PROCESS_ID_SHIFT)) | 0);
+  const generator = xoroshiro128plus((wallClockNow() ^ (process.pid << PROCESS_ID_SHIFT_BITS)) | 0);
   return () => uniformFloat64(generator);
 };
 
@@ -50,7 +50,7 @@
   private readonly cloud: CloudProviderClient;
   private readonly links: PeerLink[] = [];
   private readonly imageLocations = new ImageLocationStore();
-  private readonly admission = new AdmissionControl(MAX_USER_REQUESTS, RESERVED_USER_REQUESTS);
+  private readonly admission = new AdmissionControl(MAX_CONCURRENT_USER_REQUESTS, RESERVED_RETRY_REQUESTS);
   private readonly userLatency = new RequestLatency();
   private readonly heartbeatLatency = new RequestLatency();
   private readonly election: LeaderElection;
@@ -99,13 +99,13 @@
     for (const link of this.links) link.start();
     this.election.start();
     this.cancellations.start();
-    setInterval(() => void this.leaderlessFencing.check(), FENCING_CHECK_MS);
+    setInterval(() => void this.leaderlessFencing.check(), FENCING_CHECK_INTERVAL_MS);
     this.machineTypes.start();
     setInterval(
       () => shareImageLocations(this.leadership.leader, this.imageLocations, this.links),
-      IMAGE_LOCATIONS_MS,
+      IMAGE_LOCATIONS_INTERVAL_MS,
     );
-    setInterval(() => this.leadership.resignIfUnreachable(), REACHABILITY_CHECK_MS);
+    setInterval(() => this.leadership.resignIfUnreachable(), REACHABILITY_CHECK_INTERVAL_MS);
     for (const warning of platformWarnings(this.platform)) this.log.info({ warning }, 'settings');
     this.log.info({ zone: this.platform.zone }, 'started');
   }
@@ -201,7 +201,7 @@
       ownStatus: () => this.peerStatus.ownStatus(),
       onStatus: (status) => this.peerStatus.onPeerStatus(status),
       cancellations: this.cancellations,
-      onMalformed: (name, cause) => this.logMalformed(name, cause),
+      onMalformed: (name, cause) => this.logMalformedPeerMessage(name, cause),
     });
   }
 
@@ -221,7 +221,7 @@
       {
         statusPage: (request) => statusPage.handle(request),
         peerRequest: (request) => peerHandler.handle(request),
-        onMalformedPeerRequest: (cause) => this.logMalformed(null, cause),
+        onMalformedPeerRequest: (cause) => this.logMalformedPeerMessage(null, cause),
       },
       log,
     );
@@ -263,7 +263,7 @@
     });
   }
 
-  private logMalformed(peer: NodeName | null, cause: string): void {
+  private logMalformedPeerMessage(peer: NodeName | null, cause: string): void {
     this.log.rateLimited('peer-message', 'info', { peer, cause }, 'malformed message of a peer dropped');
   }
 }
--- a/src/runtime/health-check.ts
+++ b/src/runtime/health-check.ts
@@ -5,7 +5,7 @@
 import type { PeerLink } from './peers/peer-link.js';
 
 /** Without an answer of the store for so long it counts as unavailable. */
-const STORE_TIMEOUT_MS = 2500;
+const STORE_UNAVAILABLE_AFTER_MS = 2500;
 
 /** What health depends on. */
 export interface HealthCheckDependencies {
@@ -20,7 +20,7 @@
 
   /** The key-value store answered lately. */
   isStoreAvailable(): boolean {
-    return monotonicNow() - this.dependencies.store.lastResponseAt < STORE_TIMEOUT_MS;
+    return monotonicNow() - this.dependencies.store.lastResponseAt < STORE_UNAVAILABLE_AFTER_MS;
   }
 
   /** While the store is down for everybody, leaving the load balancer would only delay the return. */
@@ -29,9 +29,9 @@
     if (machineTypes.current.length === 0) return false;
     if (this.isStoreAvailable()) return true;
     const now = monotonicNow();
-    const reached = links.filter((link) => link.isAlive(now));
+    const alivePeers = links.filter((link) => link.isAlive(now));
     // Cut off from the store and from every peer: it is this controller that is cut off, and others can serve.
-    if (links.length > 0 && reached.length === 0) return false;
-    return store.lastResponseAt > -Infinity && !reached.some((link) => link.status?.storeAvailable);
+    if (links.length > 0 && alivePeers.length === 0) return false;
+    return store.lastResponseAt > -Infinity && !alivePeers.some((link) => link.status?.storeAvailable);
   }
 }
--- a/src/runtime/http/connection-pool.ts
+++ b/src/runtime/http/connection-pool.ts
@@ -11,7 +11,7 @@
 export const UNKNOWN_GROUP = '';
 
 /** Of the limit: above it replies end their connections, so that more peers than there are sockets take turns. */
-const PRESSURE_FRACTION = 0.8;
+const PRESSURE_THRESHOLD_FRACTION = 0.8;
 
 /** Open connections, and which of them wait for a next request, in the order since when. */
 export class ConnectionPool {
@@ -23,7 +23,7 @@
 
   /** Whether so many connections are open that replies should end theirs. */
   get underPressure(): boolean {
-    return this.open.size > this.limit * PRESSURE_FRACTION;
+    return this.open.size > this.limit * PRESSURE_THRESHOLD_FRACTION;
   }
 
   /** The number of open connections. */
@@ -44,7 +44,7 @@
     }
     this.open.add(connection);
     this.idle.add(connection);
-    this.addToGroup(connection.group, 1);
+    this.changeGroupSize(connection.group, 1);
     return true;
   }
 
@@ -52,15 +52,15 @@
   remove(connection: PooledConnection): void {
     if (!this.open.delete(connection)) return;
     this.idle.delete(connection);
-    this.addToGroup(connection.group, -1);
+    this.changeGroupSize(connection.group, -1);
   }
 
   /** A request of a client of this group is being handled: until its reply the connection is not evicted. */
   markBusy(connection: PooledConnection, group: string): void {
     this.idle.delete(connection);
     if (!this.open.has(connection) || group === connection.group) return;
-    this.addToGroup(connection.group, -1);
-    this.addToGroup(group, 1);
+    this.changeGroupSize(connection.group, -1);
+    this.changeGroupSize(group, 1);
     connection.group = group;
   }
 
@@ -69,7 +69,7 @@
     if (this.open.has(connection)) this.idle.add(connection);
   }
 
-  private addToGroup(group: string, change: number): void {
+  private changeGroupSize(group: string, change: number): void {
     this.groupSizes.set(group, (this.groupSizes.get(group) ?? 0) + change);
   }
 
--- a/src/runtime/http/http-client.ts
+++ b/src/runtime/http/http-client.ts
@@ -13,7 +13,7 @@
   socket: Socket;
   parser: HttpParser;
   /** Ends the request in progress; null while there is none. */
-  settle: ((result: HttpResult) => void) | null;
+  complete: ((result: HttpResult) => void) | null;
   idleSince: number;
   connected: boolean;
 }
@@ -30,7 +30,7 @@
     private readonly address: Address,
     private readonly maxOpen: number,
     private readonly maxIdleMs = DEFAULT_MAX_IDLE_MS,
-    private readonly bodyBytes = RESPONSE_LIMITS.bodyBytes,
+    private readonly maxBodyBytes = RESPONSE_LIMITS.bodyBytes,
   ) {}
 
   /** Sends one request, at once or not at all; after `timeoutMs` its connection is dropped. */
@@ -42,15 +42,15 @@
         return;
       }
       const onTimeout = (): void =>
-        connection.settle?.({ ok: false, cause: 'no answer in time', sent: connection.connected });
+        connection.complete?.({ ok: false, cause: 'no answer in time', sent: connection.connected });
       const timer = setTimeout(onTimeout, timeoutMs);
-      connection.settle = (result) => {
-        connection.settle = null;
+      connection.complete = (result) => {
+        connection.complete = null;
         clearTimeout(timer);
         if (!result.ok) connection.socket.destroy();
         resolve(result);
       };
-      connection.socket.write(this.render(method, target, body));
+      connection.socket.write(this.encodeRequest(method, target, body));
     });
   }
 
@@ -60,7 +60,7 @@
     this.idle = [];
   }
 
-  private render(method: string, target: string, body: Buffer | null): Buffer {
+  private encodeRequest(method: string, target: string, body: Buffer | null): Buffer {
     const { host, port } = this.address;
     const head =
       `${method} ${target} HTTP/1.1\r\nHost: ${host}:${port}\r\n` +
@@ -83,8 +83,8 @@
     const socket = connect({ host: this.address.host, port: this.address.port, noDelay: true });
     const connection: ClientConnection = {
       socket,
-      parser: new HttpParser('response', { ...RESPONSE_LIMITS, bodyBytes: this.bodyBytes }),
-      settle: null,
+      parser: new HttpParser('response', { ...RESPONSE_LIMITS, bodyBytes: this.maxBodyBytes }),
+      complete: null,
       idleSince: 0,
       connected: false,
     };
@@ -95,17 +95,17 @@
     });
     // A connection attempt that was given up never completes later: nothing was sent on it.
     socket.on('error', ({ message }) =>
-      connection.settle?.({ ok: false, cause: message, sent: connection.connected }),
+      connection.complete?.({ ok: false, cause: message, sent: connection.connected }),
     );
     socket.on('close', () => this.onClose(connection));
     return connection;
   }
 
-  private onClose({ parser, settle, connected }: ClientConnection): void {
+  private onClose({ parser, complete, connected }: ClientConnection): void {
     this.open--;
     const last = parser.finish();
-    if (last) settle?.({ ok: true, status: last.status, body: last.body });
-    else settle?.({ ok: false, cause: 'connection closed', sent: connected });
+    if (last) complete?.({ ok: true, status: last.status, body: last.body });
+    else complete?.({ ok: false, cause: 'connection closed', sent: connected });
   }
 
   private receive(connection: ClientConnection, chunk: Buffer): void {
@@ -113,7 +113,7 @@
     try {
       messages = connection.parser.push(chunk);
     } catch (error) {
-      connection.settle?.({ ok: false, cause: String(error), sent: true });
+      connection.complete?.({ ok: false, cause: String(error), sent: true });
       connection.socket.destroy();
       return;
     }
@@ -122,13 +122,13 @@
 
   /** False for a response that no request awaits: its connection is dropped. */
   private onResponse(connection: ClientConnection, { status, body, keepAlive }: HttpMessage): boolean {
-    const { settle, socket } = connection;
-    if (!settle) {
+    const { complete, socket } = connection;
+    if (!complete) {
       socket.destroy();
       return false;
     }
     if (keepAlive) connection.idleSince = monotonicNow();
-    settle({ ok: true, status, body });
+    complete({ ok: true, status, body });
     if (keepAlive) this.idle.push(connection);
     else socket.destroy();
     return true;
--- a/src/runtime/http/http-parser.ts
+++ b/src/runtime/http/http-parser.ts
@@ -12,13 +12,13 @@
 
 /** What the parser reads next; `remaining` bytes are missing of a body or of a chunk. */
 type ParserState =
-  | { at: 'head' }
-  | { at: 'body'; remaining: number }
-  | { at: 'until-close' }
-  | { at: 'chunk-size' }
-  | { at: 'chunk-data'; remaining: number }
-  | { at: 'chunk-end' }
-  | { at: 'trailer' };
+  | { phase: 'head' }
+  | { phase: 'body'; remaining: number }
+  | { phase: 'until-close' }
+  | { phase: 'chunk-size' }
+  | { phase: 'chunk-data'; remaining: number }
+  | { phase: 'chunk-end' }
+  | { phase: 'trailer' };
 
 const EMPTY = Buffer.alloc(0);
 const CRLF = Buffer.from('\r\n');
@@ -31,7 +31,7 @@
 /** Reads the messages of one connection, one after the other. */
 export class HttpParser {
   private buffer: Buffer = EMPTY;
-  private state: ParserState = { at: 'head' };
+  private state: ParserState = { phase: 'head' };
   private message: HttpMessage | null = null;
   private bodyParts: Buffer[] = [];
   private bodySize = 0;
@@ -51,7 +51,7 @@
 
   /** The connection ended: completes a response whose body runs to the end of the connection. */
   finish(): HttpMessage | null {
-    if (this.state.at !== 'until-close') return null;
+    if (this.state.phase !== 'until-close') return null;
     const completed: HttpMessage[] = [];
     this.complete(completed);
     return completed[0] ?? null;
@@ -59,14 +59,14 @@
 
   /** Reads one part of a message; false while more input is needed for it. */
   private step(completed: HttpMessage[]): boolean {
-    switch (this.state.at) {
+    switch (this.state.phase) {
       case 'head':
         return this.readHead(completed);
       case 'body':
       case 'chunk-data':
         return this.readData(completed, this.state);
       case 'until-close':
-        if (this.buffer.length > 0) this.take(this.buffer.length);
+        if (this.buffer.length > 0) this.moveToBody(this.buffer.length);
         return false;
       case 'chunk-size':
         return this.readChunkSize();
@@ -94,7 +94,7 @@
     const message = parseHead(this.kind, lines);
     this.message = message;
     this.state = this.bodyState(message);
-    if (this.state.at === 'body' && this.state.remaining === 0) this.complete(completed);
+    if (this.state.phase === 'body' && this.state.remaining === 0) this.complete(completed);
     return true;
   }
 
@@ -102,25 +102,25 @@
     const framing = bodyFraming(this.kind, message, this.limits.bodyBytes);
     switch (framing.kind) {
       case 'length':
-        return { at: 'body', remaining: framing.bytes };
+        return { phase: 'body', remaining: framing.bytes };
       case 'chunked':
-        return { at: 'chunk-size' };
+        return { phase: 'chunk-size' };
       case 'until-close':
-        return { at: 'until-close' };
+        return { phase: 'until-close' };
     }
   }
 
   private readData(
     completed: HttpMessage[],
-    state: { at: 'body' | 'chunk-data'; remaining: number },
+    state: { phase: 'body' | 'chunk-data'; remaining: number },
   ): boolean {
     if (this.buffer.length === 0) return false;
     const available = Math.min(state.remaining, this.buffer.length);
-    this.take(available);
+    this.moveToBody(available);
     state.remaining -= available;
     if (state.remaining > 0) return false;
-    if (state.at === 'body') this.complete(completed);
-    else this.state = { at: 'chunk-end' };
+    if (state.phase === 'body') this.complete(completed);
+    else this.state = { phase: 'chunk-end' };
     return true;
   }
 
@@ -132,7 +132,7 @@
     const remaining = parseInt(hex, 16);
     if (this.bodySize + remaining > this.limits.bodyBytes)
       throw new HttpError(HTTP_STATUS.contentTooLarge, 'body too large');
-    this.state = remaining === 0 ? { at: 'trailer' } : { at: 'chunk-data', remaining };
+    this.state = remaining === 0 ? { phase: 'trailer' } : { phase: 'chunk-data', remaining };
     return true;
   }
 
@@ -140,7 +140,7 @@
     const line = this.takeLine(MAX_CHUNK_LINE_BYTES);
     if (line === null) return false;
     if (line !== '') throw new HttpError(HTTP_STATUS.badRequest, 'bad chunk end');
-    this.state = { at: 'chunk-size' };
+    this.state = { phase: 'chunk-size' };
     return true;
   }
 
@@ -152,7 +152,7 @@
   }
 
   /** Moves this many bytes from the input to the body. */
-  private take(byteCount: number): void {
+  private moveToBody(byteCount: number): void {
     this.bodySize += byteCount;
     if (this.bodySize > this.limits.bodyBytes)
       throw new HttpError(HTTP_STATUS.contentTooLarge, 'body too large');
@@ -178,6 +178,6 @@
     this.message = null;
     this.bodyParts = [];
     this.bodySize = 0;
-    this.state = { at: 'head' };
+    this.state = { phase: 'head' };
   }
 }
--- a/src/runtime/http/http-reply.ts
+++ b/src/runtime/http/http-reply.ts
@@ -28,7 +28,7 @@
 };
 
 /** The bytes of a response; without `keepAlive` it announces the end of the connection. */
-export const renderReply = ({ status, body, retryAfterS }: HttpReply, keepAlive: boolean): Buffer => {
+export const encodeReply = ({ status, body, retryAfterS }: HttpReply, keepAlive: boolean): Buffer => {
   let head = `HTTP/1.1 ${status} ${REASON_PHRASES[status] ?? 'Status'}\r\nContent-Length: ${body?.length ?? 0}\r\n`;
   if (body) head += 'Content-Type: application/cbor\r\n';
   if (retryAfterS !== undefined) head += `Retry-After: ${retryAfterS}\r\n`;
--- a/src/runtime/http/http-server.ts
+++ b/src/runtime/http/http-server.ts
@@ -4,7 +4,7 @@
 import { ConnectionPool, UNKNOWN_GROUP, type PooledConnection } from './connection-pool.js';
 import { HttpParser } from './http-parser.js';
 import { HttpError, type HttpMessage } from './http-message.js';
-import { renderReply, type HttpReply } from './http-reply.js';
+import { encodeReply, type HttpReply } from './http-reply.js';
 import { HTTP_STATUS } from './http-status.js';
 
 /** Answers a request by calling `reply` once, at once or later; further calls are ignored. */
@@ -52,7 +52,7 @@
 /** Handles one request at a time; later ones wait, and a sender that pipelines is held back. */
 class ServerConnection {
   private state: 'idle' | 'handling' | 'ending' = 'idle';
-  private readonly waiting: HttpMessage[] = [];
+  private readonly queuedRequests: HttpMessage[] = [];
   private readonly parser: HttpParser;
 
   constructor(
@@ -83,16 +83,16 @@
   private receive(chunk: Buffer): void {
     if (this.state === 'ending') return;
     try {
-      this.waiting.push(...this.parser.push(chunk));
+      this.queuedRequests.push(...this.parser.push(chunk));
     } catch (error) {
-      this.refuse(error);
+      this.rejectMalformed(error);
       return;
     }
-    if (this.state === 'handling' || this.waiting.length > 1) this.socket.pause();
+    if (this.state === 'handling' || this.queuedRequests.length > 1) this.socket.pause();
     if (this.state === 'idle') this.handleNext();
   }
 
-  private refuse(error: unknown): void {
+  private rejectMalformed(error: unknown): void {
     const status = error instanceof HttpError ? error.status : HTTP_STATUS.badRequest;
     const cause = String(error);
     const handling = this.state === 'handling';
@@ -100,11 +100,11 @@
     this.context.log.rateLimited('bad-request', 'debug', { status, cause }, 'malformed request refused');
     // A reply now would be taken for that of the request in progress: the connection ends without either.
     if (handling) this.socket.destroy();
-    else this.socket.end(renderReply({ status }, false));
+    else this.socket.end(encodeReply({ status }, false));
   }
 
   private handleNext(): void {
-    const request = this.waiting.shift();
+    const request = this.queuedRequests.shift();
     if (!request) {
       this.context.pool.markIdle(this.pooled);
       this.socket.resume();
@@ -113,10 +113,10 @@
     this.state = 'handling';
     const { limits, pool, handler } = this.context;
     pool.markBusy(this.pooled, limits.clientGroup?.(request) ?? UNKNOWN_GROUP);
-    let answered = false;
+    let replied = false;
     handler(request, (answer) => {
-      if (answered) return;
-      answered = true;
+      if (replied) return;
+      replied = true;
       this.reply(request, answer);
     });
   }
@@ -125,8 +125,8 @@
     if (this.state === 'handling') this.state = 'idle';
     if (this.socket.destroyed) return;
     const { pool } = this.context;
-    const keepAlive = request.keepAlive && (!pool.underPressure || this.waiting.length > 0);
-    this.socket.write(renderReply(answer, keepAlive));
+    const keepAlive = request.keepAlive && (!pool.underPressure || this.queuedRequests.length > 0);
+    this.socket.write(encodeReply(answer, keepAlive));
     if (keepAlive) {
       this.handleNext();
       return;
--- a/src/runtime/key-value-store/key-value-store-client.ts
+++ b/src/runtime/key-value-store/key-value-store-client.ts
@@ -41,27 +41,27 @@
 
 const REQUEST_TIMEOUT_MS = 1200;
 /** Beyond the time that the store itself holds a watch open. */
-const WATCH_GRACE_MS = 3000;
+const WATCH_TIMEOUT_MARGIN_MS = 3000;
 const MAX_IDLE_MS = 20_000;
-const CALL_CONNECTIONS = 24;
-const WATCH_CONNECTIONS = 4;
-const LEASE_CONNECTIONS = 3;
-const PAGE_ITEMS = 1000;
+const MAX_REQUEST_CONNECTIONS = 24;
+const MAX_WATCH_CONNECTIONS = 4;
+const MAX_LEASE_CONNECTIONS = 3;
+const ITEMS_PER_PAGE = 1000;
 
 /** One for each controller process. */
 export class KeyValueStoreClient {
-  private readonly calls: HttpClient;
-  private readonly watches: HttpClient;
+  private readonly requestClient: HttpClient;
+  private readonly watchClient: HttpClient;
   /** A pool of its own. Guards against a leader that loses its lease for want of a connection. */
-  private readonly leases: HttpClient;
+  private readonly leaseClient: HttpClient;
   private readonly budget: RequestBudget;
   /** Monotonic time of the last answer that was not an error; tells an outage from a time without changes. */
   lastResponseAt = -Infinity;
 
   constructor({ keyValueStore, keyValueStoreLimits }: PlatformSettings) {
-    this.calls = new HttpClient(keyValueStore, CALL_CONNECTIONS, MAX_IDLE_MS);
-    this.watches = new HttpClient(keyValueStore, WATCH_CONNECTIONS, MAX_IDLE_MS);
-    this.leases = new HttpClient(keyValueStore, LEASE_CONNECTIONS, MAX_IDLE_MS);
+    this.requestClient = new HttpClient(keyValueStore, MAX_REQUEST_CONNECTIONS, MAX_IDLE_MS);
+    this.watchClient = new HttpClient(keyValueStore, MAX_WATCH_CONNECTIONS, MAX_IDLE_MS);
+    this.leaseClient = new HttpClient(keyValueStore, MAX_LEASE_CONNECTIONS, MAX_IDLE_MS);
     this.budget = new RequestBudget(keyValueStoreLimits);
   }
 
@@ -82,7 +82,7 @@
     let storeRevision: Revision | null = null;
     for (;;) {
       const page: StoreOutcome<wire.ItemPage> = await this.read(
-        wire.listTarget(prefix, after, PAGE_ITEMS),
+        wire.listTarget(prefix, after, ITEMS_PER_PAGE),
         wire.parseItems,
         budgetReserves.urgent,
       );
@@ -102,7 +102,12 @@
   ): Promise<TransactionOutcome> {
     if (!(await this.budget.acquire(1, transaction.changes.length, reserve))) return { kind: 'refused' };
     const encoded = encode(wire.transactionBody(transaction));
-    const reply = await this.calls.request('POST', wire.TRANSACTION_TARGET, encoded, REQUEST_TIMEOUT_MS);
+    const reply = await this.requestClient.request(
+      'POST',
+      wire.TRANSACTION_TARGET,
+      encoded,
+      REQUEST_TIMEOUT_MS,
+    );
     if (!reply.ok) return reply.sent ? { kind: 'unknown' } : { kind: 'refused' };
     this.budget.recordStatus(reply.status);
     return this.transactionOutcome(reply.status, tryDecode(reply.body));
@@ -111,19 +116,24 @@
   /** Asks for a new lease. */
   async grantLease(ttlMs: number): Promise<StoreOutcome<Uint64>> {
     const encoded = encode(wire.leaseBody(ttlMs));
-    const reply = await this.leases.request('POST', wire.LEASES_TARGET, encoded, REQUEST_TIMEOUT_MS);
+    const reply = await this.leaseClient.request('POST', wire.LEASES_TARGET, encoded, REQUEST_TIMEOUT_MS);
     return this.outcome(reply, wire.parseLease);
   }
 
   /** Renewals pass the budget by: nothing may starve them. */
   async renewLease(lease: Uint64): Promise<StoreOutcome<true>> {
-    const reply = await this.leases.request('POST', wire.leaseRenewalTarget(lease), null, REQUEST_TIMEOUT_MS);
+    const reply = await this.leaseClient.request(
+      'POST',
+      wire.leaseRenewalTarget(lease),
+      null,
+      REQUEST_TIMEOUT_MS,
+    );
     return this.outcome(reply, () => true as const);
   }
 
   /** Ends a lease before its time, with the keys attached to it. */
   async revokeLease(lease: Uint64): Promise<void> {
-    await this.leases.request('DELETE', wire.leaseTarget(lease), null, REQUEST_TIMEOUT_MS);
+    await this.leaseClient.request('DELETE', wire.leaseTarget(lease), null, REQUEST_TIMEOUT_MS);
   }
 
   /** What has changed since, at once. */
@@ -134,7 +144,7 @@
   /** What has changed since, as soon as there is anything, and without any after this time. */
   async watch(prefix: string, since: Revision, waitMs: number): Promise<StoreOutcome<wire.Changes>> {
     const target = wire.watchTarget(prefix, since, waitMs);
-    const reply = await this.watches.request('GET', target, null, waitMs + WATCH_GRACE_MS);
+    const reply = await this.watchClient.request('GET', target, null, waitMs + WATCH_TIMEOUT_MARGIN_MS);
     return this.outcome(reply, wire.parseChanges);
   }
 
@@ -144,7 +154,7 @@
     reserve: number,
   ): Promise<StoreOutcome<T>> {
     if (!(await this.budget.acquire(1, 0, reserve))) return { kind: 'refused' };
-    const reply = await this.calls.request('GET', target, null, REQUEST_TIMEOUT_MS);
+    const reply = await this.requestClient.request('GET', target, null, REQUEST_TIMEOUT_MS);
     if (reply.ok) this.budget.recordStatus(reply.status);
     return this.outcome(reply, parse);
   }
--- a/src/runtime/listeners.ts
+++ b/src/runtime/listeners.ts
@@ -10,12 +10,12 @@
 import { servePeer } from './peers/peer-server.js';
 import { clientGroup } from './public-router.js';
 
-const PUBLIC_IDLE_MS = 60_000;
-const PUBLIC_BODY_BYTES = 64 * 1024;
-const STATUS_IDLE_MS = 10_000;
-const STATUS_BODY_BYTES = 1024;
+const PUBLIC_IDLE_TIMEOUT_MS = 60_000;
+const MAX_PUBLIC_BODY_BYTES = 64 * 1024;
+const STATUS_IDLE_TIMEOUT_MS = 10_000;
+const MAX_STATUS_BODY_BYTES = 1024;
 
-const listen = (
+const startServer = (
   address: Address,
   onConnection: (socket: Socket) => void,
   backlog: number,
@@ -38,11 +38,11 @@
 ): void => {
   const limits = {
     connections: sockets.public,
-    idleMs: PUBLIC_IDLE_MS,
-    bodyBytes: PUBLIC_BODY_BYTES,
+    idleMs: PUBLIC_IDLE_TIMEOUT_MS,
+    bodyBytes: MAX_PUBLIC_BODY_BYTES,
     clientGroup,
   };
-  listen(address, httpConnectionHandler(limits, log, handler), sockets.backlog, log);
+  startServer(address, httpConnectionHandler(limits, log, handler), sockets.backlog, log);
 };
 
 /** Who answers on the internal address. */
@@ -60,8 +60,8 @@
 export const startInternalListener = (address: Address, handlers: InternalHandlers, log: Logger): void => {
   const limits = {
     connections: MAX_STATUS_CONNECTIONS,
-    idleMs: STATUS_IDLE_MS,
-    bodyBytes: STATUS_BODY_BYTES,
+    idleMs: STATUS_IDLE_TIMEOUT_MS,
+    bodyBytes: MAX_STATUS_BODY_BYTES,
   };
   const onHttp = httpConnectionHandler(limits, log, (request, reply) => reply(handlers.statusPage(request)));
   const onConnection = (socket: Socket): void => {
@@ -75,5 +75,5 @@
       socket.resume();
     });
   };
-  listen(address, onConnection, MAX_STATUS_CONNECTIONS, log);
+  startServer(address, onConnection, MAX_STATUS_CONNECTIONS, log);
 };
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -5,8 +5,8 @@
 type Level = 'error' | 'info' | 'debug';
 type Fields = Record<string, unknown>;
 
-const MIN_INTERVAL_MS = 1000;
-const MAX_KEYS = 500;
+const MIN_LINE_INTERVAL_MS = 1000;
+const MAX_RATE_LIMIT_KEYS = 500;
 
 const parseLevel = (raw: string | undefined): Level => (raw === 'error' || raw === 'debug' ? raw : 'info');
 
@@ -48,11 +48,11 @@
   rateLimited(key: string, level: Level, fields: Fields, text: string): void {
     const now = monotonicNow();
     const last = this.lastWritten.get(key);
-    if (last && now - last.at < MIN_INTERVAL_MS) {
+    if (last && now - last.at < MIN_LINE_INTERVAL_MS) {
       last.skipped++;
       return;
     }
-    if (this.lastWritten.size > MAX_KEYS) this.lastWritten.clear();
+    if (this.lastWritten.size > MAX_RATE_LIMIT_KEYS) this.lastWritten.clear();
     this.lastWritten.set(key, { at: now, skipped: 0 });
     this.sink[level](last?.skipped ? { ...fields, skipped: last.skipped } : fields, text);
   }
--- a/src/runtime/peers/frame-codec.ts
+++ b/src/runtime/peers/frame-codec.ts
@@ -7,7 +7,7 @@
 
 /** Larger frames end the connection. */
 const MAX_FRAME_BYTES = 256 * 1024;
-const LENGTH_BYTES = 4;
+const LENGTH_PREFIX_BYTES = 4;
 
 /** A request, or the response to it; one that can't say responds null. */
 export interface Frame {
@@ -24,7 +24,7 @@
 
 const encodeFrame = (frame: EncodedFrame): Buffer => {
   const body = encode(frame);
-  const length = Buffer.alloc(LENGTH_BYTES);
+  const length = Buffer.alloc(LENGTH_PREFIX_BYTES);
   length.writeUInt32BE(body.length);
   return Buffer.concat([length, body]);
 };
@@ -53,11 +53,11 @@
   push(chunk: Buffer): Frame[] | null {
     this.buffer = this.buffer.length === 0 ? chunk : Buffer.concat([this.buffer, chunk]);
     const frames: Frame[] = [];
-    while (this.buffer.length >= LENGTH_BYTES) {
-      const end = LENGTH_BYTES + this.buffer.readUInt32BE(0);
-      if (end > LENGTH_BYTES + MAX_FRAME_BYTES) return null;
+    while (this.buffer.length >= LENGTH_PREFIX_BYTES) {
+      const end = LENGTH_PREFIX_BYTES + this.buffer.readUInt32BE(0);
+      if (end > LENGTH_PREFIX_BYTES + MAX_FRAME_BYTES) return null;
       if (this.buffer.length < end) break;
-      const frame = decodeFrame(this.buffer.subarray(LENGTH_BYTES, end));
+      const frame = decodeFrame(this.buffer.subarray(LENGTH_PREFIX_BYTES, end));
       this.buffer = this.buffer.subarray(end);
       if (frame === null) return null;
       frames.push(frame);
--- a/src/runtime/peers/frame-writer.ts
+++ b/src/runtime/peers/frame-writer.ts
@@ -1,7 +1,7 @@
 /** Writes frames to a socket, those that come close together at once. */
 import type { Socket } from 'node:net';
 
-const GATHER_MS = 5;
+const BATCH_DELAY_MS = 5;
 
 /** Each write and each packet costs its processor time, so frames are gathered for a moment. */
 export class FrameWriter {
@@ -14,10 +14,9 @@
     this.frames.push(frame);
     if (this.frames.length > 1) return;
     setTimeout(() => {
-      const gathered = this.frames;
+      const batch = this.frames;
       this.frames = [];
-      if (!this.socket.destroyed)
-        this.socket.write(gathered.length === 1 ? gathered[0] : Buffer.concat(gathered));
-    }, GATHER_MS);
+      if (!this.socket.destroyed) this.socket.write(batch.length === 1 ? batch[0] : Buffer.concat(batch));
+    }, BATCH_DELAY_MS);
   }
 }
--- a/src/runtime/peers/image-locations.ts
+++ b/src/runtime/peers/image-locations.ts
@@ -4,13 +4,13 @@
 import { monotonicNow } from '../clock.js';
 import type { PeerLink } from './peer-link.js';
 
-const PAGE_MACHINES = 100;
+const MACHINES_PER_PAGE = 100;
 const RETENTION_MS = 60_000;
-const SHARE_TIMEOUT_MS = 1000;
+const RESPONSE_TIMEOUT_MS = 1000;
 
 /** What this controller knows of the caches of machines. */
 export class ImageLocationStore {
-  private readonly known = new Map<string, { images: ImageLocations[string]; at: number }>();
+  private readonly byMachine = new Map<string, { images: ImageLocations[string]; receivedAt: number }>();
   private nextMachine = 0;
 
   /**
@@ -20,20 +20,21 @@
   nextPage(all: ImageLocations): ImageLocations {
     const ids = Object.keys(all);
     if (this.nextMachine >= ids.length) this.nextMachine = 0;
-    const pageIds = ids.slice(this.nextMachine, this.nextMachine + PAGE_MACHINES);
-    this.nextMachine += PAGE_MACHINES;
+    const pageIds = ids.slice(this.nextMachine, this.nextMachine + MACHINES_PER_PAGE);
+    this.nextMachine += MACHINES_PER_PAGE;
     return Object.fromEntries(pageIds.map((id) => [id, all[id]]));
   }
 
   /** Adds to what is known; machines that were not named for long are forgotten. */
   merge(page: ImageLocations, now: number): void {
-    for (const [id, images] of Object.entries(page)) this.known.set(id, { images, at: now });
-    for (const [id, { at }] of this.known) if (now - at > RETENTION_MS) this.known.delete(id);
+    for (const [id, images] of Object.entries(page)) this.byMachine.set(id, { images, receivedAt: now });
+    for (const [id, { receivedAt: at }] of this.byMachine)
+      if (now - at > RETENTION_MS) this.byMachine.delete(id);
   }
 
   /** What a new leader is loaded with. */
   all(): ImageLocations {
-    return Object.fromEntries([...this.known].map(([id, { images }]) => [id, images]));
+    return Object.fromEntries([...this.byMachine].map(([id, { images }]) => [id, images]));
   }
 }
 
@@ -49,5 +50,6 @@
   if (!leader) return;
   const locations = store.nextPage(leader.imageLocations());
   store.merge(locations, monotonicNow());
-  for (const link of links) void link.sendRequest({ kind: 'image-locations', locations }, SHARE_TIMEOUT_MS);
+  for (const link of links)
+    void link.sendRequest({ kind: 'image-locations', locations }, RESPONSE_TIMEOUT_MS);
 };
--- a/src/runtime/peers/peer-link.ts
+++ b/src/runtime/peers/peer-link.ts
@@ -16,11 +16,11 @@
 import { FrameWriter } from './frame-writer.js';
 import { PendingRequests } from './pending-requests.js';
 
-const HEARTBEAT_MS = 400;
+const HEARTBEAT_INTERVAL_MS = 400;
 /** Without a heartbeat's response for so long the peer counts as unreachable. */
 const DETECTION_TIMEOUT_MS = 2000;
-const REDIAL_MS = 500;
-const DIAL_TIMEOUT_MS = 1500;
+const RECONNECT_DELAY_MS = 500;
+const CONNECT_TIMEOUT_MS = 1500;
 
 /** What each heartbeat asks a peer about cancellations, and where its answer goes. */
 export interface CancellationExchange {
@@ -39,10 +39,10 @@
 }
 
 type Connection =
-  { state: 'closed' } | { state: 'dialling' } | { state: 'connected'; socket: Socket; writer: FrameWriter };
+  { state: 'closed' } | { state: 'connecting' } | { state: 'connected'; socket: Socket; writer: FrameWriter };
 
 const CLOSED: Connection = { state: 'closed' };
-const DIALLING: Connection = { state: 'dialling' };
+const CONNECTING: Connection = { state: 'connecting' };
 
 /** One for each peer, for as long as the process runs. */
 export class PeerLink {
@@ -52,7 +52,7 @@
   private readonly pending = new PendingRequests();
   private lastHeartbeatAt = -Infinity;
   private heartbeatPending = false;
-  private refusedAt = -Infinity;
+  private connectionRefusedAt = -Infinity;
 
   constructor(private readonly dependencies: PeerLinkDependencies) {}
 
@@ -76,13 +76,13 @@
    * reach it. It may also be dead.
    */
   refusesConnections(now: number): boolean {
-    return this.connection.state !== 'connected' && now - this.refusedAt < DETECTION_TIMEOUT_MS;
+    return this.connection.state !== 'connected' && now - this.connectionRefusedAt < DETECTION_TIMEOUT_MS;
   }
 
   /** Dials, again and again, and sends heartbeats. */
   start(): void {
-    this.dial();
-    setInterval(() => void this.sendHeartbeat(), HEARTBEAT_MS);
+    this.openConnection();
+    setInterval(() => void this.sendHeartbeat(), HEARTBEAT_INTERVAL_MS);
   }
 
   /** Null without a response in time, or with one of another shape. */
@@ -119,7 +119,7 @@
     );
     this.heartbeatPending = false;
     if (response === null) {
-      this.dropUnanswering();
+      this.closeIfUnresponsive();
       return;
     }
     this.lastHeartbeatAt = monotonicNow();
@@ -131,22 +131,22 @@
   }
 
   /** A connection without answers may be cut off: a new one works as soon as the partition ends. */
-  private dropUnanswering(): void {
+  private closeIfUnresponsive(): void {
     if (this.connection.state === 'connected' && !this.isAlive(monotonicNow()))
       this.connection.socket.destroy();
   }
 
-  private dial(): void {
+  private openConnection(): void {
     const socket = connect({ ...this.dependencies.peer.address, noDelay: true });
     const writer = new FrameWriter(socket);
     const reader = new FrameReader();
-    this.connection = DIALLING;
+    this.connection = CONNECTING;
     const timer = setTimeout(() => {
       if (this.connection.state !== 'connected') socket.destroy();
-    }, DIAL_TIMEOUT_MS);
+    }, CONNECT_TIMEOUT_MS);
     socket.on('connect', () => {
       this.connection = { state: 'connected', socket, writer };
-      this.refusedAt = -Infinity;
+      this.connectionRefusedAt = -Infinity;
       void this.sendHeartbeat();
     });
     socket.on('data', (chunk) => {
@@ -155,14 +155,14 @@
       else for (const frame of frames) this.pending.onResponse(frame);
     });
     socket.on('error', (error) => {
-      if ('code' in error && error.code === 'ECONNREFUSED') this.refusedAt = monotonicNow();
+      if ('code' in error && error.code === 'ECONNREFUSED') this.connectionRefusedAt = monotonicNow();
       socket.destroy();
     });
     socket.on('close', () => {
       clearTimeout(timer);
       this.connection = CLOSED;
       this.pending.failAll();
-      setTimeout(() => this.dial(), REDIAL_MS);
+      setTimeout(() => this.openConnection(), RECONNECT_DELAY_MS);
     });
   }
 }
--- a/src/runtime/peers/peer-server.ts
+++ b/src/runtime/peers/peer-server.ts
@@ -13,8 +13,8 @@
 ): void => {
   const reader = new FrameReader();
   const writer = new FrameWriter(socket);
-  let openRequests = 0;
-  const answer = ({ requestId, request: encoded }: Frame): void => {
+  let pendingCount = 0;
+  const respond = ({ requestId, request: encoded }: Frame): void => {
     const request = parsePeerRequest(encoded);
     if (!request.ok) {
       onMalformed(request.cause);
@@ -22,17 +22,17 @@
       return;
     }
     // A peer that asks faster than it can be answered gets no response; its heartbeats pass.
-    if (openRequests >= MAX_PENDING_REQUESTS && request.value.kind !== 'heartbeat') return;
-    openRequests++;
+    if (pendingCount >= MAX_PENDING_REQUESTS && request.value.kind !== 'heartbeat') return;
+    pendingCount++;
     void handle(request.value).then((response) => {
-      openRequests--;
+      pendingCount--;
       writer.push(encodeResponseFrame(requestId, response));
     });
   };
   socket.on('data', (chunk) => {
     const frames = reader.push(chunk);
     if (frames === null) socket.destroy();
-    else for (const frame of frames) answer(frame);
+    else for (const frame of frames) respond(frame);
   });
   socket.on('error', () => socket.destroy());
 };
--- a/src/runtime/peers/pending-requests.ts
+++ b/src/runtime/peers/pending-requests.ts
@@ -8,35 +8,35 @@
 /** Matches responses to requests by their ids. */
 export class PendingRequests {
   private nextId = 1;
-  private readonly waiting = new Map<number, (response: unknown) => void>();
+  private readonly completions = new Map<number, (response: unknown) => void>();
 
   /** So many await a response that others are not to be sent. */
   get isFull(): boolean {
-    return this.waiting.size >= MAX_PENDING_REQUESTS;
+    return this.completions.size >= MAX_PENDING_REQUESTS;
   }
 
   /** Sends a request in its encoded form; null without a response in time. */
   send(writer: FrameWriter, request: unknown, timeoutMs: number): Promise<unknown> {
     return new Promise((resolve) => {
       const requestId = this.nextId++;
-      const finish = (response: unknown): void => {
+      const complete = (response: unknown): void => {
         clearTimeout(timer);
-        this.waiting.delete(requestId);
+        this.completions.delete(requestId);
         resolve(response);
       };
-      const timer = setTimeout(() => finish(null), timeoutMs);
-      this.waiting.set(requestId, finish);
+      const timer = setTimeout(() => complete(null), timeoutMs);
+      this.completions.set(requestId, complete);
       writer.push(encodeRequestFrame(requestId, request));
     });
   }
 
   /** A response without a request, as after its time, is dropped. */
   onResponse({ requestId, response }: Frame): void {
-    this.waiting.get(requestId)?.(response);
+    this.completions.get(requestId)?.(response);
   }
 
   /** The connection has ended: no response comes any more. */
   failAll(): void {
-    for (const finish of [...this.waiting.values()]) finish(null);
+    for (const finish of [...this.completions.values()]) finish(null);
   }
 }
--- a/src/runtime/public-router.ts
+++ b/src/runtime/public-router.ts
@@ -42,7 +42,7 @@
   }
 
   private async route(request: HttpMessage, reply: (reply: HttpReply) => void): Promise<void> {
-    const beganAt = monotonicNow();
+    const receivedAt = monotonicNow();
     const { heartbeatHandler, health, userRequests, heartbeatLatency } = this.dependencies;
     switch (request.target) {
       case HEARTBEAT_PATH:
@@ -51,13 +51,13 @@
             ? await heartbeatHandler.handle(request.body)
             : { status: HTTP_STATUS.methodNotAllowed },
         );
-        heartbeatLatency.record(beganAt);
+        heartbeatLatency.record(receivedAt);
         return;
       case HEALTH_PATH:
         reply({ status: health.isHealthy() ? HTTP_STATUS.ok : HTTP_STATUS.unavailable });
         return;
       default:
-        await userRequests.handle(request, reply, beganAt);
+        await userRequests.handle(request, reply, receivedAt);
     }
   }
 }
--- a/src/runtime/request-latency.ts
+++ b/src/runtime/request-latency.ts
@@ -16,8 +16,8 @@
   private readonly microseconds: RecordableHistogram = createHistogram();
 
   /** A request that came at this monotonic time is answered now. */
-  record(beganAt: number): void {
-    const elapsed = Math.round((monotonicNow() - beganAt) * MICROSECONDS_PER_MS);
+  record(receivedAt: number): void {
+    const elapsed = Math.round((monotonicNow() - receivedAt) * MICROSECONDS_PER_MS);
     this.microseconds.record(Math.max(1, elapsed));
   }
 
--- a/src/runtime/status-page.ts
+++ b/src/runtime/status-page.ts
@@ -12,7 +12,7 @@
 import type { RequestLatency } from './request-latency.js';
 import type { AdmissionControl } from './users/admission-control.js';
 
-const PATH = '/queue';
+const STATUS_PATH = '/queue';
 
 /** What the page shows. */
 export interface StatusPageDependencies {
@@ -31,7 +31,7 @@
 
   /** Answers a request on the internal address. */
   handle(request: HttpMessage): HttpReply {
-    if (request.method !== 'GET' || request.target !== PATH) return { status: HTTP_STATUS.notFound };
+    if (request.method !== 'GET' || request.target !== STATUS_PATH) return { status: HTTP_STATUS.notFound };
     // Through JSON, which leaves out what is undefined.
     return { status: HTTP_STATUS.ok, body: encode(JSON.parse(JSON.stringify(this.content()))) };
   }
--- a/src/runtime/users/admission-control.ts
+++ b/src/runtime/users/admission-control.ts
@@ -4,18 +4,18 @@
  */
 
 /** Guards against names without end from outside. */
-const MAX_REFUSED_KEPT = 5000;
+const MAX_REFUSED_SUBJECTS = 5000;
 
 /** Bounds the requests in progress. A request's subject names what it asks about; null where only the body says. */
 export class AdmissionControl {
   private inProgress = 0;
-  private readonly refusedBefore = new Set<string>();
+  private readonly refusedSubjects = new Set<string>();
   private refused = 0;
 
   constructor(
     private readonly limit: number,
     /** Beyond the limit, for requests that were refused before. */
-    private readonly reserved: number,
+    private readonly reservedForRetries: number,
   ) {}
 
   /** The number of requests in progress. */
@@ -30,15 +30,15 @@
 
   /** Admits a request or refuses it; one that is admitted is to be released. */
   tryAdmit(subject: string | null): boolean {
-    const again = subject !== null && this.refusedBefore.has(subject);
-    if (this.inProgress < this.limit + (again ? this.reserved : 0)) {
+    const isRetry = subject !== null && this.refusedSubjects.has(subject);
+    if (this.inProgress < this.limit + (isRetry ? this.reservedForRetries : 0)) {
       this.inProgress++;
       return true;
     }
     this.refused++;
     if (subject === null) return false;
-    if (this.refusedBefore.size >= MAX_REFUSED_KEPT) this.refusedBefore.clear();
-    this.refusedBefore.add(subject);
+    if (this.refusedSubjects.size >= MAX_REFUSED_SUBJECTS) this.refusedSubjects.clear();
+    this.refusedSubjects.add(subject);
     return false;
   }
 
@@ -46,7 +46,7 @@
   release(subject: string | null, served: boolean): void {
     this.inProgress--;
     if (subject === null) return;
-    if (served) this.refusedBefore.delete(subject);
-    else if (this.refusedBefore.size < MAX_REFUSED_KEPT) this.refusedBefore.add(subject);
+    if (served) this.refusedSubjects.delete(subject);
+    else if (this.refusedSubjects.size < MAX_REFUSED_SUBJECTS) this.refusedSubjects.add(subject);
   }
 }
--- a/src/runtime/users/job-lookup.ts
+++ b/src/runtime/users/job-lookup.ts
@@ -5,7 +5,7 @@
 import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
 import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 
-const MAX_FINAL_RECORDS_KEPT = 20_000;
+const MAX_CACHED_FINAL_RECORDS = 20_000;
 
 /** What the key-value store says of a job. */
 export type JobLookupResult =
@@ -34,7 +34,7 @@
 
   constructor(
     private readonly store: Pick<KeyValueStoreClient, 'get'>,
-    private readonly known: KnownJobs,
+    private readonly knownJobs: KnownJobs,
   ) {}
 
   /** The final state where it is remembered; it costs no request. */
@@ -56,16 +56,16 @@
     if (final.kind === 'gone') return { kind: 'not-found' };
     const record = final.kind === 'ok' ? parseFinalRecord(final.value.data) : null;
     if (!record) return { kind: 'unknown' };
-    this.keepFinalRecord(id, record);
+    this.cacheFinalRecord(id, record);
     return { kind: 'final', record };
   }
 
   /** Whether each of these jobs was accepted, at whichever controller. */
   async checkAccepted(ids: readonly JobId[]): Promise<AcceptanceResult> {
-    const unknown = ids.filter(
-      (id) => !this.finalRecords.has(id) && !this.known.indexed(id) && !this.known.has(id),
+    const idsToRead = ids.filter(
+      (id) => !this.finalRecords.has(id) && !this.knownJobs.indexed(id) && !this.knownJobs.has(id),
     );
-    for (const id of unknown) {
+    for (const id of idsToRead) {
       const found = await this.find(id);
       if (found.kind === 'unknown') return { kind: 'unknown' };
       if (found.kind === 'not-found') return { kind: 'missing', job: id };
@@ -78,7 +78,7 @@
    * are not over counts only while it is fresh: after an outage it may have missed a cancellation for too long.
    */
   async dependencyCancelled(dependsOn: readonly JobId[]): Promise<boolean | 'unknown'> {
-    const feedIsFresh = this.known.isFresh();
+    const feedIsFresh = this.knownJobs.isFresh();
     const visited = new Set<JobId>(dependsOn);
     const toVisit = [...dependsOn];
     for (let id = toVisit.pop(); id !== undefined; id = toVisit.pop()) {
@@ -96,8 +96,8 @@
   }
 
   private async dependencyState(id: JobId, feedIsFresh: boolean): Promise<DependencyState> {
-    if (this.known.has(id)) return { kind: 'cancelled' };
-    const indexed = feedIsFresh && !this.finalRecords.has(id) ? this.known.indexed(id) : undefined;
+    if (this.knownJobs.has(id)) return { kind: 'cancelled' };
+    const indexed = feedIsFresh && !this.finalRecords.has(id) ? this.knownJobs.indexed(id) : undefined;
     if (indexed) {
       if (indexed.cancelled) return { kind: 'cancelled' };
       return { kind: 'pending', dependsOn: indexed.dependsOn };
@@ -110,8 +110,8 @@
   }
 
   /** The record kept for longest makes room for a new one. */
-  private keepFinalRecord(id: JobId, record: FinalRecord): void {
-    if (this.finalRecords.size >= MAX_FINAL_RECORDS_KEPT)
+  private cacheFinalRecord(id: JobId, record: FinalRecord): void {
+    if (this.finalRecords.size >= MAX_CACHED_FINAL_RECORDS)
       this.finalRecords.delete(this.finalRecords.keys().next().value!);
     this.finalRecords.set(id, record);
   }
--- a/src/runtime/users/user-request-handler.ts
+++ b/src/runtime/users/user-request-handler.ts
@@ -10,8 +10,8 @@
 import type { AdmissionControl } from './admission-control.js';
 import type { UserApi } from './user-api.js';
 
-const FORWARD_TIMEOUT_MS = 2000;
-const LOG_INTERVAL_MS = 10_000;
+const USER_REQUEST_FORWARD_TIMEOUT_MS = 2000;
+const OUTCOMES_LOG_INTERVAL_MS = 10_000;
 const RETRY_AFTER_S = 1;
 
 /** What user requests need. */
@@ -26,12 +26,12 @@
 /** Sits between the public address and the user API. */
 export class UserRequestHandler {
   private readonly outcomes = new Map<string, number>();
-  private loggedAt = -Infinity;
+  private outcomesLoggedAt = -Infinity;
 
   constructor(private readonly dependencies: UserRequestDependencies) {}
 
   /** `beganAt`: the monotonic time at which the request came. */
-  async handle(request: HttpMessage, reply: (reply: HttpReply) => void, beganAt: number): Promise<void> {
+  async handle(request: HttpMessage, reply: (reply: HttpReply) => void, receivedAt: number): Promise<void> {
     const { admission, latency, log } = this.dependencies;
     // Only a request without a body names what it asks about.
     const subject = request.method === 'GET' ? request.target : null;
@@ -42,33 +42,33 @@
     }
     let served = false;
     try {
-      const answer = await this.serve(request);
+      const answer = await this.handleOrForward(request);
       served = answer.status !== HTTP_STATUS.unavailable;
       const { method, target } = request;
       const { status, jobStatus, refusalCause } = answer;
       log.debug({ method, target, status, jobStatus, cause: refusalCause }, 'user answered');
       this.countOutcome(answer);
       reply(answer);
-      latency.record(beganAt);
+      latency.record(receivedAt);
     } finally {
       admission.release(subject, served);
     }
   }
 
   /** Refused here for want of the store alone: a peer that the store answers takes the request in the user's place. */
-  private async serve(request: HttpMessage): Promise<HttpReply> {
+  private async handleOrForward(request: HttpMessage): Promise<HttpReply> {
     const { users, links } = this.dependencies;
-    const own = await users.handle(request);
-    if (own.status !== HTTP_STATUS.unavailable) return own;
+    const localReply = await users.handle(request);
+    if (localReply.status !== HTTP_STATUS.unavailable) return localReply;
     const now = monotonicNow();
     const peer = links.find((link) => link.isAlive(now) && link.status?.storeAvailable);
-    if (!peer) return own;
+    if (!peer) return localReply;
     const { method, target, body } = request;
     const response = await peer.sendRequest(
       { kind: 'user-request', method, target, body },
-      FORWARD_TIMEOUT_MS,
+      USER_REQUEST_FORWARD_TIMEOUT_MS,
     );
-    return response === null ? own : replyOf(response);
+    return response === null ? localReply : toHttpReply(response);
   }
 
   /** Now and then they are logged: what users were answered, and why they were refused. */
@@ -76,14 +76,14 @@
     const outcome = refusalCause ?? String(status);
     this.outcomes.set(outcome, (this.outcomes.get(outcome) ?? 0) + 1);
     const now = monotonicNow();
-    if (now - this.loggedAt < LOG_INTERVAL_MS) return;
-    this.loggedAt = now;
+    if (now - this.outcomesLoggedAt < OUTCOMES_LOG_INTERVAL_MS) return;
+    this.outcomesLoggedAt = now;
     this.dependencies.log.info({ outcomes: Object.fromEntries(this.outcomes) }, 'user requests');
     this.outcomes.clear();
   }
 }
 
-const replyOf = ({ status, body, retryAfterS }: PeerResponses['user-request']): HttpReply => ({
+const toHttpReply = ({ status, body, retryAfterS }: PeerResponses['user-request']): HttpReply => ({
   status,
   ...(body === null ? {} : { body: Buffer.from(body) }),
   ...(retryAfterS === null ? {} : { retryAfterS }),
