--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,15 +1,15 @@
 /**
- * The process's clocks, and waiting.
+ * The monotonic clock and the wall clock of this process, and a promise-based sleep.
  *
- * Node's own functions are looked up at each call: the simulation replaces them by virtual time.
+ * Node's global functions are resolved at each call, because the test simulation replaces them with virtual time.
  */
 import type { MonotonicTime, WallTime } from '../core/units.js';
 
-/** Milliseconds that never go back; only meaningful inside this process. */
+/** Milliseconds on the monotonic clock; only comparable within this process. */
 export const monotonicNow = (): MonotonicTime => performance.now() as MonotonicTime;
 
-/** Milliseconds of the time of day; comparable between processes within the clock error. */
+/** Milliseconds since the epoch; comparable between processes within the configured clock error. */
 export const wallClockNow = (): WallTime => Date.now() as WallTime;
 
-/** Resolves after at least this time. */
+/** Resolves after at least `ms` milliseconds. */
 export const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
--- a/src/runtime/cloud/cloud-provider-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -1,4 +1,4 @@
-/** The cloud provider's API, within the part of its rate limit that this controller has. */
+/** Client of the cloud provider's API, within a fraction of the provider's rate limit. */
 import type { PlatformSettings } from '../../config/platform.js';
 import type { ListedMachine, MachineType } from '../../core/machine-info.js';
 import type { MachineId } from '../../core/units.js';
@@ -9,13 +9,13 @@
 import { TokenBucket } from '../key-value-store/token-bucket.js';
 import { HTTP_STATUS } from '../http/http-status.js';
 
-/** What became of a scale-out request. */
+/** Outcome of a scale-out request. */
 export type ScaleOutOutcome =
   | { kind: 'provisioned'; machines: MachineId[] }
   | { kind: 'no-capacity' }
-  /** Rate limit, outage, or over our budget: not carried out. */
+  /** Not executed: rate limit, outage, or over this controller's request budget. */
   | { kind: 'refused' }
-  /** It may have been carried out. */
+  /** The request may have been executed. */
   | { kind: 'unknown' };
 
 const REQUEST_TIMEOUT_MS = 3000;
@@ -23,7 +23,7 @@
 const MAX_IDLE_MS = 20_000;
 const RATE_LIMIT_FRACTION = 0.85;
 const BURST_DURATION_S = 1.5;
-/** What reads leave in the budget: scale-out and scale-in go first. */
+/** Tokens that reads leave in the budget, because scale-out and scale-in take precedence. */
 const TOKENS_RESERVED_FOR_CHANGES = 1;
 const MACHINES_PER_PAGE = 500;
 const MAX_PAGE_ATTEMPTS = 5;
@@ -45,12 +45,12 @@
       burst >= 2 * TOKENS_RESERVED_FOR_CHANGES ? TOKENS_RESERVED_FOR_CHANGES : 0;
   }
 
-  /** The machine types on offer; null while the cloud doesn't answer. */
+  /** Returns the available machine types, or null if the cloud provider does not respond. */
   async listMachineTypes(): Promise<MachineType[] | null> {
     return this.read('/machine_types', wire.parseMachineTypes);
   }
 
-  /** All machines; null while the cloud doesn't answer. */
+  /** Returns all machines, or null if the list could not be read completely. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     let lastId: MachineId | null = null;
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Creates machines; a repeated request of the same name creates no more. */
+  /** Creates machines. The request id makes this idempotent: a repeated request creates no further machines. */
   async createMachines(request: wire.ScaleOutRequest): Promise<ScaleOutOutcome> {
     if (!this.budget.take(1, monotonicNow())) return { kind: 'refused' };
     const body = encode(wire.createMachinesBody(request));
@@ -80,7 +80,7 @@
     return { kind: noCapacity ? 'no-capacity' : 'refused' };
   }
 
-  /** True only when the answer says that the machines are gone. */
+  /** Deletes machines. Returns true only if the cloud provider confirms the deletion. */
   async deleteMachines(machines: MachineId[]): Promise<boolean> {
     if (!this.budget.take(1, monotonicNow())) return false;
     const body = encode(wire.deleteMachinesBody(machines));
@@ -88,13 +88,16 @@
     return result.ok && result.status === HTTP_STATUS.ok;
   }
 
-  /** A page that is refused is asked for again: under a tight budget no list would ever be complete otherwise. */
+  /**
+   * Reads one page, with retries for all pages but the first: with a low rate limit, a list of several pages would
+   * otherwise never be complete.
+   */
   private async readPage(after: MachineId | null): Promise<wire.MachineListPage | null> {
     const target = wire.listMachinesTarget(after, MACHINES_PER_PAGE);
     for (let attempt = 0; attempt < MAX_PAGE_ATTEMPTS; attempt++) {
       if (attempt > 0) await sleep(PAGE_RETRY_DELAY_MS);
       const page = await this.read(target, wire.parseMachines);
-      // Before the first page there is nothing to lose.
+      // A failure of the first page discards no pages, so it is not retried.
       if (page || after === null) return page;
     }
     return null;
--- a/src/runtime/cloud/machine-type-catalog.ts
+++ b/src/runtime/cloud/machine-type-catalog.ts
@@ -1,4 +1,7 @@
-/** The machine types: from the cloud, or while it doesn't answer, from a leader's copy in the key-value store. */
+/**
+ * The machine types, from the cloud provider. While the provider does not respond, the catalog uses the copy that a
+ * leader saved in the key-value store.
+ */
 import type { KeyValueStoreLimits } from '../../config/platform.js';
 import type { MachineType } from '../../core/machine-info.js';
 import type { Change } from '../../wire/key-value-store.js';
@@ -11,7 +14,7 @@
 const REFRESH_INTERVAL_MS = 30_000;
 const RETRY_INTERVAL_MS = 700;
 
-/** In pages that each fit one value; a single type is never divided. */
+/** Splits the types into pages that each fit into one value of the key-value store. A type is never split. */
 export const splitIntoPages = (types: MachineType[], maxValueKb: number): MachineType[][] => {
   const pages: MachineType[][] = [];
   for (const type of types) {
@@ -22,7 +25,7 @@
   return pages;
 };
 
-/** What the catalog depends on. */
+/** Dependencies of the catalog. */
 export interface MachineTypeCatalogDependencies {
   limits: KeyValueStoreLimits;
   cloud: CloudProviderClient;
@@ -31,14 +34,14 @@
   onChange: (types: MachineType[]) => void;
 }
 
-/** Keeps the machine types up to date, and a copy of them for times without the cloud. */
+/** Refreshes the machine types periodically. The leader also saves a copy for outages of the cloud provider. */
 export class MachineTypeCatalog {
-  /** Empty until they are known. */
+  /** The current machine types; empty until they have been read. */
   current: MachineType[] = [];
 
   constructor(private readonly dependencies: MachineTypeCatalogDependencies) {}
 
-  /** Begins to read the machine types, and goes on for good. */
+  /** Starts the periodic refresh, which runs until the process ends. */
   start(): void {
     void this.refreshPeriodically();
   }
@@ -95,7 +98,7 @@
       return;
     }
     const pages = splitIntoPages(types, valueKb);
-    // The first page names the number of pages and is written last: until then the list before holds.
+    // The first page contains the number of pages. It is written last, so that the previous list is valid until then.
     for (const [i, page] of [...pages.entries()].reverse()) {
       const written = await this.write([
         { put: keys.typesPage(i), data: { pages: pages.length, types: page } },
@@ -104,7 +107,7 @@
     }
   }
 
-  /** Writes only while this controller holds the leader's lease. */
+  /** Writes on the condition that this controller still holds the leader's lease. */
   private async write(changes: Change[]): Promise<boolean> {
     const { heldLease } = this.dependencies.election.electionState;
     if (!heldLease) return false;
--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: puts its parts together, and starts them. */
+/** Composition root of a controller process: creates the components, connects them and starts them. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { OperatorSettings } from '../config/operator.js';
@@ -35,14 +35,14 @@
 const FENCING_CHECK_INTERVAL_MS = 1000;
 const REACHABILITY_CHECK_INTERVAL_MS = 500;
 
-/** Processes that start at the same time draw other numbers. */
+/** The process id is part of the random seed, so that processes started at the same time draw different numbers. */
 const PROCESS_ID_SHIFT_BITS = 16;
 const createRandom = (): (() => number) => {
   const generator = xoroshiro128plus((wallClockNow() ^ (process.pid << PROCESS_ID_SHIFT_BITS)) | 0);
   return () => uniformFloat64(generator);
 };
 
-/** The parts live as long as the process. */
+/** One controller. Its components live as long as the process. */
 export class Controller {
   private readonly log: Logger;
   private readonly sockets: SocketBudget;
@@ -92,7 +92,7 @@
     this.peerStatus = this.createPeerStatus();
   }
 
-  /** Listens, and takes part in the cluster until the process ends. */
+  /** Opens the listeners, and takes part in the cluster until the process ends. */
   start(): void {
     this.listen();
     this.leadership.start();
@@ -106,8 +106,8 @@
       IMAGE_LOCATIONS_INTERVAL_MS,
     );
     setInterval(() => this.leadership.resignIfUnreachable(), REACHABILITY_CHECK_INTERVAL_MS);
-    for (const warning of platformWarnings(this.platform)) this.log.info({ warning }, 'settings');
-    this.log.info({ zone: this.platform.zone }, 'started');
+    for (const warning of platformWarnings(this.platform)) this.log.info({ warning }, 'settings warning');
+    this.log.info({ zone: this.platform.zone }, 'controller started');
   }
 
   private createElection(): LeaderElection {
@@ -121,8 +121,8 @@
       events: {
         onElected: () => this.leadership.onElected(),
         onLeadershipLost: (reason) => this.leadership.onLeadershipLost(reason),
-        // The key's lease is alive, so there was a leader at most a lease ago. Guards against workers of a controller
-        // just restarted, which would lose their leases for want of an answer.
+        // The leader key exists only while its lease is alive, so a leader existed at most one lease ago. Without this
+        // record, a controller that has just restarted would let its workers' leases expire until a leader responds.
         onLeaderKeyRead: () => this.heartbeatHandler.recordLeaderSeen(leaseMs),
       },
     });
@@ -264,6 +264,6 @@
   }
 
   private logMalformedPeerMessage(peer: NodeName | null, cause: string): void {
-    this.log.rateLimited('peer-message', 'info', { peer, cause }, 'malformed message of a peer dropped');
+    this.log.rateLimited('peer-message', 'info', { peer, cause }, 'malformed peer message dropped');
   }
 }
--- a/src/runtime/http/connection-pool.ts
+++ b/src/runtime/http/connection-pool.ts
@@ -1,19 +1,22 @@
-/** The open connections of a server, bounded in number. */
+/** Bounded pool of a server's open connections. */
 import type { Socket } from 'node:net';
 
-/** One open connection, and the group of clients that its last request belongs to. */
+/** An open connection, and the client group of its last request. */
 export interface PooledConnection {
   socket: Socket;
   group: string;
 }
 
-/** The group of a connection that has sent no request yet. */
+/** The group of a connection that has not sent a request yet. */
 export const UNKNOWN_GROUP = '';
 
-/** Of the limit: above it replies end their connections, so that more peers than there are sockets take turns. */
+/**
+ * Fraction of the limit above which the server closes connections after each reply, so that more clients than there are
+ * sockets can take turns.
+ */
 const PRESSURE_THRESHOLD_FRACTION = 0.8;
 
-/** Open connections, and which of them wait for a next request, in the order since when. */
+/** Tracks the open connections, and the idle ones in the order in which they became idle. */
 export class ConnectionPool {
   private readonly open = new Set<PooledConnection>();
   private readonly idle = new Set<PooledConnection>();
@@ -21,7 +24,7 @@
 
   constructor(private readonly limit: number) {}
 
-  /** Whether so many connections are open that replies should end theirs. */
+  /** Whether the server should close connections after replies. */
   get underPressure(): boolean {
     return this.open.size > this.limit * PRESSURE_THRESHOLD_FRACTION;
   }
@@ -32,8 +35,9 @@
   }
 
   /**
-   * Guards against peers that open sockets without end: the state, cloud and peer links need some too. A new
-   * connection takes the place of the one that has been idle for longest, of the group that has the most.
+   * Adds a connection. At the limit it replaces the longest idle connection of the largest group that has idle ones;
+   * without idle connections the new one is rejected. The limit keeps clients from using up the sockets that the
+   * connections to the key-value store, the cloud provider and the peers need.
    */
   tryAdd(connection: PooledConnection): boolean {
     if (this.open.size >= this.limit) {
@@ -48,14 +52,14 @@
     return true;
   }
 
-  /** The connection is closed. */
+  /** Removes a closed connection. */
   remove(connection: PooledConnection): void {
     if (!this.open.delete(connection)) return;
     this.idle.delete(connection);
     this.changeGroupSize(connection.group, -1);
   }
 
-  /** A request of a client of this group is being handled: until its reply the connection is not evicted. */
+  /** Marks the connection as handling a request of this client group. It is not evicted until the reply is sent. */
   markBusy(connection: PooledConnection, group: string): void {
     this.idle.delete(connection);
     if (!this.open.has(connection) || group === connection.group) return;
@@ -64,7 +68,7 @@
     connection.group = group;
   }
 
-  /** The connection waits for its next request, or for its end. */
+  /** Marks the connection as waiting for its next request, or for the client to close it. */
   markIdle(connection: PooledConnection): void {
     if (this.open.has(connection)) this.idle.add(connection);
   }
--- a/src/runtime/http/http-client.ts
+++ b/src/runtime/http/http-client.ts
@@ -5,14 +5,14 @@
 import { HttpParser } from './http-parser.js';
 import type { HttpMessage } from './http-message.js';
 
-/** What became of a request; one that failed with `sent: false` was certainly not carried out. */
+/** Outcome of a request. A failed request with `sent: false` was not executed. */
 export type HttpResult =
   { ok: true; status: number; body: Buffer } | { ok: false; cause: string; sent: boolean };
 
 interface ClientConnection {
   socket: Socket;
   parser: HttpParser;
-  /** Ends the request in progress; null while there is none. */
+  /** Completes the request in progress; null while there is none. */
   complete: ((result: HttpResult) => void) | null;
   idleSince: number;
   connected: boolean;
@@ -21,7 +21,7 @@
 const DEFAULT_MAX_IDLE_MS = 30_000;
 const RESPONSE_LIMITS = { headerBytes: 16_384, headerCount: 100, bodyBytes: 16 * 1024 * 1024 };
 
-/** A small pool of kept-alive connections to one address. Never pipelines. */
+/** A small pool of keep-alive connections to one address, without pipelining. */
 export class HttpClient {
   private idle: ClientConnection[] = [];
   private open = 0;
@@ -33,16 +33,20 @@
     private readonly maxBodyBytes = RESPONSE_LIMITS.bodyBytes,
   ) {}
 
-  /** Sends one request, at once or not at all; after `timeoutMs` its connection is dropped. */
+  /** Sends one request; fails immediately if all connections are in use. A timeout closes the connection. */
   request(method: string, target: string, body: Buffer | null, timeoutMs: number): Promise<HttpResult> {
     return new Promise((resolve) => {
       const connection = this.takeConnection();
       if (!connection) {
-        resolve({ ok: false, cause: 'all connections are in use', sent: false });
+        resolve({ ok: false, cause: `all ${this.maxOpen} connections are in use`, sent: false });
         return;
       }
       const onTimeout = (): void =>
-        connection.complete?.({ ok: false, cause: 'no answer in time', sent: connection.connected });
+        connection.complete?.({
+          ok: false,
+          cause: `no response within ${timeoutMs} ms`,
+          sent: connection.connected,
+        });
       const timer = setTimeout(onTimeout, timeoutMs);
       connection.complete = (result) => {
         connection.complete = null;
@@ -54,7 +58,7 @@
     });
   }
 
-  /** Drops the connections that no request uses. */
+  /** Closes the idle connections. */
   close(): void {
     for (const { socket } of this.idle) socket.destroy();
     this.idle = [];
@@ -72,7 +76,7 @@
   private takeConnection(): ClientConnection | null {
     const now = monotonicNow();
     for (let connection = this.idle.pop(); connection; connection = this.idle.pop()) {
-      // A connection that idled for long may have been dropped by the other side without a sign.
+      // The server may have dropped a connection after a long idle time without notice.
       if (!connection.socket.destroyed && now - connection.idleSince <= this.maxIdleMs) return connection;
       connection.socket.destroy();
     }
@@ -93,7 +97,7 @@
     socket.on('connect', () => {
       connection.connected = true;
     });
-    // A connection attempt that was given up never completes later: nothing was sent on it.
+    // An abandoned connection attempt never completes later, so nothing was sent on it.
     socket.on('error', ({ message }) =>
       connection.complete?.({ ok: false, cause: message, sent: connection.connected }),
     );
@@ -105,7 +109,8 @@
     this.open--;
     const last = parser.finish();
     if (last) complete?.({ ok: true, status: last.status, body: last.body });
-    else complete?.({ ok: false, cause: 'connection closed', sent: connected });
+    else
+      complete?.({ ok: false, cause: 'connection closed before the response was complete', sent: connected });
   }
 
   private receive(connection: ClientConnection, chunk: Buffer): void {
@@ -120,7 +125,7 @@
     for (const message of messages) if (!this.onResponse(connection, message)) return;
   }
 
-  /** False for a response that no request awaits: its connection is dropped. */
+  /** Returns false for a response without a request, which closes the connection. */
   private onResponse(connection: ClientConnection, { status, body, keepAlive }: HttpMessage): boolean {
     const { complete, socket } = connection;
     if (!complete) {
--- a/src/runtime/http/http-head.ts
+++ b/src/runtime/http/http-head.ts
@@ -1,11 +1,11 @@
-/** The head of an HTTP/1.1 message: start line, header fields, and what they say of the body's framing. */
-import { HttpError, type HttpMessage } from './http-message.js';
+/** Parser for the head of an HTTP/1.1 message: start line, header fields and body framing. */
+import { excerpt, HttpError, type HttpMessage } from './http-message.js';
 import { HTTP_STATUS } from './http-status.js';
 
-/** Which of the two forms of message a parser reads. */
+/** The kind of message that a parser reads. */
 export type HttpMessageKind = 'request' | 'response';
 
-/** How the end of a message's body is found. */
+/** How the end of a message body is determined. */
 export type BodyFraming = { kind: 'length'; bytes: number } | { kind: 'chunked' } | { kind: 'until-close' };
 
 const NO_BODY: BodyFraming = { kind: 'length', bytes: 0 };
@@ -15,7 +15,7 @@
 const STATUS_LINE = /^HTTP\/1\.([01]) (\d{3})(?: .*)?$/;
 const CONTENT_LENGTH = /^\d{1,15}$/;
 
-/** A message without its body. Throws HttpError on a malformed line. */
+/** Parses the head; the body of the returned message is empty. Throws HttpError on a malformed line. */
 export const parseHead = (kind: HttpMessageKind, lines: readonly string[]): HttpMessage => {
   const message = kind === 'request' ? parseRequestLine(lines[0]) : parseStatusLine(lines[0]);
   for (let i = 1; i < lines.length; i++) addHeader(message.headers, lines[i]);
@@ -26,14 +26,16 @@
 
 const parseRequestLine = (line: string): HttpMessage => {
   const match = REQUEST_LINE.exec(line);
-  if (!match) throw new HttpError(HTTP_STATUS.badRequest, 'bad request line');
+  if (!match)
+    throw new HttpError(HTTP_STATUS.badRequest, `expected an HTTP/1.1 request line, got ${excerpt(line)}`);
   const [, method, target, minorVersion] = match;
   return { method, target, status: 0, headers: new Map(), keepAlive: minorVersion === '1', body: EMPTY };
 };
 
 const parseStatusLine = (line: string): HttpMessage => {
   const match = STATUS_LINE.exec(line);
-  if (!match) throw new HttpError(HTTP_STATUS.badRequest, 'bad status line');
+  if (!match)
+    throw new HttpError(HTTP_STATUS.badRequest, `expected an HTTP/1.1 status line, got ${excerpt(line)}`);
   const [, minorVersion, status] = match;
   return {
     method: '',
@@ -48,29 +50,47 @@
 const addHeader = (headers: Map<string, string>, line: string): void => {
   const colon = line.indexOf(':');
   if (colon <= 0 || !TOKEN.test(line.slice(0, colon)))
-    throw new HttpError(HTTP_STATUS.badRequest, 'bad header field');
+    throw new HttpError(
+      HTTP_STATUS.badRequest,
+      `expected a header field "name: value", got ${excerpt(line)}`,
+    );
   const name = line.slice(0, colon).toLowerCase();
   const value = line.slice(colon + 1).trim();
-  // Two lengths that differ would let two readers see two different messages.
+  // With two different lengths, a proxy and this parser could disagree on where the message ends (request smuggling).
   if (name === 'content-length' && headers.has(name) && headers.get(name) !== value)
-    throw new HttpError(HTTP_STATUS.badRequest, 'two content lengths');
+    throw new HttpError(
+      HTTP_STATUS.badRequest,
+      `conflicting content-length fields: ${excerpt(headers.get(name)!)} and ${excerpt(value)}`,
+    );
   headers.set(name, value);
 };
 
-/** The framing of a message's body; one that runs to the end of its connection can't keep it alive. */
+/** Determines the body framing. A body that ends with its connection clears `keepAlive`. */
 export const bodyFraming = (kind: HttpMessageKind, message: HttpMessage, maxBytes: number): BodyFraming => {
   const coding = message.headers.get('transfer-encoding');
   const length = message.headers.get('content-length');
   if (coding !== undefined) {
     if (coding.toLowerCase() !== 'chunked')
-      throw new HttpError(HTTP_STATUS.notImplemented, 'unknown transfer coding');
-    if (length !== undefined) throw new HttpError(HTTP_STATUS.badRequest, 'two framings');
+      throw new HttpError(
+        HTTP_STATUS.notImplemented,
+        `transfer-encoding: expected "chunked", got ${excerpt(coding)}`,
+      );
+    if (length !== undefined)
+      throw new HttpError(HTTP_STATUS.badRequest, 'both transfer-encoding and content-length given');
     return { kind: 'chunked' };
   }
   if (length !== undefined) {
-    if (!CONTENT_LENGTH.test(length)) throw new HttpError(HTTP_STATUS.badRequest, 'bad content length');
+    if (!CONTENT_LENGTH.test(length))
+      throw new HttpError(
+        HTTP_STATUS.badRequest,
+        `content-length: expected up to 15 digits, got ${excerpt(length)}`,
+      );
     const bytes = Number(length);
-    if (bytes > maxBytes) throw new HttpError(HTTP_STATUS.contentTooLarge, 'body too large');
+    if (bytes > maxBytes)
+      throw new HttpError(
+        HTTP_STATUS.contentTooLarge,
+        `body of ${bytes} bytes exceeds the limit of ${maxBytes}`,
+      );
     return { kind: 'length', bytes };
   }
   const bodiless = kind === 'request' || message.status === 204 || message.status === 304;
--- a/src/runtime/http/http-message.ts
+++ b/src/runtime/http/http-message.ts
@@ -1,18 +1,19 @@
-/** HTTP messages as the parser delivers them, and the error that it refuses them with. */
+/** HTTP messages as parsed, and the error for malformed ones. */
 
 /** A request or a response. */
 export interface HttpMessage {
-  /** Requests: method and target. Responses: empty. */
+  /** The method of a request; empty for a response. */
   method: string;
+  /** The target of a request; empty for a response. */
   target: string;
-  /** Responses: the status. Requests: 0. */
+  /** The status of a response; 0 for a request. */
   status: number;
   headers: Map<string, string>;
   keepAlive: boolean;
   body: Buffer;
 }
 
-/** A malformed or oversized message, and the status that a server answers it with. */
+/** A malformed or oversized message, with the status of the server's response. */
 export class HttpError extends Error {
   constructor(
     readonly status: number,
@@ -21,3 +22,8 @@
     super(message);
   }
 }
+
+const MAX_EXCERPT_LENGTH = 80;
+
+/** The quoted start of a received text, for the message of an HttpError. */
+export const excerpt = (text: string): string => JSON.stringify(text.slice(0, MAX_EXCERPT_LENGTH));
--- a/src/runtime/http/http-parser.ts
+++ b/src/runtime/http/http-parser.ts
@@ -1,16 +1,16 @@
-/** HTTP/1.1 message parser, for requests and responses. Feed it whatever a socket delivers. */
+/** Incremental HTTP/1.1 message parser for requests and responses. */
 import { bodyFraming, parseHead, type HttpMessageKind } from './http-head.js';
-import { HttpError, type HttpMessage } from './http-message.js';
+import { excerpt, HttpError, type HttpMessage } from './http-message.js';
 import { HTTP_STATUS } from './http-status.js';
 
-/** The largest message that a parser takes. */
+/** Limits on the size of a message. */
 export interface HttpParserLimits {
   headerBytes: number;
   headerCount: number;
   bodyBytes: number;
 }
 
-/** What the parser reads next; `remaining` bytes are missing of a body or of a chunk. */
+/** The part of a message that the parser reads next; `remaining` is the number of bytes left of a body or chunk. */
 type ParserState =
   | { phase: 'head' }
   | { phase: 'body'; remaining: number }
@@ -28,7 +28,7 @@
 const CHUNK_SIZE = /^[0-9a-fA-F]{1,8}$/;
 const MAX_CHUNK_LINE_BYTES = 256;
 
-/** Reads the messages of one connection, one after the other. */
+/** Parses the messages of one connection in sequence. */
 export class HttpParser {
   private buffer: Buffer = EMPTY;
   private state: ParserState = { phase: 'head' };
@@ -41,7 +41,7 @@
     private readonly limits: HttpParserLimits,
   ) {}
 
-  /** Returns the messages that this piece completes. Throws HttpError on malformed or oversized input. */
+  /** Returns the messages that this chunk of input completes. Throws HttpError on malformed or oversized input. */
   push(chunk: Buffer): HttpMessage[] {
     this.buffer = this.buffer.length === 0 ? chunk : Buffer.concat([this.buffer, chunk]);
     const completed: HttpMessage[] = [];
@@ -49,7 +49,7 @@
     return completed;
   }
 
-  /** The connection ended: completes a response whose body runs to the end of the connection. */
+  /** Called when the connection is closed; returns the response whose body ends with the connection, if any. */
   finish(): HttpMessage | null {
     if (this.state.phase !== 'until-close') return null;
     const completed: HttpMessage[] = [];
@@ -57,7 +57,7 @@
     return completed[0] ?? null;
   }
 
-  /** Reads one part of a message; false while more input is needed for it. */
+  /** Parses one part of a message; returns false if it needs more input. */
   private step(completed: HttpMessage[]): boolean {
     switch (this.state.phase) {
       case 'head':
@@ -78,19 +78,25 @@
   }
 
   private readHead(completed: HttpMessage[]): boolean {
-    // Stray line ends between messages are allowed by the standard.
+    // RFC 9112 allows empty lines before a message.
     while (this.buffer.length >= 2 && this.buffer[0] === CARRIAGE_RETURN && this.buffer[1] === LINE_FEED)
       this.buffer = this.buffer.subarray(CRLF.length);
     const end = this.buffer.indexOf(HEAD_END);
     if (end < 0 || end > this.limits.headerBytes) {
       if (this.buffer.length > this.limits.headerBytes)
-        throw new HttpError(HTTP_STATUS.headersTooLarge, 'header too large');
+        throw new HttpError(
+          HTTP_STATUS.headersTooLarge,
+          `header exceeds the limit of ${this.limits.headerBytes} bytes`,
+        );
       return false;
     }
     const lines = this.buffer.toString('latin1', 0, end).split('\r\n');
     this.buffer = this.buffer.subarray(end + HEAD_END.length);
     if (lines.length - 1 > this.limits.headerCount)
-      throw new HttpError(HTTP_STATUS.headersTooLarge, 'too many header fields');
+      throw new HttpError(
+        HTTP_STATUS.headersTooLarge,
+        `${lines.length - 1} header fields exceed the limit of ${this.limits.headerCount}`,
+      );
     const message = parseHead(this.kind, lines);
     this.message = message;
     this.state = this.bodyState(message);
@@ -128,10 +134,17 @@
     const line = this.takeLine(MAX_CHUNK_LINE_BYTES);
     if (line === null) return false;
     const hex = line.split(';', 1)[0].trim();
-    if (!CHUNK_SIZE.test(hex)) throw new HttpError(HTTP_STATUS.badRequest, 'bad chunk size');
+    if (!CHUNK_SIZE.test(hex))
+      throw new HttpError(
+        HTTP_STATUS.badRequest,
+        `chunk size: expected up to 8 hexadecimal digits, got ${excerpt(hex)}`,
+      );
     const remaining = parseInt(hex, 16);
     if (this.bodySize + remaining > this.limits.bodyBytes)
-      throw new HttpError(HTTP_STATUS.contentTooLarge, 'body too large');
+      throw new HttpError(
+        HTTP_STATUS.contentTooLarge,
+        `body exceeds the limit of ${this.limits.bodyBytes} bytes`,
+      );
     this.state = remaining === 0 ? { phase: 'trailer' } : { phase: 'chunk-data', remaining };
     return true;
   }
@@ -139,7 +152,8 @@
   private readChunkEnd(): boolean {
     const line = this.takeLine(MAX_CHUNK_LINE_BYTES);
     if (line === null) return false;
-    if (line !== '') throw new HttpError(HTTP_STATUS.badRequest, 'bad chunk end');
+    if (line !== '')
+      throw new HttpError(HTTP_STATUS.badRequest, `expected a line end after a chunk, got ${excerpt(line)}`);
     this.state = { phase: 'chunk-size' };
     return true;
   }
@@ -151,11 +165,14 @@
     return true;
   }
 
-  /** Moves this many bytes from the input to the body. */
+  /** Moves `byteCount` bytes from the input buffer to the body. */
   private moveToBody(byteCount: number): void {
     this.bodySize += byteCount;
     if (this.bodySize > this.limits.bodyBytes)
-      throw new HttpError(HTTP_STATUS.contentTooLarge, 'body too large');
+      throw new HttpError(
+        HTTP_STATUS.contentTooLarge,
+        `body exceeds the limit of ${this.limits.bodyBytes} bytes`,
+      );
     this.bodyParts.push(this.buffer.subarray(0, byteCount));
     this.buffer = this.buffer.subarray(byteCount);
   }
@@ -163,7 +180,8 @@
   private takeLine(maxBytes: number): string | null {
     const end = this.buffer.indexOf(CRLF);
     if (end < 0 || end > maxBytes) {
-      if (this.buffer.length > maxBytes) throw new HttpError(HTTP_STATUS.badRequest, 'line too long');
+      if (this.buffer.length > maxBytes)
+        throw new HttpError(HTTP_STATUS.badRequest, `line exceeds the limit of ${maxBytes} bytes`);
       return null;
     }
     const line = this.buffer.toString('latin1', 0, end);
--- a/src/runtime/http/http-reply.ts
+++ b/src/runtime/http/http-reply.ts
@@ -1,13 +1,13 @@
-/** Replies of the HTTP server, and their form on the connection. */
+/** Replies of the HTTP server, and their encoding. */
 
-/** What a handler answers a request. */
+/** The reply of a request handler. */
 export interface HttpReply {
   status: number;
   body?: Buffer;
   retryAfterS?: number;
-  /** Why the request was refused: for the log, not sent. */
+  /** The reason of a rejection, for the log; not part of the response. */
   refusalCause?: string;
-  /** The state of a job that a user is told: for the log, not sent beside the body. */
+  /** The job status that the body reports, for the log; not sent separately. */
   jobStatus?: string;
 }
 
@@ -27,7 +27,7 @@
   503: 'Service Unavailable',
 };
 
-/** The bytes of a response; without `keepAlive` it announces the end of the connection. */
+/** Encodes a response; without `keepAlive` it contains `Connection: close`. */
 export const encodeReply = ({ status, body, retryAfterS }: HttpReply, keepAlive: boolean): Buffer => {
   let head = `HTTP/1.1 ${status} ${REASON_PHRASES[status] ?? 'Status'}\r\nContent-Length: ${body?.length ?? 0}\r\n`;
   if (body) head += 'Content-Type: application/cbor\r\n';
--- a/src/runtime/http/http-server.ts
+++ b/src/runtime/http/http-server.ts
@@ -1,4 +1,4 @@
-/** The server's side of HTTP/1.1 connections: one request at a time for each, a bounded number of connections. */
+/** HTTP/1.1 server: a bounded number of connections, with one request at a time on each. */
 import type { Socket } from 'node:net';
 import type { Logger } from '../logger.js';
 import { ConnectionPool, UNKNOWN_GROUP, type PooledConnection } from './connection-pool.js';
@@ -7,15 +7,15 @@
 import { encodeReply, type HttpReply } from './http-reply.js';
 import { HTTP_STATUS } from './http-status.js';
 
-/** Answers a request by calling `reply` once, at once or later; further calls are ignored. */
-export type HttpRequestHandler = (request: HttpMessage, reply: (answer: HttpReply) => void) => void;
+/** Handles a request and calls `reply` once, synchronously or later; further calls are ignored. */
+export type HttpRequestHandler = (request: HttpMessage, reply: (reply: HttpReply) => void) => void;
 
-/** Bounds of what clients may take up. */
+/** Limits on the resources that clients can use. */
 export interface HttpServerLimits {
   connections: number;
   idleMs: number;
   bodyBytes: number;
-  /** Who a connection belongs to, by its last request; the larger group is shed first. */
+  /** Client group of a connection, from its last request; at the limit, the largest group loses connections first. */
   clientGroup?: (request: HttpMessage) => string;
 }
 
@@ -29,7 +29,7 @@
   pool: ConnectionPool;
 }
 
-/** Serves requests on the sockets that the returned function is given, within limits that hold for all together. */
+/** Returns a connection handler for a server. The limits apply to all its connections together. */
 export const httpConnectionHandler = (
   limits: HttpServerLimits,
   log: Logger,
@@ -43,13 +43,13 @@
       new ServerConnection(socket, pooled, context).start();
       return;
     }
-    log.rateLimited('sockets', 'info', { open: pool.size }, 'connection refused, all are busy');
+    log.rateLimited('sockets', 'info', { open: pool.size }, 'connection rejected: all connections are busy');
     socket.on('error', () => socket.destroy());
     socket.destroy();
   };
 };
 
-/** Handles one request at a time; later ones wait, and a sender that pipelines is held back. */
+/** Handles one request at a time; pipelined requests are queued, and reading is paused while requests wait. */
 class ServerConnection {
   private state: 'idle' | 'handling' | 'ending' = 'idle';
   private readonly queuedRequests: HttpMessage[] = [];
@@ -67,12 +67,12 @@
     });
   }
 
-  /** Begins to read requests. */
+  /** Starts reading requests. */
   start(): void {
     const { socket, pooled, context } = this;
     socket.setNoDelay(true);
     socket.on('data', (chunk) => this.receive(chunk));
-    // Guards against slow senders: a connection that sends nothing for long is dropped.
+    // Limits slow senders: a connection is closed after the idle timeout, unless a request is being handled.
     socket.setTimeout(context.limits.idleMs, () => {
       if (this.state !== 'handling') socket.destroy();
     });
@@ -97,8 +97,8 @@
     const cause = String(error);
     const handling = this.state === 'handling';
     this.state = 'ending';
-    this.context.log.rateLimited('bad-request', 'debug', { status, cause }, 'malformed request refused');
-    // A reply now would be taken for that of the request in progress: the connection ends without either.
+    this.context.log.rateLimited('bad-request', 'debug', { status, cause }, 'malformed request rejected');
+    // An error reply would be taken for the reply to the request in progress, so the connection is closed without one.
     if (handling) this.socket.destroy();
     else this.socket.end(encodeReply({ status }, false));
   }
@@ -114,25 +114,25 @@
     const { limits, pool, handler } = this.context;
     pool.markBusy(this.pooled, limits.clientGroup?.(request) ?? UNKNOWN_GROUP);
     let replied = false;
-    handler(request, (answer) => {
+    handler(request, (reply) => {
       if (replied) return;
       replied = true;
-      this.reply(request, answer);
+      this.sendReply(request, reply);
     });
   }
 
-  private reply(request: HttpMessage, answer: HttpReply): void {
+  private sendReply(request: HttpMessage, reply: HttpReply): void {
     if (this.state === 'handling') this.state = 'idle';
     if (this.socket.destroyed) return;
     const { pool } = this.context;
     const keepAlive = request.keepAlive && (!pool.underPressure || this.queuedRequests.length > 0);
-    this.socket.write(encodeReply(answer, keepAlive));
+    this.socket.write(encodeReply(reply, keepAlive));
     if (keepAlive) {
       this.handleNext();
       return;
     }
     this.state = 'ending';
     this.socket.end();
-    pool.markIdle(this.pooled); // may be evicted if the other side never closes it
+    pool.markIdle(this.pooled); // can be evicted if the client never closes it
   }
 }
--- a/src/runtime/http/http-status.ts
+++ b/src/runtime/http/http-status.ts
@@ -1,4 +1,4 @@
-/** HTTP status codes that controllers send or act upon. */
+/** The HTTP status codes that controllers send or handle. */
 export const HTTP_STATUS = {
   ok: 200,
   created: 201,
--- a/src/runtime/http/socket-budget.ts
+++ b/src/runtime/http/socket-budget.ts
@@ -1,25 +1,25 @@
-/** One budget of sockets for all uses, derived from the platform's limit: no use can take what another needs. */
+/** Divides the platform's limit on open sockets among all uses, so that no use can exhaust the sockets of another. */
 
-/** Files of the process itself, key-value store (calls, watches, lease), cloud, and some to spare. */
+/** For the process's own files, connections to the key-value store and to the cloud provider, and a margin. */
 const RESERVED_FILE_DESCRIPTORS = 80;
-/** Each peer dials us, we dial it, and old connections linger behind a cut. */
+/** One connection in each direction, and as many that still linger after a network partition. */
 const SOCKETS_PER_PEER = 4;
-/** Connections to our internal address that are not peers'. */
+/** Connections to the internal address other than those of peers. */
 export const MAX_STATUS_CONNECTIONS = 16;
 const MIN_SHARED_SOCKETS = 16;
 const DIRECT_COMMAND_FRACTION = 0.15;
 const MIN_DIRECT_COMMANDS = 4;
 const MAX_DIRECT_COMMANDS = 400;
-/** Connections that wait to be accepted are open sockets, too: after a restart all workers and users come at once. */
+/** Connections waiting to be accepted use sockets too: after a restart, all workers and users connect at once. */
 const BACKLOG_FRACTION = 0.15;
 const MIN_BACKLOG = 4;
 const MAX_BACKLOG = 256;
 
-/** Sockets for each use that has a changing number of them. */
+/** Number of sockets for each use whose number varies. */
 export interface SocketBudget {
-  /** Workers and users together, on the public address. */
+  /** Connections of workers and users on the public address. */
   public: number;
-  /** Those not accepted yet. */
+  /** Connections on the public address that wait to be accepted. */
   backlog: number;
   /** Connections for direct commands to workers. */
   directCommands: number;
@@ -28,7 +28,7 @@
 const clampedFraction = (total: number, fraction: number, min: number, max: number): number =>
   Math.max(min, Math.min(max, Math.floor(total * fraction)));
 
-/** Divides the platform's limit on sockets for a controller with this many peers. */
+/** Returns the socket budget of a controller with `peerCount` peers. */
 export const socketBudget = (limit: number, peerCount: number): SocketBudget => {
   const reserved = RESERVED_FILE_DESCRIPTORS + MAX_STATUS_CONNECTIONS + SOCKETS_PER_PEER * peerCount;
   const shared = Math.max(MIN_SHARED_SOCKETS, limit - reserved);
--- a/src/runtime/key-value-store/key-value-store-client.ts
+++ b/src/runtime/key-value-store/key-value-store-client.ts
@@ -1,4 +1,4 @@
-/** Client of the key-value store: reads, compare-and-swap transactions, leases and watches, within the rate limits. */
+/** Key-value store client: reads, compare-and-swap transactions, leases and watches, within the store's rate limits. */
 import { HTTP_STATUS } from '../http/http-status.js';
 import type { PlatformSettings } from '../../config/platform.js';
 import type { Revision, Uint64 } from '../../core/units.js';
@@ -8,23 +8,23 @@
 import { HttpClient, type HttpResult } from '../http/http-client.js';
 import { RequestBudget } from './request-budget.js';
 
-/** How a read, a watch or a call about a lease ended. */
+/** Outcome of a read, a watch or a lease operation. */
 export type StoreOutcome<T> =
   | { kind: 'ok'; value: T }
-  /** Certainly not carried out: refused by the store, over the budget, or never sent. */
+  /** Not executed: rejected by the store, over the request budget, or never sent. */
   | { kind: 'refused' }
-  /** No usable answer: may have been carried out, or may yet be. */
+  /** No usable response: the request may have been executed, or may still be. */
   | { kind: 'unknown' }
-  /** There is no such key or lease, or the changes asked for are not kept any more. */
+  /** The key or lease does not exist, or the store no longer keeps the requested changes. */
   | { kind: 'gone' };
 
-/** How a transaction ended. */
+/** Outcome of a transaction. */
 export type TransactionOutcome =
   | { kind: 'ok'; revision: Revision }
-  /** Conditions on these keys did not hold. */
+  /** The conditions on the keys in `failed` did not hold. */
   | { kind: 'conflict'; failed: string[] }
   | { kind: 'lease-gone' }
-  /** Never carried out, and never will be in this form: too large, too many changes. */
+  /** Rejected permanently: a value is too large, or there are too many changes. */
   | { kind: 'invalid' }
   | { kind: 'refused' }
   | { kind: 'unknown' };
@@ -32,15 +32,15 @@
 /** All items under a prefix. */
 export interface Listing {
   items: wire.Item[];
-  /** A watch from here misses no change of the items. */
+  /** A watch from this revision misses no change to the items. */
   storeRevision: Revision;
 }
 
-/** What callers leave in the budget for others that must not be starved. */
+/** Tokens that a request must leave in the request budget, so that urgent requests are not starved by normal ones. */
 export const budgetReserves = { urgent: 0, normal: 2 };
 
 const REQUEST_TIMEOUT_MS = 1200;
-/** Beyond the time that the store itself holds a watch open. */
+/** Added to the time for which the store holds a watch open. */
 const WATCH_TIMEOUT_MARGIN_MS = 3000;
 const MAX_IDLE_MS = 20_000;
 const MAX_REQUEST_CONNECTIONS = 24;
@@ -48,14 +48,14 @@
 const MAX_LEASE_CONNECTIONS = 3;
 const ITEMS_PER_PAGE = 1000;
 
-/** One for each controller process. */
+/** The client of one controller process. */
 export class KeyValueStoreClient {
   private readonly requestClient: HttpClient;
   private readonly watchClient: HttpClient;
-  /** A pool of its own. Guards against a leader that loses its lease for want of a connection. */
+  /** A separate pool, because a leader without a free connection for renewals would lose its lease. */
   private readonly leaseClient: HttpClient;
   private readonly budget: RequestBudget;
-  /** Monotonic time of the last answer that was not an error; tells an outage from a time without changes. */
+  /** Monotonic time of the last successful response; distinguishes an outage from a period without changes. */
   lastResponseAt = -Infinity;
 
   constructor({ keyValueStore, keyValueStoreLimits }: PlatformSettings) {
@@ -65,7 +65,7 @@
     this.budget = new RequestBudget(keyValueStoreLimits);
   }
 
-  /** The share of the store's rate limits that this controller keeps to. */
+  /** Sets the fraction of the store's rate limits that this controller uses. */
   setBudgetShare(share: number): void {
     this.budget.setShare(share);
   }
@@ -88,14 +88,14 @@
       );
       if (page.kind !== 'ok') return page;
       items.push(...page.value.items);
-      storeRevision ??= page.value.storeRevision; // the first page's: a watch from there misses nothing
+      storeRevision ??= page.value.storeRevision; // of the first page, so that a watch from it misses no change
       const last = page.value.items.at(-1);
       if (!page.value.more || !last) return { kind: 'ok', value: { items, storeRevision } };
       after = last.key;
     }
   }
 
-  /** Makes all changes at once if all conditions hold. */
+  /** Applies all changes atomically if all conditions hold. */
   async transact(
     transaction: wire.Transaction,
     reserve = budgetReserves.normal,
@@ -113,14 +113,14 @@
     return this.transactionOutcome(reply.status, tryDecode(reply.body));
   }
 
-  /** Asks for a new lease. */
+  /** Requests a new lease. */
   async grantLease(ttlMs: number): Promise<StoreOutcome<Uint64>> {
     const encoded = encode(wire.leaseBody(ttlMs));
     const reply = await this.leaseClient.request('POST', wire.LEASES_TARGET, encoded, REQUEST_TIMEOUT_MS);
     return this.outcome(reply, wire.parseLease);
   }
 
-  /** Renewals pass the budget by: nothing may starve them. */
+  /** Renews a lease. Lease requests bypass the request budget, so that other requests cannot starve them. */
   async renewLease(lease: Uint64): Promise<StoreOutcome<true>> {
     const reply = await this.leaseClient.request(
       'POST',
@@ -131,17 +131,17 @@
     return this.outcome(reply, () => true as const);
   }
 
-  /** Ends a lease before its time, with the keys attached to it. */
+  /** Revokes a lease, which deletes the keys attached to it. */
   async revokeLease(lease: Uint64): Promise<void> {
     await this.leaseClient.request('DELETE', wire.leaseTarget(lease), null, REQUEST_TIMEOUT_MS);
   }
 
-  /** What has changed since, at once. */
+  /** Returns the changes since a revision, without waiting. */
   async changesSince(prefix: string, since: Revision): Promise<StoreOutcome<wire.Changes>> {
     return this.read(wire.watchTarget(prefix, since, 0), wire.parseChanges, budgetReserves.urgent);
   }
 
-  /** What has changed since, as soon as there is anything, and without any after this time. */
+  /** Returns the changes since a revision as soon as there are any, or none after `waitMs`. */
   async watch(prefix: string, since: Revision, waitMs: number): Promise<StoreOutcome<wire.Changes>> {
     const target = wire.watchTarget(prefix, since, waitMs);
     const reply = await this.watchClient.request('GET', target, null, waitMs + WATCH_TIMEOUT_MARGIN_MS);
--- a/src/runtime/key-value-store/list-with-retry.ts
+++ b/src/runtime/key-value-store/list-with-retry.ts
@@ -1,10 +1,10 @@
-/** Lists a prefix of the store for those that can't begin without it. */
+/** Listing of a key prefix with retries, for components that cannot start without it. */
 import { sleep } from '../clock.js';
 import type { KeyValueStoreClient, Listing } from './key-value-store-client.js';
 
 const RETRY_MS = 200;
 
-/** Tries until the store answers; null once stopped. */
+/** Lists a prefix, and retries until the store responds. Returns null once `isStopped` returns true. */
 export const listWithRetry = async (
   store: KeyValueStoreClient,
   prefix: string,
--- a/src/runtime/key-value-store/request-budget.ts
+++ b/src/runtime/key-value-store/request-budget.ts
@@ -1,26 +1,26 @@
-/** This controller's share of the key-value store's rate limits, which hold for all controllers together. */
+/** This controller's share of the key-value store's rate limits, which all controllers use together. */
 import { HTTP_STATUS } from '../http/http-status.js';
 import type { KeyValueStoreLimits } from '../../config/platform.js';
 import { monotonicNow, sleep } from '../clock.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** A request may wait this long for its turn, and so many may wait; beyond, it is refused at once. */
+/** Limits on the queue for tokens: a request beyond either of them is rejected immediately. */
 const MAX_WAIT_MS = 250;
 const MAX_WAITING_REQUESTS = 24;
-/** Added to the time until a token is there, against timers that fire early. */
+/** Added to the wait for a token, because timers can fire early. */
 const TIMER_SLACK_MS = 1;
 
 const INITIAL_SHARE = 1 / 3;
-/** What remains unused of a share, for the renewals that pass the budget by and for inexact timers. */
+/** The rest of the share is left for lease renewals, which bypass the budget, and for timer inaccuracy. */
 const USABLE_FRACTION = 0.9;
 const MIN_BURST_TOKENS = 4;
 
-/** How the share shrinks with each refusal of the store, and grows with each other answer. */
+/** The rate decreases by a factor at each 429 response of the store, and increases by a step at each other response. */
 const THROTTLE_DECREASE_FACTOR = 0.85;
 const MIN_THROTTLE_FACTOR = 0.3;
 const THROTTLE_RECOVERY_STEP = 0.004;
 
-/** Two token buckets, one of requests and one of writes. */
+/** Rate limiter with one token bucket for requests and one for writes. */
 export class RequestBudget {
   private readonly requests: TokenBucket;
   private readonly writes: TokenBucket;
@@ -35,15 +35,15 @@
     this.applyRates();
   }
 
-  /** The share of the store's limits that this controller keeps to. */
+  /** Sets the fraction of the store's limits that this controller uses. */
   setShare(share: number): void {
     this.share = share;
     this.applyRates();
   }
 
   /**
-   * The shares add up to more than the whole, since seldom all controllers are busy at once. When they are, the
-   * store refuses with 429, and each takes less for a while.
+   * Adapts the rate to the status of a response. The shares of all controllers add up to more than the store's limits,
+   * because they are rarely all busy. When they are, the store responds with 429, and each controller throttles itself.
    */
   recordStatus(status: number): void {
     const before = this.throttleFactor;
@@ -53,7 +53,7 @@
     if (this.throttleFactor !== before) this.applyRates();
   }
 
-  /** Takes a turn in both budgets, at once or after a short wait; false: the request is not to be sent. */
+  /** Takes tokens from both buckets, possibly after a short wait. Returns false if the request must not be sent. */
   async acquire(requests: number, writes: number, reserve: number): Promise<boolean> {
     const startedAt = monotonicNow();
     for (;;) {
--- a/src/runtime/key-value-store/token-bucket.ts
+++ b/src/runtime/key-value-store/token-bucket.ts
@@ -1,8 +1,8 @@
-/** Token bucket: keeps what is sent below a service's published limits. */
+/** Token bucket that keeps the request rate below the published limits of a service. */
 
 const MS_PER_S = 1000;
 
-/** Fills at a rate a second, up to a burst. */
+/** Refills at `ratePerS` tokens per second, up to `burst` tokens. */
 export class TokenBucket {
   private tokens: number;
   private refilledAt: number;
@@ -16,7 +16,7 @@
     this.refilledAt = now;
   }
 
-  /** What was saved up stays, as far as the new burst allows. */
+  /** Changes the rate and the burst; tokens up to the new burst are kept. */
   setRate(ratePerS: number, burst: number, now: number): void {
     this.refill(now);
     this.ratePerS = ratePerS;
@@ -24,7 +24,7 @@
     this.tokens = Math.min(this.tokens, burst);
   }
 
-  /** Takes `count` if that leaves `reserve`; urgent callers pass a lower reserve than the others. */
+  /** Takes `count` tokens if at least `reserve` tokens remain; urgent callers pass a lower reserve. */
   take(count: number, now: number, reserve = 0): boolean {
     this.refill(now);
     if (this.tokens - count < reserve) return false;
@@ -32,7 +32,7 @@
     return true;
   }
 
-  /** Milliseconds until `count` could be taken, if nobody else took any. */
+  /** Milliseconds until `count` tokens can be taken, provided that no other caller takes any. */
   waitMs(count: number, now: number, reserve = 0): number {
     this.refill(now);
     const missing = count + reserve - this.tokens;
--- a/src/runtime/listeners.ts
+++ b/src/runtime/listeners.ts
@@ -1,4 +1,4 @@
-/** The two addresses that a controller listens on. */
+/** The listeners on the public and the internal address of a controller. */
 import { createServer, type Socket } from 'node:net';
 import type { Address } from '../config/address.js';
 import type { PeerRequest } from '../wire/peer-messages.js';
@@ -23,13 +23,13 @@
 ): void => {
   const server = createServer(onConnection);
   server.on('error', (error) => {
-    log.error({ cause: error.message, ...address }, 'cannot listen');
+    log.error({ cause: error.message, ...address }, 'cannot listen on address');
     process.exit(1);
   });
   server.listen({ ...address, backlog });
 };
 
-/** For workers, users and the load balancer. */
+/** Starts the HTTP listener for workers, users and the load balancer. */
 export const startPublicListener = (
   address: Address,
   sockets: SocketBudget,
@@ -45,18 +45,21 @@
   startServer(address, httpConnectionHandler(limits, log, handler), sockets.backlog, log);
 };
 
-/** Who answers on the internal address. */
+/** Handlers of the requests on the internal address. */
 export interface InternalHandlers {
   statusPage: (request: HttpMessage) => HttpReply;
-  /** The response in its encoded form. */
+  /** Resolves to the encoded response. */
   peerRequest: (request: PeerRequest) => Promise<unknown>;
   onMalformedPeerRequest: (cause: string) => void;
 }
 
-/** A frame's first byte is always 0, so a plain HTTP request for the status page is told apart by its first. */
+/**
+ * The first byte of a peer frame is always 0: the length prefix is big-endian, and frames are smaller than 16 MiB. An
+ * HTTP request for the status page starts with a letter.
+ */
 const FRAME_FIRST_BYTE = 0;
 
-/** For peers and for the status page. */
+/** Starts the listener for peers and for the status page; the first byte of a connection selects the protocol. */
 export const startInternalListener = (address: Address, handlers: InternalHandlers, log: Logger): void => {
   const limits = {
     connections: MAX_STATUS_CONNECTIONS,
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -10,7 +10,7 @@
 
 const parseLevel = (raw: string | undefined): Level => (raw === 'error' || raw === 'debug' ? raw : 'info');
 
-/** Writes synchronously: a killed process loses no line. */
+/** Writes JSON log lines synchronously, so that a process that is killed loses none. */
 export class Logger {
   private readonly sink;
   private readonly lastWritten = new Map<string, { at: number; skipped: number }>();
@@ -26,24 +26,24 @@
     );
   }
 
-  /** What needs an operator. */
+  /** Logs an event that needs an operator's attention. */
   error(fields: Fields, text: string): void {
     this.sink.error(fields, text);
   }
 
-  /** What the controller does, in normal operation. */
+  /** Logs an event of normal operation. */
   info(fields: Fields, text: string): void {
     this.sink.info(fields, text);
   }
 
-  /** Each single request, lease renewal and placement. */
+  /** Logs an event that occurs for each request, lease renewal or placement. */
   debug(fields: Fields, text: string): void {
     this.sink.debug(fields, text);
   }
 
   /**
-   * At most one line a second for each key. Guards against a failing neighbour that costs this controller its share of
-   * the processor.
+   * Logs at most one line per second for each key, with the number of lines skipped since the last one. Without the
+   * limit, a failing peer, worker or client could use up this controller's CPU share through log lines.
    */
   rateLimited(key: string, level: Level, fields: Fields, text: string): void {
     const now = monotonicNow();
--- a/src/runtime/peers/frame-codec.ts
+++ b/src/runtime/peers/frame-codec.ts
@@ -1,15 +1,15 @@
 /**
- * Frames between controllers: a length of four bytes, then a request or a response in CBOR.
+ * Codec for the frames between controllers: a big-endian length of four bytes, then a request or a response in CBOR.
  *
- * The encoded fields are `i` (the request's id), `q` (the request) and `a` (the response): they go with each message.
+ * The encoded fields are `i` (request id), `q` (request) and `a` (response); short names keep the frames small.
  */
 import { encode, tryDecode } from '../../wire/cbor.js';
 
-/** Larger frames end the connection. */
+/** A larger frame closes the connection. */
 const MAX_FRAME_BYTES = 256 * 1024;
 const LENGTH_PREFIX_BYTES = 4;
 
-/** A request, or the response to it; one that can't say responds null. */
+/** A request or the response to it. The response is null if the peer has none. */
 export interface Frame {
   requestId: number;
   request?: unknown;
@@ -29,15 +29,15 @@
   return Buffer.concat([length, body]);
 };
 
-/** The bytes of a request. */
+/** Encodes a request. */
 export const encodeRequestFrame = (requestId: number, request: unknown): Buffer =>
   encodeFrame({ i: requestId, q: request });
 
-/** The bytes of a response. */
+/** Encodes a response. */
 export const encodeResponseFrame = (requestId: number, response: unknown): Buffer =>
   encodeFrame({ i: requestId, a: response });
 
-/** Null for what is no frame. */
+/** Returns null for a malformed frame. */
 const decodeFrame = (body: Buffer): Frame | null => {
   const value = tryDecode(body);
   if (typeof value !== 'object' || value === null) return null;
@@ -49,7 +49,7 @@
 export class FrameReader {
   private buffer: Buffer = Buffer.alloc(0);
 
-  /** The frames that this chunk completes; null once the stream is broken. */
+  /** Returns the frames that this chunk completes, or null if the stream contains an oversized or malformed frame. */
   push(chunk: Buffer): Frame[] | null {
     this.buffer = this.buffer.length === 0 ? chunk : Buffer.concat([this.buffer, chunk]);
     const frames: Frame[] = [];
--- a/src/runtime/peers/frame-writer.ts
+++ b/src/runtime/peers/frame-writer.ts
@@ -1,15 +1,15 @@
-/** Writes frames to a socket, those that come close together at once. */
+/** Writes frames to a socket in batches. */
 import type { Socket } from 'node:net';
 
 const BATCH_DELAY_MS = 5;
 
-/** Each write and each packet costs its processor time, so frames are gathered for a moment. */
+/** Collects frames for a few milliseconds, because each write and each packet costs CPU time. */
 export class FrameWriter {
   private frames: Buffer[] = [];
 
   constructor(private readonly socket: Socket) {}
 
-  /** Sends it soon, unless the socket is closed by then. */
+  /** Queues a frame for the next batch. The batch is dropped if the socket is closed by then. */
   push(frame: Buffer): void {
     this.frames.push(frame);
     if (this.frames.length > 1) return;
--- a/src/runtime/peers/image-locations.ts
+++ b/src/runtime/peers/image-locations.ts
@@ -1,4 +1,7 @@
-/** Which machine caches which images, as the leader tells its peers page by page; kept for the next leader. */
+/**
+ * The images that each machine caches. The leader sends them to its peers in pages, and the next leader starts with the
+ * copy that its controller holds.
+ */
 import type { ImageLocations } from '../../core/leader/effects.js';
 import type { Leader } from '../../core/leader/leader.js';
 import { monotonicNow } from '../clock.js';
@@ -8,14 +11,14 @@
 const RETENTION_MS = 60_000;
 const RESPONSE_TIMEOUT_MS = 1000;
 
-/** What this controller knows of the caches of machines. */
+/** This controller's copy of the image locations. */
 export class ImageLocationStore {
   private readonly byMachine = new Map<string, { images: ImageLocations[string]; receivedAt: number }>();
   private nextMachine = 0;
 
   /**
-   * The next page of all. Guards against a message that outgrows a frame: a peer that gets one too large ends the
-   * connection.
+   * Returns the next page of `all`, starting over at the end. Pages keep each message below the maximum frame size: a
+   * peer closes the connection when it receives a larger frame.
    */
   nextPage(all: ImageLocations): ImageLocations {
     const ids = Object.keys(all);
@@ -25,22 +28,22 @@
     return Object.fromEntries(pageIds.map((id) => [id, all[id]]));
   }
 
-  /** Adds to what is known; machines that were not named for long are forgotten. */
+  /** Stores the locations of a page, and drops machines that no page has contained within the retention time. */
   merge(page: ImageLocations, now: number): void {
     for (const [id, images] of Object.entries(page)) this.byMachine.set(id, { images, receivedAt: now });
     for (const [id, { receivedAt: at }] of this.byMachine)
       if (now - at > RETENTION_MS) this.byMachine.delete(id);
   }
 
-  /** What a new leader is loaded with. */
+  /** All locations, for a new leader of this controller. */
   all(): ImageLocations {
     return Object.fromEntries([...this.byMachine].map(([id, { images }]) => [id, images]));
   }
 }
 
 /**
- * Tells every peer the leader's next page: a new leader finds out by heartbeats what runs where, but not which images are
- * cached.
+ * Sends the leader's next page to every peer. A new leader learns from heartbeats which tasks run where, but not which
+ * images are cached.
  */
 export const shareImageLocations = (
   leader: Leader | null,
--- a/src/runtime/peers/leader-route.ts
+++ b/src/runtime/peers/leader-route.ts
@@ -1,4 +1,4 @@
-/** The way to the leader: the link to it, or through a peer that reaches it while the network between the two is cut. */
+/** Routes to the leader: directly, or through a peer that reaches the leader while this controller cannot. */
 import type { NodeName, MonotonicTime, Term } from '../../core/units.js';
 import {
   parsePeerResponse,
@@ -8,13 +8,16 @@
 } from '../../wire/peer-messages.js';
 import type { PeerLink } from './peer-link.js';
 
-/** A peer gives up on the leader's response before the controller that asked gives up on the peer. */
+/**
+ * How long a forwarding peer waits for the leader's response. This is shorter than the timeout of the controller whose
+ * heartbeat is forwarded, so that the peer responds within that timeout.
+ */
 export const PEER_TO_LEADER_TIMEOUT_MS = 2000;
 
-/** A way to a leader. */
+/** A route to a leader. */
 export interface LeaderRoute {
   leader: LeaderStatus;
-  /** The peer in between; null when the leader is asked directly. */
+  /** The peer that forwards the requests; null for a direct route. */
   forwarder: NodeName | null;
   sendRequest: <R extends LeaderRequest>(
     request: R,
@@ -22,7 +25,7 @@
   ) => Promise<PeerResponses[R['kind']] | null>;
 }
 
-/** Whether both lead to the same leadership in the same way. */
+/** Whether both routes lead to the same leader and term through the same peer, if any. */
 export const sameRoute = (a: LeaderRoute, b: LeaderRoute): boolean =>
   a.leader.node === b.leader.node && a.leader.term === b.leader.term && a.forwarder === b.forwarder;
 
@@ -54,14 +57,17 @@
 
 const isRoute = (route: LeaderRoute | null): route is LeaderRoute => route !== null;
 
-/** Finds the way to the leader, or else to whoever holds its lease, among those of at least this term. */
+/**
+ * Finds a route to the leader. Without a controller that leads, it falls back to one that holds the leader's lease
+ * without authority.
+ */
 export class LeaderRoutes {
   constructor(
     private readonly links: PeerLink[],
     private readonly ownName: NodeName,
   ) {}
 
-  /** Direct ways come first; null where no leader is reached. */
+  /** Returns a route to a leader of at least `minTerm`, preferably direct; null if no leader is reachable. */
   find(minTerm: Term, now: MonotonicTime): LeaderRoute | null {
     const alive = this.links.filter((link) => link.isAlive(now));
     const routes = [...alive.map(directRoute), ...alive.map(forwardedRoute)]
@@ -72,7 +78,7 @@
     );
   }
 
-  /** What this controller tells its peers: only a leader that it reaches directly, so that no request goes in a circle. */
+  /** The leader that peers can reach through this controller: only a direct route, so that no request loops. */
   directlyReachableLeader(minTerm: Term, now: MonotonicTime): LeaderStatus | null {
     const route = this.find(minTerm, now);
     return route?.forwarder === null ? route.leader : null;
--- a/src/runtime/peers/peer-handler.ts
+++ b/src/runtime/peers/peer-handler.ts
@@ -1,4 +1,4 @@
-/** Answers what other controllers ask. */
+/** Handles the requests of other controllers. */
 import type { JobId } from '../../core/units.js';
 import { parsePosition } from '../../wire/cancellation-pages.js';
 import {
@@ -20,7 +20,7 @@
 import { PEER_TO_LEADER_TIMEOUT_MS } from './leader-route.js';
 import type { PeerLink } from './peer-link.js';
 
-/** What answers are made of. */
+/** Dependencies of the request handlers. */
 export interface PeerHandlerDependencies {
   links: PeerLink[];
   election: LeaderElection;
@@ -28,19 +28,19 @@
   cancellations: CancellationFeed;
   users: UserApi;
   imageLocations: ImageLocationStore;
-  /** The leader's loop while this controller leads. */
+  /** The leader loop; null while this controller does not lead. */
   leaderLoop: () => LeaderLoop | null;
   status: () => PeerStatus;
-  /** A peer tells its status. */
+  /** Called with the status that a peer reports. */
   onPeerStatus: (status: PeerStatus) => void;
   taskCounts: (job: JobId) => TaskCounts | null;
 }
 
-/** Null: this controller can't say. */
+/** Null if this controller cannot respond, for example because it does not lead. */
 type Response<K extends PeerKind> = PeerResponses[K] | null;
 type Handlers = { [K in PeerKind]: (request: RequestOf<K>) => Response<K> | Promise<Response<K>> };
 
-/** One method for each kind of request. */
+/** Dispatches each kind of request to its method. */
 export class PeerHandler {
   private readonly handlers: Handlers = {
     heartbeat: (request) => this.onHeartbeat(request),
@@ -56,7 +56,7 @@
 
   constructor(private readonly dependencies: PeerHandlerDependencies) {}
 
-  /** The response in its encoded form. */
+  /** Handles a request and returns the encoded response. */
   async handle(request: PeerRequest): Promise<unknown> {
     const handle = this.handlers[request.kind] as (request: PeerRequest) => unknown;
     return encodePeerResponse(request.kind, (await handle(request)) as never);
@@ -95,7 +95,10 @@
     return { fullHeartbeatNeeded: leads ? (leaderLoop()?.onUnchangedHeartbeats(heartbeats) ?? null) : null };
   }
 
-  /** For a peer that can't reach the leader. Only what goes to a leader, so nothing is forwarded twice. */
+  /**
+   * Forwards a request of a peer that cannot reach the leader. Only requests to a leader are accepted, so a request is
+   * forwarded at most once.
+   */
   private async forward({ to, request }: RequestOf<'forward'>): Promise<unknown> {
     const now = monotonicNow();
     const link = this.dependencies.links.find((peer) => peer.name === to && peer.isAlive(now));
--- a/src/runtime/peers/peer-link.ts
+++ b/src/runtime/peers/peer-link.ts
@@ -1,4 +1,4 @@
-/** The connection to one peer. Each controller dials every peer, and sends its requests and heartbeats there. */
+/** The connection to one peer. Each controller connects to every peer and sends its requests and heartbeats there. */
 import { connect, type Socket } from 'node:net';
 import type { PlatformSettings } from '../../config/platform.js';
 import type { CancellationLogPosition, CancellationLogPage } from '../../core/cancellation-log.js';
@@ -17,19 +17,20 @@
 import { PendingRequests } from './pending-requests.js';
 
 const HEARTBEAT_INTERVAL_MS = 400;
-/** Without a heartbeat's response for so long the peer counts as unreachable. */
+/** A peer counts as unreachable after this time without a response to a heartbeat. */
 const DETECTION_TIMEOUT_MS = 2000;
 const RECONNECT_DELAY_MS = 500;
 const CONNECT_TIMEOUT_MS = 1500;
 
-/** What each heartbeat asks a peer about cancellations, and where its answer goes. */
+/** Exchange of the cancellation logs, which is part of each heartbeat. */
 export interface CancellationExchange {
+  /** The position up to which this controller holds the peer's cancellation log. */
   positionOf: (peer: NodeName) => CancellationLogPosition | null;
   onPeerPage: (peer: NodeName, page: CancellationLogPage, requestedAt: MonotonicTime) => void;
   onMalformedPage: (peer: NodeName, cause: string) => void;
 }
 
-/** What a link needs. */
+/** Dependencies of a link. */
 export interface PeerLinkDependencies {
   peer: PlatformSettings['peers'][number];
   ownStatus: () => PeerStatus;
@@ -44,9 +45,9 @@
 const CLOSED: Connection = { state: 'closed' };
 const CONNECTING: Connection = { state: 'connecting' };
 
-/** One for each peer, for as long as the process runs. */
+/** The link to one peer; lives as long as the process. */
 export class PeerLink {
-  /** What the peer said last of itself. */
+  /** The last status that the peer reported. */
   status: PeerStatus | null = null;
   private connection: Connection = CLOSED;
   private readonly pending = new PendingRequests();
@@ -66,26 +67,26 @@
     return this.dependencies.peer.zone;
   }
 
-  /** It answered a heartbeat lately. */
+  /** Whether the peer has responded to a heartbeat within the detection timeout. */
   isAlive(now: number): boolean {
     return now - this.lastHeartbeatAt < DETECTION_TIMEOUT_MS;
   }
 
   /**
-   * Its address answers with a refusal: the network in between works, unlike in a partition, and a worker may well
-   * reach it. It may also be dead.
+   * Whether the peer's address actively refused a connection recently. Unlike in a partition, the network to the peer
+   * works, so workers may be able to reach the peer. The peer may also be down.
    */
   refusesConnections(now: number): boolean {
     return this.connection.state !== 'connected' && now - this.connectionRefusedAt < DETECTION_TIMEOUT_MS;
   }
 
-  /** Dials, again and again, and sends heartbeats. */
+  /** Connects, reconnects whenever the connection is closed, and sends periodic heartbeats. */
   start(): void {
     this.openConnection();
     setInterval(() => void this.sendHeartbeat(), HEARTBEAT_INTERVAL_MS);
   }
 
-  /** Null without a response in time, or with one of another shape. */
+  /** Sends a request. Resolves to null if there is no response within the timeout, or if the response is malformed. */
   async sendRequest<R extends PeerRequest>(
     request: R,
     timeoutMs: number,
@@ -101,7 +102,7 @@
 
   private sendEncoded(request: PeerRequest, timeoutMs: number): Promise<unknown> {
     const { connection, pending } = this;
-    // Heartbeats pass: a link full of other requests is not a dead one.
+    // Heartbeats are exempt from the limit: a link with many pending requests must not count as unreachable.
     const full = pending.isFull && request.kind !== 'heartbeat';
     if (connection.state !== 'connected' || full) return Promise.resolve(null);
     return pending.send(connection.writer, encodePeerRequest(request), timeoutMs);
@@ -130,7 +131,7 @@
     else cancellations.onMalformedPage(this.name, page.cause);
   }
 
-  /** A connection without answers may be cut off: a new one works as soon as the partition ends. */
+  /** Closes a connection without responses. After a partition, a new connection works sooner than the old one. */
   private closeIfUnresponsive(): void {
     if (this.connection.state === 'connected' && !this.isAlive(monotonicNow()))
       this.connection.socket.destroy();
--- a/src/runtime/peers/peer-server.ts
+++ b/src/runtime/peers/peer-server.ts
@@ -1,11 +1,11 @@
-/** Answers what a peer asks on its connection. */
+/** Server side of a peer connection. */
 import type { Socket } from 'node:net';
 import { parsePeerRequest, type PeerRequest } from '../../wire/peer-messages.js';
 import { encodeResponseFrame, FrameReader, type Frame } from './frame-codec.js';
 import { FrameWriter } from './frame-writer.js';
 import { MAX_PENDING_REQUESTS } from './pending-requests.js';
 
-/** Responses are given in their encoded form. */
+/** Reads requests from the socket, and writes the encoded responses that `handle` resolves to. */
 export const servePeer = (
   socket: Socket,
   handle: (request: PeerRequest) => Promise<unknown>,
@@ -14,14 +14,14 @@
   const reader = new FrameReader();
   const writer = new FrameWriter(socket);
   let pendingCount = 0;
-  const respond = ({ requestId, request: encoded }: Frame): void => {
+  const handleFrame = ({ requestId, request: encoded }: Frame): void => {
     const request = parsePeerRequest(encoded);
     if (!request.ok) {
       onMalformed(request.cause);
-      writer.push(encodeResponseFrame(requestId, null)); // at once, rather than let the peer wait
+      writer.push(encodeResponseFrame(requestId, null)); // so that the peer does not wait for its timeout
       return;
     }
-    // A peer that asks faster than it can be answered gets no response; its heartbeats pass.
+    // Requests beyond the limit are dropped without a response, except heartbeats.
     if (pendingCount >= MAX_PENDING_REQUESTS && request.value.kind !== 'heartbeat') return;
     pendingCount++;
     void handle(request.value).then((response) => {
@@ -32,7 +32,7 @@
   socket.on('data', (chunk) => {
     const frames = reader.push(chunk);
     if (frames === null) socket.destroy();
-    else for (const frame of frames) respond(frame);
+    else for (const frame of frames) handleFrame(frame);
   });
   socket.on('error', () => socket.destroy());
 };
--- a/src/runtime/peers/peer-status.ts
+++ b/src/runtime/peers/peer-status.ts
@@ -1,4 +1,4 @@
-/** What controllers tell one another of themselves with each heartbeat, and what follows from it. */
+/** The status that controllers exchange with each heartbeat. */
 import { highestKnownTerm } from '../../core/election.js';
 import type { NodeName } from '../../core/units.js';
 import type { PeerStatus } from '../../wire/peer-messages.js';
@@ -7,7 +7,7 @@
 import type { LeadershipManager } from '../leadership/leadership-manager.js';
 import type { HeartbeatHandler } from '../workers/heartbeat-handler.js';
 
-/** What a status is made of. */
+/** Sources and receivers of status information. */
 export interface PeerStatusDependencies {
   node: NodeName;
   election: LeaderElection;
@@ -16,11 +16,11 @@
   health: HealthCheck;
 }
 
-/** This controller's status, and those of its peers. */
+/** Builds this controller's status, and applies the status of its peers. */
 export class PeerStatusExchange {
   constructor(private readonly dependencies: PeerStatusDependencies) {}
 
-  /** What peers are told. */
+  /** The status that this controller reports to its peers. */
   ownStatus(): PeerStatus {
     const { node, election, leadership, heartbeatHandler, health } = this.dependencies;
     return {
@@ -35,7 +35,7 @@
     };
   }
 
-  /** A peer tells its status. */
+  /** Records which leaders a peer knows. */
   onPeerStatus(status: PeerStatus): void {
     const { election, heartbeatHandler } = this.dependencies;
     const { node, term, leading, holdsLease, reachableLeader, leaderSeenAgoMs } = status;
--- a/src/runtime/peers/pending-requests.ts
+++ b/src/runtime/peers/pending-requests.ts
@@ -1,21 +1,21 @@
-/** Requests to a peer that await their responses, many at a time over one connection. */
+/** Requests to a peer that wait for their responses, multiplexed over one connection. */
 import { encodeRequestFrame, type Frame } from './frame-codec.js';
 import type { FrameWriter } from './frame-writer.js';
 
-/** Enough for the heartbeats of a large cluster while the leader pauses for as long as a forwarded one waits. */
+/** Enough for the forwarded heartbeats of a large cluster while the leader pauses for the duration of their timeout. */
 export const MAX_PENDING_REQUESTS = 1024;
 
-/** Matches responses to requests by their ids. */
+/** Matches responses to requests by request id. */
 export class PendingRequests {
   private nextId = 1;
   private readonly completions = new Map<number, (response: unknown) => void>();
 
-  /** So many await a response that others are not to be sent. */
+  /** Whether the limit of pending requests is reached. */
   get isFull(): boolean {
     return this.completions.size >= MAX_PENDING_REQUESTS;
   }
 
-  /** Sends a request in its encoded form; null without a response in time. */
+  /** Sends an encoded request. Resolves to the encoded response, or to null after the timeout. */
   send(writer: FrameWriter, request: unknown, timeoutMs: number): Promise<unknown> {
     return new Promise((resolve) => {
       const requestId = this.nextId++;
@@ -30,12 +30,12 @@
     });
   }
 
-  /** A response without a request, as after its time, is dropped. */
+  /** Completes the request that a response belongs to. A response after the timeout is ignored. */
   onResponse({ requestId, response }: Frame): void {
     this.completions.get(requestId)?.(response);
   }
 
-  /** The connection has ended: no response comes any more. */
+  /** Completes all pending requests with null, after the connection is closed. */
   failAll(): void {
     for (const finish of [...this.completions.values()]) finish(null);
   }
--- a/src/runtime/peers/task-counts.ts
+++ b/src/runtime/peers/task-counts.ts
@@ -1,4 +1,4 @@
-/** How many of a job's tasks are done and running, from the leader: for display only. */
+/** Looks up the numbers of completed and running tasks of a job at the leader; for display only. */
 import type { JobId } from '../../core/units.js';
 import type { TaskCounts } from '../../wire/peer-messages.js';
 import { monotonicNow } from '../clock.js';
@@ -7,20 +7,20 @@
 
 const RESPONSE_TIMEOUT_MS = 500;
 
-/** Of this controller where it leads; else the leader is asked. */
+/** Uses the local leader if this controller leads, and queries the leading peer otherwise. */
 export class TaskCountLookup {
   constructor(
     private readonly leadership: LeadershipManager,
     private readonly links: readonly PeerLink[],
   ) {}
 
-  /** Null where this controller doesn't lead, or doesn't know the job. */
+  /** The counts of the local leader; null if this controller does not lead or its leader does not know the job. */
   localCounts(id: JobId): TaskCounts | null {
     const job = this.leadership.leader?.jobs.get(id);
     return job ? { done: job.completedCount, running: job.runningCount } : null;
   }
 
-  /** Null without a leader in reach. */
+  /** The counts of the current leader; null if no leader is reachable or it does not know the job. */
   async find(id: JobId): Promise<TaskCounts | null> {
     if (this.leadership.leaderLoop) return this.localCounts(id);
     const now = monotonicNow();
--- a/src/runtime/public-router.ts
+++ b/src/runtime/public-router.ts
@@ -1,4 +1,4 @@
-/** Requests on the public address: workers' heartbeats, the load balancer's health checks, and users. */
+/** Routes requests on the public address: heartbeats of workers, health checks of the load balancer, user requests. */
 import { HTTP_STATUS } from './http/http-status.js';
 import { monotonicNow } from './clock.js';
 import type { HealthCheck } from './health-check.js';
@@ -13,11 +13,11 @@
 const HEALTH_PATH = '/up';
 const RETRY_AFTER_S = 1;
 
-/** Whose connection a request is on: under pressure, connections of the larger group are closed first. */
+/** The client group of a request's connection. At the connection limit, the larger group loses connections first. */
 export const clientGroup = (request: HttpMessage): string =>
   request.target === HEARTBEAT_PATH ? 'workers' : 'users';
 
-/** What answers the requests. */
+/** The handlers of each kind of request. */
 export interface PublicRouterDependencies {
   heartbeatHandler: HeartbeatHandler;
   health: HealthCheck;
@@ -26,17 +26,17 @@
   log: Logger;
 }
 
-/** Every other path is a user's. */
+/** Routes by path; any path other than heartbeats and health checks goes to the user API. */
 export class PublicRouter {
   constructor(private readonly dependencies: PublicRouterDependencies) {}
 
-  /** A fault in one request must not end the controller. */
+  /** Handles one request. An exception is logged and answered with 503, so that it does not end the process. */
   async handle(request: HttpMessage, reply: (reply: HttpReply) => void): Promise<void> {
     try {
       await this.route(request, reply);
     } catch (error) {
       const cause = error instanceof Error ? error.stack : String(error);
-      this.dependencies.log.rateLimited('fault', 'error', { cause }, 'request failed');
+      this.dependencies.log.rateLimited('fault', 'error', { cause }, 'request handling failed');
       reply({ status: HTTP_STATUS.unavailable, retryAfterS: RETRY_AFTER_S });
     }
   }
--- a/src/runtime/request-latency.ts
+++ b/src/runtime/request-latency.ts
@@ -1,27 +1,27 @@
-/** How long requests take to be answered. */
+/** Latency statistics of requests. */
 import { createHistogram, type RecordableHistogram } from 'node:perf_hooks';
 import { monotonicNow } from './clock.js';
 
 const MICROSECONDS_PER_MS = 1000;
 
-/** As the status page shows it. */
+/** Latency statistics in the form that the status page shows. */
 export interface LatencySummary {
   count: number;
   p50Ms: number;
   p99Ms: number;
 }
 
-/** The latencies of one kind of request, since the process began. */
+/** Histogram of the latencies of one kind of request since the process started. */
 export class RequestLatency {
   private readonly microseconds: RecordableHistogram = createHistogram();
 
-  /** A request that came at this monotonic time is answered now. */
+  /** Records a request that was received at this monotonic time and is answered now. */
   record(receivedAt: number): void {
     const elapsed = Math.round((monotonicNow() - receivedAt) * MICROSECONDS_PER_MS);
     this.microseconds.record(Math.max(1, elapsed));
   }
 
-  /** The count and two percentiles. */
+  /** Returns the number of requests, the median and the 99th percentile. */
   summary(): LatencySummary {
     return {
       count: this.microseconds.count,
--- a/src/runtime/status-page.ts
+++ b/src/runtime/status-page.ts
@@ -1,4 +1,4 @@
-/** The status page of a controller, on its internal address. Its keys are those that operators' tools read. */
+/** The status page on a controller's internal address. Operators' tools read its keys, so they must not change. */
 import { HTTP_STATUS } from './http/http-status.js';
 import { encode } from '../wire/cbor.js';
 import { encodePeerStatus } from '../wire/peer-messages.js';
@@ -14,7 +14,7 @@
 
 const STATUS_PATH = '/queue';
 
-/** What the page shows. */
+/** Sources of the values on the page. */
 export interface StatusPageDependencies {
   peerStatus: PeerStatusExchange;
   election: LeaderElection;
@@ -25,14 +25,14 @@
   heartbeatLatency: RequestLatency;
 }
 
-/** Rendered anew at each request. */
+/** Renders the status page at each request. */
 export class StatusPage {
   constructor(private readonly dependencies: StatusPageDependencies) {}
 
-  /** Answers a request on the internal address. */
+  /** Handles a request on the internal address; any path but the status page is not found. */
   handle(request: HttpMessage): HttpReply {
     if (request.method !== 'GET' || request.target !== STATUS_PATH) return { status: HTTP_STATUS.notFound };
-    // Through JSON, which leaves out what is undefined.
+    // The round trip through JSON removes fields whose value is undefined.
     return { status: HTTP_STATUS.ok, body: encode(JSON.parse(JSON.stringify(this.content()))) };
   }
 
--- a/src/runtime/users/admission-control.ts
+++ b/src/runtime/users/admission-control.ts
@@ -1,12 +1,15 @@
 /**
- * Admission of users' requests: so many at once, and others are answered at once with a time to come back. Guards
- * against requests that are refused again and again: one that was refused before has capacity that others don't get.
+ * Admission control for user requests: a bounded number run concurrently, and others are rejected immediately with a
+ * retry time. Capacity reserved for retries prevents a request from being rejected repeatedly while others are served.
  */
 
-/** Guards against names without end from outside. */
+/** Bounds the memory for subjects, which are chosen by clients. */
 const MAX_REFUSED_SUBJECTS = 5000;
 
-/** Bounds the requests in progress. A request's subject names what it asks about; null where only the body says. */
+/**
+ * Bounds the number of requests in progress. The subject of a request identifies it across retries: its target, or null
+ * if the target alone does not identify it.
+ */
 export class AdmissionControl {
   private inProgress = 0;
   private readonly refusedSubjects = new Set<string>();
@@ -14,7 +17,7 @@
 
   constructor(
     private readonly limit: number,
-    /** Beyond the limit, for requests that were refused before. */
+    /** Additional capacity beyond the limit, for requests that were rejected before. */
     private readonly reservedForRetries: number,
   ) {}
 
@@ -23,12 +26,12 @@
     return this.inProgress;
   }
 
-  /** How many requests were refused since the start. */
+  /** The number of requests rejected since the process started. */
   get refusedCount(): number {
     return this.refused;
   }
 
-  /** Admits a request or refuses it; one that is admitted is to be released. */
+  /** Returns whether the request is admitted. The caller must release each admitted request. */
   tryAdmit(subject: string | null): boolean {
     const isRetry = subject !== null && this.refusedSubjects.has(subject);
     if (this.inProgress < this.limit + (isRetry ? this.reservedForRetries : 0)) {
@@ -42,7 +45,7 @@
     return false;
   }
 
-  /** A request ends; `served`: it was answered with something other than "come back". */
+  /** Ends an admitted request. `served` is false if the response only requested a retry. */
   release(subject: string | null, served: boolean): void {
     this.inProgress--;
     if (subject === null) return;
--- a/src/runtime/users/job-lookup.ts
+++ b/src/runtime/users/job-lookup.ts
@@ -1,4 +1,4 @@
-/** Reads jobs' records for users' requests. A final state never changes, so it alone is answered from memory. */
+/** Reads job records for user requests. Only final records are cached, because they never change. */
 import type { FinalRecord, JobRecord } from '../../core/job-spec.js';
 import type { JobId, Revision } from '../../core/units.js';
 import { keys, parseFinalRecord, parseJobRecord } from '../../wire/stored-records.js';
@@ -7,16 +7,16 @@
 
 const MAX_CACHED_FINAL_RECORDS = 20_000;
 
-/** What the key-value store says of a job. */
+/** The state of a job in the key-value store. */
 export type JobLookupResult =
   | { kind: 'active'; record: JobRecord; revision: Revision }
   | { kind: 'final'; record: FinalRecord }
-  /** A record that can't be read: its job was accepted, and nothing else is known of it. */
+  /** The record cannot be parsed: the job was accepted, and nothing else is known about it. */
   | { kind: 'malformed' }
   | { kind: 'not-found' }
   | { kind: 'unknown' };
 
-/** Whether jobs were accepted, at whichever controller; the first that was not is named. */
+/** Whether all of several jobs were accepted, at any controller; `missing` contains the first that was not. */
 export type AcceptanceResult = { kind: 'accepted' } | { kind: 'unknown' } | { kind: 'missing'; job: JobId };
 
 type DependencyState =
@@ -25,10 +25,10 @@
   | { kind: 'unknown' }
   | { kind: 'pending'; dependsOn: readonly JobId[] };
 
-/** The part of the feed that says what is known of other jobs without asking. */
+/** The part of the cancellation feed that gives the state of other jobs without a request to the key-value store. */
 export type KnownJobs = Pick<CancellationFeed, 'has' | 'indexed' | 'isFresh'>;
 
-/** Looks up jobs, and what follows for a job from those that it depends on. */
+/** Looks up jobs, and whether their dependencies are accepted or cancelled. */
 export class JobLookup {
   private readonly finalRecords = new Map<JobId, FinalRecord>();
 
@@ -37,12 +37,12 @@
     private readonly knownJobs: KnownJobs,
   ) {}
 
-  /** The final state where it is remembered; it costs no request. */
+  /** The cached final record, without a request to the key-value store. */
   cachedFinalRecord(id: JobId): FinalRecord | undefined {
     return this.finalRecords.get(id);
   }
 
-  /** Active first, then final: a job that finishes between the two reads is found by the second. */
+  /** Reads the active record before the final one: a job that finishes between the reads is found by the second. */
   async find(id: JobId): Promise<JobLookupResult> {
     const cached = this.finalRecords.get(id);
     if (cached) return { kind: 'final', record: cached };
@@ -60,7 +60,7 @@
     return { kind: 'final', record };
   }
 
-  /** Whether each of these jobs was accepted, at whichever controller. */
+  /** Returns whether each of these jobs was accepted, at any controller. */
   async checkAccepted(ids: readonly JobId[]): Promise<AcceptanceResult> {
     const idsToRead = ids.filter(
       (id) => !this.finalRecords.has(id) && !this.knownJobs.indexed(id) && !this.knownJobs.has(id),
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Whether a job that the job depends on, directly or through others, is cancelled. What the feed says of jobs that
-   * are not over counts only while it is fresh: after an outage it may have missed a cancellation for too long.
+   * Returns whether any direct or transitive dependency of a job is cancelled. The index of unfinished jobs in the
+   * cancellation feed is used only while the feed is fresh: after an outage it may lack recent cancellations.
    */
   async dependencyCancelled(dependsOn: readonly JobId[]): Promise<boolean | 'unknown'> {
     const feedIsFresh = this.knownJobs.isFresh();
@@ -109,7 +109,7 @@
     return { kind: 'pending', dependsOn: found.record.spec.dependsOn };
   }
 
-  /** The record kept for longest makes room for a new one. */
+  /** Caches a final record, and evicts the oldest one when the cache is full. */
   private cacheFinalRecord(id: JobId, record: FinalRecord): void {
     if (this.finalRecords.size >= MAX_CACHED_FINAL_RECORDS)
       this.finalRecords.delete(this.finalRecords.keys().next().value!);
--- a/src/runtime/users/submission-check.ts
+++ b/src/runtime/users/submission-check.ts
@@ -1,17 +1,17 @@
-/** Whether a submitted job can ever run, by its team's limit and the machine types on offer. */
+/** Checks whether a submitted job can ever run, given its team's limit and the available machine types. */
 import { canBeSpread, fitsSomeType } from '../../core/scheduler/job-feasibility.js';
 import { withinTeamLimit } from '../../core/scheduler/placement-constraints.js';
 import type { JobSpec } from '../../core/job-spec.js';
 import type { MachineType } from '../../core/machine-info.js';
 import type { TeamQuota } from '../../core/team-quota.js';
 
-/** Undecided while the machine types are unknown. */
+/** Result of the check; `unknown` while the machine types have not been read. */
 export type SubmissionCheck =
   { kind: 'runnable' } | { kind: 'unknown' } | { kind: 'never-runnable'; cause: string };
 
 const neverRunnable = (cause: string): SubmissionCheck => ({ kind: 'never-runnable', cause });
 
-/** Checks a job against its team, which may be unknown, and against all machine types. */
+/** Checks a job against its team's limit and all machine types. `team` is undefined if the team is unknown. */
 export const checkSubmission = (
   spec: JobSpec,
   team: TeamQuota | undefined,
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -1,6 +1,6 @@
 /**
- * Users' requests. Any controller takes them: the job's record in the key-value store is the truth, and nothing is told
- * to a user that it doesn't hold.
+ * The user API, served by every controller. The job's record in the key-value store is authoritative: a response never
+ * reports a state that the record does not contain.
  */
 import type { PlatformSettings } from '../../config/platform.js';
 import type { JobRecord, JobSpec } from '../../core/job-spec.js';
@@ -21,23 +21,23 @@
 
 const JOBS_PATH = '/v1/jobs';
 const JOB_PATH = /^\/v1\/jobs\/([^/]+)(\/abort)?$/;
-/** Of a write that meets others of the same record. */
+/** Limits the retries of a transaction that conflicts with other writes to the same record. */
 const MAX_WRITE_ATTEMPTS = 3;
 const NO_COUNTS: StatusCounts = { done: 0, running: 0 };
 
-/** What the users' requests depend on. */
+/** Dependencies of the user API. */
 export interface UserApiDependencies {
   platform: PlatformSettings;
   store: KeyValueStoreClient;
   machineTypes: () => MachineType[];
-  /** The numbers of a job's tasks; null where nobody can tell. */
+  /** The numbers of a job's tasks by state; null if no leader reports them. */
   taskCounts: (id: JobId) => Promise<StatusCounts | null>;
-  /** A user is about to be told that this job, whose tasks may still be there, is cancelled. */
+  /** Called before a response reports this job as cancelled; its tasks may still be running. */
   onCancellationReported: (id: JobId) => void;
   knownJobs: KnownJobs;
 }
 
-/** Answers submissions, status requests and cancellations. */
+/** Handles submissions, status requests and cancellations. */
 export class UserApi {
   private readonly jobs: JobLookup;
   private readonly teams: Map<Team, TeamQuota>;
@@ -47,7 +47,7 @@
     this.teams = new Map(dependencies.platform.teams.map((team) => [team.name, team]));
   }
 
-  /** Answers one request; 503 where nothing certain can be said. */
+  /** Handles one request. The response is 503 if the state of the job cannot be determined. */
   async handle(request: HttpMessage): Promise<HttpReply> {
     const path = request.target.split('?', 1)[0];
     if (path === JOBS_PATH) {
@@ -100,14 +100,14 @@
     if (result.kind === 'ok') return jobStatusReply(id, 'pending', undefined, HTTP_STATUS.created);
     if (result.kind === 'refused' || result.kind === 'lease-gone' || result.kind === 'invalid')
       return unavailableReply('state service refuses');
-    // Known already, or the answer was lost: what is recorded decides.
+    // The job exists already, or the store's response was lost: the stored record determines the response.
     const known = await this.jobs.find(id);
     if (known.kind === 'not-found' || known.kind === 'unknown')
       return unavailableReply('not certain to be recorded');
     return this.statusReply(id, known);
   }
 
-  /** Null if every job that the job depends on was accepted. */
+  /** Returns the error response, or null if all dependencies of the job were accepted. */
   private async rejectDependencies({ id, dependsOn }: JobSpec): Promise<HttpReply | null> {
     if (dependsOn.length === 0) return null;
     if (dependsOn.includes(id)) return errorReply(HTTP_STATUS.unprocessable, 'awaits itself');
@@ -122,7 +122,10 @@
     }
   }
 
-  /** An accepted job is never refused when it is submitted again, whatever has changed since. */
+  /**
+   * Returns the rejection, unless the job was accepted before: a repeated submission of an accepted job reports its
+   * status, even if it would be rejected now.
+   */
   private async rejectUnlessAccepted(raw: object, refusal: HttpReply): Promise<HttpReply> {
     const id = submittedJobId(raw);
     if (id === null) return refusal;
@@ -146,7 +149,7 @@
     if (found.record.cancelledAt !== null) return this.reportCancelled(id);
     const cancelled = await this.jobs.dependencyCancelled(found.record.spec.dependsOn);
     if (cancelled === 'unknown') return unavailableReply('state service does not answer');
-    // Recorded before it is told, so that no controller answers anything older afterwards.
+    // The cancellation is recorded before it is reported, so that no controller reports an older state afterwards.
     if (cancelled) return this.recordCancelled(id, found);
     const counts = (await this.dependencies.taskCounts(id)) ?? NO_COUNTS;
     const status: UserStatus = counts.running > 0 ? 'running' : 'pending';
@@ -159,7 +162,10 @@
     return this.recordCancelled(id, found);
   }
 
-  /** Done against cancelled is decided here: whoever writes either compares the job's record. */
+  /**
+   * Records the cancellation, unless the job is finished. Completion and cancellation exclude each other, because both
+   * are written on the condition that the job's active record is unchanged.
+   */
   private async recordCancelled(id: JobId, first: JobLookupResult): Promise<HttpReply> {
     let found = first;
     for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
@@ -183,8 +189,8 @@
   }
 
   /**
-   * Guards against a record from before a limit on values was lowered, which could not be written again: a cancelled
-   * job starts nowhere any more, so the list of its types, alone of unbounded length, may go.
+   * The record with its cancellation time. A record written before the limit on value sizes was lowered may no longer
+   * fit. Its list of machine types is then dropped: only that list can be long, and a cancelled job no longer needs it.
    */
   private cancelledRecord(record: JobRecord): JobRecord {
     const cancelled = { ...record, cancelledAt: wallClockNow() };
--- a/src/runtime/users/user-replies.ts
+++ b/src/runtime/users/user-replies.ts
@@ -1,4 +1,4 @@
-/** The replies that users get. */
+/** Responses of the user API. */
 import type { JobId } from '../../core/units.js';
 import { encode } from '../../wire/cbor.js';
 import { statusBody, type StatusCounts, type UserStatus } from '../../wire/users.js';
@@ -7,7 +7,7 @@
 
 const RETRY_AFTER_S = 1;
 
-/** Nothing certain can be said now: the user is to come back. */
+/** Response to a request that cannot be answered now; the user retries later. */
 export const unavailableReply = (cause: string): HttpReply => ({
   status: HTTP_STATUS.unavailable,
   retryAfterS: RETRY_AFTER_S,
@@ -15,13 +15,13 @@
   body: encode({ error: cause }),
 });
 
-/** The request is refused for good. */
+/** Permanent rejection of a request; a retry would get the same response. */
 export const errorReply = (status: number, cause: string): HttpReply => ({
   status,
   body: encode({ error: cause }),
 });
 
-/** The state of a job. */
+/** Response that reports the status of a job. */
 export const jobStatusReply = (
   id: JobId,
   state: UserStatus,
--- a/src/runtime/users/user-request-handler.ts
+++ b/src/runtime/users/user-request-handler.ts
@@ -1,4 +1,4 @@
-/** Users' requests as they come from outside: admitted, answered here or by a peer, and counted. */
+/** Handles user requests on the public address: admission, local handling or forwarding to a peer, statistics. */
 import type { PeerResponses } from '../../wire/peer-messages.js';
 import { monotonicNow } from '../clock.js';
 import type { HttpMessage } from '../http/http-message.js';
@@ -14,7 +14,7 @@
 const OUTCOMES_LOG_INTERVAL_MS = 10_000;
 const RETRY_AFTER_S = 1;
 
-/** What user requests need. */
+/** Dependencies of the handler. */
 export interface UserRequestDependencies {
   users: UserApi;
   links: readonly PeerLink[];
@@ -23,17 +23,17 @@
   log: Logger;
 }
 
-/** Sits between the public address and the user API. */
+/** Applies admission control in front of the user API. */
 export class UserRequestHandler {
   private readonly outcomes = new Map<string, number>();
   private outcomesLoggedAt = -Infinity;
 
   constructor(private readonly dependencies: UserRequestDependencies) {}
 
-  /** `beganAt`: the monotonic time at which the request came. */
+  /** Handles a request that was received at the monotonic time `receivedAt`. */
   async handle(request: HttpMessage, reply: (reply: HttpReply) => void, receivedAt: number): Promise<void> {
     const { admission, latency, log } = this.dependencies;
-    // Only a request without a body names what it asks about.
+    // The target of a GET request identifies it across retries; other requests depend on their bodies.
     const subject = request.method === 'GET' ? request.target : null;
     if (!admission.tryAdmit(subject)) {
       this.countOutcome({ status: HTTP_STATUS.unavailable, refusalCause: 'admission limit reached' });
@@ -46,7 +46,7 @@
       served = answer.status !== HTTP_STATUS.unavailable;
       const { method, target } = request;
       const { status, jobStatus, refusalCause } = answer;
-      log.debug({ method, target, status, jobStatus, cause: refusalCause }, 'user answered');
+      log.debug({ method, target, status, jobStatus, cause: refusalCause }, 'user request answered');
       this.countOutcome(answer);
       reply(answer);
       latency.record(receivedAt);
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Refused here for want of the store alone: a peer that the store answers takes the request in the user's place. */
+  /** Handles the request here; if that fails with 503, forwards it to a peer that can reach the key-value store. */
   private async handleOrForward(request: HttpMessage): Promise<HttpReply> {
     const { users, links } = this.dependencies;
     const localReply = await users.handle(request);
@@ -71,14 +71,14 @@
     return response === null ? localReply : toHttpReply(response);
   }
 
-  /** Now and then they are logged: what users were answered, and why they were refused. */
+  /** Counts responses by status or rejection cause, and logs the counts periodically. */
   private countOutcome({ status, refusalCause }: HttpReply): void {
     const outcome = refusalCause ?? String(status);
     this.outcomes.set(outcome, (this.outcomes.get(outcome) ?? 0) + 1);
     const now = monotonicNow();
     if (now - this.outcomesLoggedAt < OUTCOMES_LOG_INTERVAL_MS) return;
     this.outcomesLoggedAt = now;
-    this.dependencies.log.info({ outcomes: Object.fromEntries(this.outcomes) }, 'user requests');
+    this.dependencies.log.info({ outcomes: Object.fromEntries(this.outcomes) }, 'user request outcomes');
     this.outcomes.clear();
   }
 }
