--- a/src/runtime/cloud/cloud-provider-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -18,14 +18,14 @@
   /** The request may have been executed. */
   | { kind: 'unknown' };
 
-const REQUEST_TIMEOUT_MS = 3000;
+const CLOUD_REQUEST_TIMEOUT_MS = 3000;
 const MAX_CONNECTIONS = 6;
-const MAX_IDLE_MS = 20_000;
+const MAX_CONNECTION_IDLE_MS = 20_000;
 const RATE_LIMIT_FRACTION = 0.85;
 const BURST_DURATION_S = 1.5;
 /** Tokens that reads leave in the budget, because scale-out and scale-in take precedence. */
 const TOKENS_RESERVED_FOR_CHANGES = 1;
-const MACHINES_PER_PAGE = 500;
+const MACHINES_PER_LIST_PAGE = 500;
 const MAX_PAGE_ATTEMPTS = 5;
 const PAGE_RETRY_DELAY_MS = 400;
 const NO_CAPACITY_ERROR = 'no capacity';
@@ -37,7 +37,7 @@
   private readonly tokensReservedForChanges: number;
 
   constructor(platform: PlatformSettings) {
-    this.http = new HttpClient(platform.cloudProvider, MAX_CONNECTIONS, MAX_IDLE_MS);
+    this.http = new HttpClient(platform.cloudProvider, MAX_CONNECTIONS, MAX_CONNECTION_IDLE_MS);
     const rate = platform.cloudProviderLimits.rps * RATE_LIMIT_FRACTION;
     const burst = Math.max(1, rate * BURST_DURATION_S);
     this.budget = new TokenBucket(rate, burst, monotonicNow());
@@ -68,14 +68,17 @@
   async createMachines(request: wire.ScaleOutRequest): Promise<ScaleOutOutcome> {
     if (!this.budget.take(1, monotonicNow())) return { kind: 'refused' };
     const body = encode(wire.createMachinesBody(request));
-    const result = await this.http.request('POST', '/machines', body, REQUEST_TIMEOUT_MS);
+    const result = await this.http.request('POST', '/machines', body, CLOUD_REQUEST_TIMEOUT_MS);
     if (!result.ok) return result.sent ? { kind: 'unknown' } : { kind: 'refused' };
-    const answer = tryDecode(result.body);
+    const responseBody = tryDecode(result.body);
     if (result.status === HTTP_STATUS.ok) {
-      const machines = wire.parseCreatedMachines(answer);
+      const machines = wire.parseCreatedMachines(responseBody);
       return machines ? { kind: 'provisioned', machines } : { kind: 'unknown' };
     }
-    const error = typeof answer === 'object' && answer !== null && 'error' in answer ? answer.error : null;
+    const error =
+      typeof responseBody === 'object' && responseBody !== null && 'error' in responseBody
+        ? responseBody.error
+        : null;
     const noCapacity = result.status === HTTP_STATUS.unavailable && error === NO_CAPACITY_ERROR;
     return { kind: noCapacity ? 'no-capacity' : 'refused' };
   }
@@ -84,7 +87,7 @@
   async deleteMachines(machines: MachineId[]): Promise<boolean> {
     if (!this.budget.take(1, monotonicNow())) return false;
     const body = encode(wire.deleteMachinesBody(machines));
-    const result = await this.http.request('POST', '/machines/return', body, REQUEST_TIMEOUT_MS);
+    const result = await this.http.request('POST', '/machines/return', body, CLOUD_REQUEST_TIMEOUT_MS);
     return result.ok && result.status === HTTP_STATUS.ok;
   }
 
@@ -93,7 +96,7 @@
    * otherwise never be complete.
    */
   private async readPage(after: MachineId | null): Promise<wire.MachineListPage | null> {
-    const target = wire.listMachinesTarget(after, MACHINES_PER_PAGE);
+    const target = wire.listMachinesTarget(after, MACHINES_PER_LIST_PAGE);
     for (let attempt = 0; attempt < MAX_PAGE_ATTEMPTS; attempt++) {
       if (attempt > 0) await sleep(PAGE_RETRY_DELAY_MS);
       const page = await this.read(target, wire.parseMachines);
@@ -105,7 +108,7 @@
 
   private async read<T>(target: string, parse: (raw: unknown) => T | null): Promise<T | null> {
     if (!this.budget.take(1, monotonicNow(), this.tokensReservedForChanges)) return null;
-    const result = await this.http.request('GET', target, null, REQUEST_TIMEOUT_MS);
+    const result = await this.http.request('GET', target, null, CLOUD_REQUEST_TIMEOUT_MS);
     return result.ok && result.status === HTTP_STATUS.ok ? parse(tryDecode(result.body)) : null;
   }
 }
--- a/src/runtime/http/http-reply.ts
+++ b/src/runtime/http/http-reply.ts
@@ -6,7 +6,7 @@
   body?: Buffer;
   retryAfterS?: number;
   /** The reason of a rejection, for the log; not part of the response. */
-  refusalCause?: string;
+  rejectionCause?: string;
   /** The job status that the body reports, for the log; not sent separately. */
   jobStatus?: string;
 }
--- a/src/runtime/http/http-server.ts
+++ b/src/runtime/http/http-server.ts
@@ -20,7 +20,7 @@
 }
 
 const MAX_HEADER_BYTES = 8192;
-const MAX_HEADERS = 64;
+const MAX_HEADER_FIELDS = 64;
 
 interface ServerContext {
   limits: HttpServerLimits;
@@ -51,7 +51,7 @@
 
 /** Handles one request at a time; pipelined requests are queued, and reading is paused while requests wait. */
 class ServerConnection {
-  private state: 'idle' | 'handling' | 'ending' = 'idle';
+  private state: 'idle' | 'handling' | 'closing' = 'idle';
   private readonly queuedRequests: HttpMessage[] = [];
   private readonly parser: HttpParser;
 
@@ -62,7 +62,7 @@
   ) {
     this.parser = new HttpParser('request', {
       headerBytes: MAX_HEADER_BYTES,
-      headerCount: MAX_HEADERS,
+      headerCount: MAX_HEADER_FIELDS,
       bodyBytes: context.limits.bodyBytes,
     });
   }
@@ -81,7 +81,7 @@
   }
 
   private receive(chunk: Buffer): void {
-    if (this.state === 'ending') return;
+    if (this.state === 'closing') return;
     try {
       this.queuedRequests.push(...this.parser.push(chunk));
     } catch (error) {
@@ -96,7 +96,7 @@
     const status = error instanceof HttpError ? error.status : HTTP_STATUS.badRequest;
     const cause = String(error);
     const handling = this.state === 'handling';
-    this.state = 'ending';
+    this.state = 'closing';
     this.context.log.rateLimited('bad-request', 'debug', { status, cause }, 'malformed request rejected');
     // An error reply would be taken for the reply to the request in progress, so the connection is closed without one.
     if (handling) this.socket.destroy();
@@ -131,7 +131,7 @@
       this.handleNext();
       return;
     }
-    this.state = 'ending';
+    this.state = 'closing';
     this.socket.end();
     pool.markIdle(this.pooled); // can be evicted if the client never closes it
   }
--- a/src/runtime/http/socket-budget.ts
+++ b/src/runtime/http/socket-budget.ts
@@ -8,12 +8,12 @@
 export const MAX_STATUS_CONNECTIONS = 16;
 const MIN_SHARED_SOCKETS = 16;
 const DIRECT_COMMAND_FRACTION = 0.15;
-const MIN_DIRECT_COMMANDS = 4;
-const MAX_DIRECT_COMMANDS = 400;
+const MIN_DIRECT_COMMAND_CONNECTIONS = 4;
+const MAX_DIRECT_COMMAND_CONNECTIONS = 400;
 /** Connections waiting to be accepted use sockets too: after a restart, all workers and users connect at once. */
 const BACKLOG_FRACTION = 0.15;
-const MIN_BACKLOG = 4;
-const MAX_BACKLOG = 256;
+const MIN_BACKLOG_CONNECTIONS = 4;
+const MAX_BACKLOG_CONNECTIONS = 256;
 
 /** Number of sockets for each use whose number varies. */
 export interface SocketBudget {
@@ -35,9 +35,9 @@
   const directCommands = clampedFraction(
     shared,
     DIRECT_COMMAND_FRACTION,
-    MIN_DIRECT_COMMANDS,
-    MAX_DIRECT_COMMANDS,
+    MIN_DIRECT_COMMAND_CONNECTIONS,
+    MAX_DIRECT_COMMAND_CONNECTIONS,
   );
-  const backlog = clampedFraction(shared, BACKLOG_FRACTION, MIN_BACKLOG, MAX_BACKLOG);
+  const backlog = clampedFraction(shared, BACKLOG_FRACTION, MIN_BACKLOG_CONNECTIONS, MAX_BACKLOG_CONNECTIONS);
   return { public: shared - directCommands - backlog, backlog, directCommands };
 };
--- a/src/runtime/key-value-store/key-value-store-client.ts
+++ b/src/runtime/key-value-store/key-value-store-client.ts
@@ -39,10 +39,10 @@
 /** Tokens that a request must leave in the request budget, so that urgent requests are not starved by normal ones. */
 export const budgetReserves = { urgent: 0, normal: 2 };
 
-const REQUEST_TIMEOUT_MS = 1200;
+const STORE_REQUEST_TIMEOUT_MS = 1200;
 /** Added to the time for which the store holds a watch open. */
 const WATCH_TIMEOUT_MARGIN_MS = 3000;
-const MAX_IDLE_MS = 20_000;
+const MAX_CONNECTION_IDLE_MS = 20_000;
 const MAX_REQUEST_CONNECTIONS = 24;
 const MAX_WATCH_CONNECTIONS = 4;
 const MAX_LEASE_CONNECTIONS = 3;
@@ -59,9 +59,9 @@
   lastResponseAt = -Infinity;
 
   constructor({ keyValueStore, keyValueStoreLimits }: PlatformSettings) {
-    this.requestClient = new HttpClient(keyValueStore, MAX_REQUEST_CONNECTIONS, MAX_IDLE_MS);
-    this.watchClient = new HttpClient(keyValueStore, MAX_WATCH_CONNECTIONS, MAX_IDLE_MS);
-    this.leaseClient = new HttpClient(keyValueStore, MAX_LEASE_CONNECTIONS, MAX_IDLE_MS);
+    this.requestClient = new HttpClient(keyValueStore, MAX_REQUEST_CONNECTIONS, MAX_CONNECTION_IDLE_MS);
+    this.watchClient = new HttpClient(keyValueStore, MAX_WATCH_CONNECTIONS, MAX_CONNECTION_IDLE_MS);
+    this.leaseClient = new HttpClient(keyValueStore, MAX_LEASE_CONNECTIONS, MAX_CONNECTION_IDLE_MS);
     this.budget = new RequestBudget(keyValueStoreLimits);
   }
 
@@ -106,7 +106,7 @@
       'POST',
       wire.TRANSACTION_TARGET,
       encoded,
-      REQUEST_TIMEOUT_MS,
+      STORE_REQUEST_TIMEOUT_MS,
     );
     if (!reply.ok) return reply.sent ? { kind: 'unknown' } : { kind: 'refused' };
     this.budget.recordStatus(reply.status);
@@ -116,7 +116,12 @@
   /** Requests a new lease. */
   async grantLease(ttlMs: number): Promise<StoreOutcome<Uint64>> {
     const encoded = encode(wire.leaseBody(ttlMs));
-    const reply = await this.leaseClient.request('POST', wire.LEASES_TARGET, encoded, REQUEST_TIMEOUT_MS);
+    const reply = await this.leaseClient.request(
+      'POST',
+      wire.LEASES_TARGET,
+      encoded,
+      STORE_REQUEST_TIMEOUT_MS,
+    );
     return this.outcome(reply, wire.parseLease);
   }
 
@@ -126,14 +131,14 @@
       'POST',
       wire.leaseRenewalTarget(lease),
       null,
-      REQUEST_TIMEOUT_MS,
+      STORE_REQUEST_TIMEOUT_MS,
     );
     return this.outcome(reply, () => true as const);
   }
 
   /** Revokes a lease, which deletes the keys attached to it. */
   async revokeLease(lease: Uint64): Promise<void> {
-    await this.leaseClient.request('DELETE', wire.leaseTarget(lease), null, REQUEST_TIMEOUT_MS);
+    await this.leaseClient.request('DELETE', wire.leaseTarget(lease), null, STORE_REQUEST_TIMEOUT_MS);
   }
 
   /** Returns the changes since a revision, without waiting. */
@@ -154,7 +159,7 @@
     reserve: number,
   ): Promise<StoreOutcome<T>> {
     if (!(await this.budget.acquire(1, 0, reserve))) return { kind: 'refused' };
-    const reply = await this.requestClient.request('GET', target, null, REQUEST_TIMEOUT_MS);
+    const reply = await this.requestClient.request('GET', target, null, STORE_REQUEST_TIMEOUT_MS);
     if (reply.ok) this.budget.recordStatus(reply.status);
     return this.outcome(reply, parse);
   }
--- a/src/runtime/key-value-store/list-with-retry.ts
+++ b/src/runtime/key-value-store/list-with-retry.ts
@@ -2,7 +2,7 @@
 import { sleep } from '../clock.js';
 import type { KeyValueStoreClient, Listing } from './key-value-store-client.js';
 
-const RETRY_MS = 200;
+const RETRY_DELAY_MS = 200;
 
 /** Lists a prefix, and retries until the store responds. Returns null once `isStopped` returns true. */
 export const listWithRetry = async (
@@ -13,7 +13,7 @@
   while (!isStopped()) {
     const outcome = await store.list(prefix);
     if (outcome.kind === 'ok') return outcome.value;
-    await sleep(RETRY_MS);
+    await sleep(RETRY_DELAY_MS);
   }
   return null;
 };
--- a/src/runtime/peers/image-locations.ts
+++ b/src/runtime/peers/image-locations.ts
@@ -7,14 +7,14 @@
 import { monotonicNow } from '../clock.js';
 import type { PeerLink } from './peer-link.js';
 
-const MACHINES_PER_PAGE = 100;
+const MACHINES_PER_MESSAGE = 100;
 const RETENTION_MS = 60_000;
-const RESPONSE_TIMEOUT_MS = 1000;
+const IMAGE_LOCATIONS_TIMEOUT_MS = 1000;
 
 /** This controller's copy of the image locations. */
 export class ImageLocationStore {
   private readonly byMachine = new Map<string, { images: ImageLocations[string]; receivedAt: number }>();
-  private nextMachine = 0;
+  private nextMachineIndex = 0;
 
   /**
    * Returns the next page of `all`, starting over at the end. Pages keep each message below the maximum frame size: a
@@ -22,17 +22,17 @@
    */
   nextPage(all: ImageLocations): ImageLocations {
     const ids = Object.keys(all);
-    if (this.nextMachine >= ids.length) this.nextMachine = 0;
-    const pageIds = ids.slice(this.nextMachine, this.nextMachine + MACHINES_PER_PAGE);
-    this.nextMachine += MACHINES_PER_PAGE;
+    if (this.nextMachineIndex >= ids.length) this.nextMachineIndex = 0;
+    const pageIds = ids.slice(this.nextMachineIndex, this.nextMachineIndex + MACHINES_PER_MESSAGE);
+    this.nextMachineIndex += MACHINES_PER_MESSAGE;
     return Object.fromEntries(pageIds.map((id) => [id, all[id]]));
   }
 
   /** Stores the locations of a page, and drops machines that no page has contained within the retention time. */
   merge(page: ImageLocations, now: number): void {
     for (const [id, images] of Object.entries(page)) this.byMachine.set(id, { images, receivedAt: now });
-    for (const [id, { receivedAt: at }] of this.byMachine)
-      if (now - at > RETENTION_MS) this.byMachine.delete(id);
+    for (const [id, { receivedAt }] of this.byMachine)
+      if (now - receivedAt > RETENTION_MS) this.byMachine.delete(id);
   }
 
   /** All locations, for a new leader of this controller. */
@@ -54,5 +54,5 @@
   const locations = store.nextPage(leader.imageLocations());
   store.merge(locations, monotonicNow());
   for (const link of links)
-    void link.sendRequest({ kind: 'image-locations', locations }, RESPONSE_TIMEOUT_MS);
+    void link.sendRequest({ kind: 'image-locations', locations }, IMAGE_LOCATIONS_TIMEOUT_MS);
 };
--- a/src/runtime/peers/peer-handler.ts
+++ b/src/runtime/peers/peer-handler.ts
@@ -58,8 +58,8 @@
 
   /** Handles a request and returns the encoded response. */
   async handle(request: PeerRequest): Promise<unknown> {
-    const handle = this.handlers[request.kind] as (request: PeerRequest) => unknown;
-    return encodePeerResponse(request.kind, (await handle(request)) as never);
+    const handler = this.handlers[request.kind] as (request: PeerRequest) => unknown;
+    return encodePeerResponse(request.kind, (await handler(request)) as never);
   }
 
   private onHeartbeat({ status, logPosition }: RequestOf<'heartbeat'>): Response<'heartbeat'> {
--- a/src/runtime/peers/peer-link.ts
+++ b/src/runtime/peers/peer-link.ts
@@ -51,7 +51,7 @@
   status: PeerStatus | null = null;
   private connection: Connection = CLOSED;
   private readonly pending = new PendingRequests();
-  private lastHeartbeatAt = -Infinity;
+  private lastHeartbeatResponseAt = -Infinity;
   private heartbeatPending = false;
   private connectionRefusedAt = -Infinity;
 
@@ -69,7 +69,7 @@
 
   /** Whether the peer has responded to a heartbeat within the detection timeout. */
   isAlive(now: number): boolean {
-    return now - this.lastHeartbeatAt < DETECTION_TIMEOUT_MS;
+    return now - this.lastHeartbeatResponseAt < DETECTION_TIMEOUT_MS;
   }
 
   /**
@@ -123,7 +123,7 @@
       this.closeIfUnresponsive();
       return;
     }
-    this.lastHeartbeatAt = monotonicNow();
+    this.lastHeartbeatResponseAt = monotonicNow();
     this.status = response.status;
     onStatus(response.status);
     const page = parseLogPage(response.cancellationPage);
@@ -131,7 +131,7 @@
     else cancellations.onMalformedPage(this.name, page.cause);
   }
 
-  /** Closes a connection without responses. After a partition, a new connection works sooner than the old one. */
+  /** Closes a connection without responses: after a partition, a new connection works sooner than the old one. */
   private closeIfUnresponsive(): void {
     if (this.connection.state === 'connected' && !this.isAlive(monotonicNow()))
       this.connection.socket.destroy();
--- a/src/runtime/peers/pending-requests.ts
+++ b/src/runtime/peers/pending-requests.ts
@@ -37,6 +37,6 @@
 
   /** Completes all pending requests with null, after the connection is closed. */
   failAll(): void {
-    for (const finish of [...this.completions.values()]) finish(null);
+    for (const complete of [...this.completions.values()]) complete(null);
   }
 }
--- a/src/runtime/peers/task-counts.ts
+++ b/src/runtime/peers/task-counts.ts
@@ -5,7 +5,7 @@
 import type { LeadershipManager } from '../leadership/leadership-manager.js';
 import type { PeerLink } from './peer-link.js';
 
-const RESPONSE_TIMEOUT_MS = 500;
+const TASK_COUNTS_TIMEOUT_MS = 500;
 
 /** Uses the local leader if this controller leads, and queries the leading peer otherwise. */
 export class TaskCountLookup {
@@ -25,7 +25,7 @@
     if (this.leadership.leaderLoop) return this.localCounts(id);
     const now = monotonicNow();
     const leader = this.links.find((link) => link.isAlive(now) && link.status?.leading);
-    const response = await leader?.sendRequest({ kind: 'task-counts', job: id }, RESPONSE_TIMEOUT_MS);
+    const response = await leader?.sendRequest({ kind: 'task-counts', job: id }, TASK_COUNTS_TIMEOUT_MS);
     return response?.counts ?? null;
   }
 }
--- a/src/runtime/status-page.ts
+++ b/src/runtime/status-page.ts
@@ -44,7 +44,7 @@
       authorityLeftMs: election.authorityLeftMs,
       requests: {
         open: admission.openRequests,
-        refused: admission.refusedCount,
+        refused: admission.rejectedCount,
         ...userLatency.summary(),
       },
       reports: heartbeatLatency.summary(),
--- a/src/runtime/users/admission-control.ts
+++ b/src/runtime/users/admission-control.ts
@@ -4,7 +4,7 @@
  */
 
 /** Bounds the memory for subjects, which are chosen by clients. */
-const MAX_REFUSED_SUBJECTS = 5000;
+const MAX_REJECTED_SUBJECTS = 5000;
 
 /**
  * Bounds the number of requests in progress. The subject of a request identifies it across retries: its target, or null
@@ -12,8 +12,8 @@
  */
 export class AdmissionControl {
   private inProgress = 0;
-  private readonly refusedSubjects = new Set<string>();
-  private refused = 0;
+  private readonly rejectedSubjects = new Set<string>();
+  private rejected = 0;
 
   constructor(
     private readonly limit: number,
@@ -27,21 +27,21 @@
   }
 
   /** The number of requests rejected since the process started. */
-  get refusedCount(): number {
-    return this.refused;
+  get rejectedCount(): number {
+    return this.rejected;
   }
 
   /** Returns whether the request is admitted. The caller must release each admitted request. */
   tryAdmit(subject: string | null): boolean {
-    const isRetry = subject !== null && this.refusedSubjects.has(subject);
+    const isRetry = subject !== null && this.rejectedSubjects.has(subject);
     if (this.inProgress < this.limit + (isRetry ? this.reservedForRetries : 0)) {
       this.inProgress++;
       return true;
     }
-    this.refused++;
+    this.rejected++;
     if (subject === null) return false;
-    if (this.refusedSubjects.size >= MAX_REFUSED_SUBJECTS) this.refusedSubjects.clear();
-    this.refusedSubjects.add(subject);
+    if (this.rejectedSubjects.size >= MAX_REJECTED_SUBJECTS) this.rejectedSubjects.clear();
+    this.rejectedSubjects.add(subject);
     return false;
   }
 
@@ -49,7 +49,7 @@
   release(subject: string | null, served: boolean): void {
     this.inProgress--;
     if (subject === null) return;
-    if (served) this.refusedSubjects.delete(subject);
-    else if (this.refusedSubjects.size < MAX_REFUSED_SUBJECTS) this.refusedSubjects.add(subject);
+    if (served) this.rejectedSubjects.delete(subject);
+    else if (this.rejectedSubjects.size < MAX_REJECTED_SUBJECTS) this.rejectedSubjects.add(subject);
   }
 }
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -32,7 +32,7 @@
   machineTypes: () => MachineType[];
   /** The numbers of a job's tasks by state; null if no leader reports them. */
   taskCounts: (id: JobId) => Promise<StatusCounts | null>;
-  /** Called before a response reports this job as cancelled; its tasks may still be running. */
+  /** Called just before a response reports this job as cancelled; its tasks may still be running. */
   onCancellationReported: (id: JobId) => void;
   knownJobs: KnownJobs;
 }
@@ -78,9 +78,11 @@
       return this.rejectUnlessAccepted(raw, errorReply(HTTP_STATUS.unprocessable, check.cause));
     const final = this.jobs.cachedFinalRecord(spec.id);
     if (final) return jobStatusReply(spec.id, final.state);
-    const refusal = await this.rejectDependencies(spec);
-    if (refusal)
-      return refusal.status === HTTP_STATUS.unprocessable ? this.rejectUnlessAccepted(raw, refusal) : refusal;
+    const rejection = await this.rejectDependencies(spec);
+    if (rejection)
+      return rejection.status === HTTP_STATUS.unprocessable
+        ? this.rejectUnlessAccepted(raw, rejection)
+        : rejection;
     const record: JobRecord = { spec, submittedAt: wallClockNow(), cancelledAt: null };
     const largest = jobRecordData({ ...record, cancelledAt: record.submittedAt });
     if (!fitsValue(largest, this.maxValueKb))
@@ -126,12 +128,12 @@
    * Returns the rejection, unless the job was accepted before: a repeated submission of an accepted job reports its
    * status, even if it would be rejected now.
    */
-  private async rejectUnlessAccepted(raw: object, refusal: HttpReply): Promise<HttpReply> {
+  private async rejectUnlessAccepted(raw: object, rejection: HttpReply): Promise<HttpReply> {
     const id = submittedJobId(raw);
-    if (id === null) return refusal;
+    if (id === null) return rejection;
     const known = await this.jobs.find(id);
     if (known.kind === 'unknown') return unavailableReply('state service does not answer');
-    return known.kind === 'not-found' ? refusal : this.statusReply(id, known);
+    return known.kind === 'not-found' ? rejection : this.statusReply(id, known);
   }
 
   private async status(id: JobId): Promise<HttpReply> {
--- a/src/runtime/users/user-replies.ts
+++ b/src/runtime/users/user-replies.ts
@@ -11,7 +11,7 @@
 export const unavailableReply = (cause: string): HttpReply => ({
   status: HTTP_STATUS.unavailable,
   retryAfterS: RETRY_AFTER_S,
-  refusalCause: cause,
+  rejectionCause: cause,
   body: encode({ error: cause }),
 });
 
--- a/src/runtime/users/user-request-handler.ts
+++ b/src/runtime/users/user-request-handler.ts
@@ -36,19 +36,19 @@
     // The target of a GET request identifies it across retries; other requests depend on their bodies.
     const subject = request.method === 'GET' ? request.target : null;
     if (!admission.tryAdmit(subject)) {
-      this.countOutcome({ status: HTTP_STATUS.unavailable, refusalCause: 'admission limit reached' });
+      this.countOutcome({ status: HTTP_STATUS.unavailable, rejectionCause: 'admission limit reached' });
       reply({ status: HTTP_STATUS.unavailable, retryAfterS: RETRY_AFTER_S });
       return;
     }
     let served = false;
     try {
-      const answer = await this.handleOrForward(request);
-      served = answer.status !== HTTP_STATUS.unavailable;
+      const response = await this.handleOrForward(request);
+      served = response.status !== HTTP_STATUS.unavailable;
       const { method, target } = request;
-      const { status, jobStatus, refusalCause } = answer;
-      log.debug({ method, target, status, jobStatus, cause: refusalCause }, 'user request answered');
-      this.countOutcome(answer);
-      reply(answer);
+      const { status, jobStatus, rejectionCause } = response;
+      log.debug({ method, target, status, jobStatus, cause: rejectionCause }, 'user request answered');
+      this.countOutcome(response);
+      reply(response);
       latency.record(receivedAt);
     } finally {
       admission.release(subject, served);
@@ -72,8 +72,8 @@
   }
 
   /** Counts responses by status or rejection cause, and logs the counts periodically. */
-  private countOutcome({ status, refusalCause }: HttpReply): void {
-    const outcome = refusalCause ?? String(status);
+  private countOutcome({ status, rejectionCause }: HttpReply): void {
+    const outcome = rejectionCause ?? String(status);
     this.outcomes.set(outcome, (this.outcomes.get(outcome) ?? 0) + 1);
     const now = monotonicNow();
     if (now - this.outcomesLoggedAt < OUTCOMES_LOG_INTERVAL_MS) return;
