--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -118,7 +118,7 @@
     onCancelled([job]);
     // The heartbeats between controllers deliver it reliably. This push only arrives sooner, so that no task of the job
     // is started in the meantime.
-    for (const link of links) void link.ask({ kind: 'cancellations', jobs: [job] }, PUSH_TIMEOUT_MS);
+    for (const link of links) void link.sendRequest({ kind: 'cancellations', jobs: [job] }, PUSH_TIMEOUT_MS);
   }
 
   /** Adds the jobs in a push from a peer that has just confirmed their cancellation. */
--- a/src/runtime/http/http-client.ts
+++ b/src/runtime/http/http-client.ts
@@ -5,15 +5,15 @@
 import { HttpParser } from './http-parser.js';
 import type { HttpMessage } from './http-message.js';
 
-/** What became of a request; one that failed with `sent: false` was certainly not carried out. */
+/** Outcome of a request. A failed request with `sent: false` was not executed. */
 export type HttpResult =
   { ok: true; status: number; body: Buffer } | { ok: false; cause: string; sent: boolean };
 
 interface ClientConnection {
   socket: Socket;
   parser: HttpParser;
-  /** Ends the request in progress; null while there is none. */
-  settle: ((result: HttpResult) => void) | null;
+  /** Completes the request in progress; null while there is none. */
+  complete: ((result: HttpResult) => void) | null;
   idleSince: number;
   connected: boolean;
 }
@@ -21,7 +21,7 @@
 const DEFAULT_MAX_IDLE_MS = 30_000;
 const RESPONSE_LIMITS = { headerBytes: 16_384, headerCount: 100, bodyBytes: 16 * 1024 * 1024 };
 
-/** A small pool of kept-alive connections to one address. Never pipelines. */
+/** A small pool of keep-alive connections to one address, without pipelining. */
 export class HttpClient {
   private idle: ClientConnection[] = [];
   private open = 0;
@@ -30,37 +30,41 @@
     private readonly address: Address,
     private readonly maxOpen: number,
     private readonly maxIdleMs = DEFAULT_MAX_IDLE_MS,
-    private readonly bodyBytes = RESPONSE_LIMITS.bodyBytes,
+    private readonly maxBodyBytes = RESPONSE_LIMITS.bodyBytes,
   ) {}
 
-  /** Sends one request, at once or not at all; after `timeoutMs` its connection is dropped. */
+  /** Sends one request; fails immediately if all connections are in use. A timeout closes the connection. */
   request(method: string, target: string, body: Buffer | null, timeoutMs: number): Promise<HttpResult> {
     return new Promise((resolve) => {
       const connection = this.takeConnection();
       if (!connection) {
-        resolve({ ok: false, cause: 'all connections are in use', sent: false });
+        resolve({ ok: false, cause: `all ${this.maxOpen} connections are in use`, sent: false });
         return;
       }
       const onTimeout = (): void =>
-        connection.settle?.({ ok: false, cause: 'no answer in time', sent: connection.connected });
+        connection.complete?.({
+          ok: false,
+          cause: `no response within ${timeoutMs} ms`,
+          sent: connection.connected,
+        });
       const timer = setTimeout(onTimeout, timeoutMs);
-      connection.settle = (result) => {
-        connection.settle = null;
+      connection.complete = (result) => {
+        connection.complete = null;
         clearTimeout(timer);
         if (!result.ok) connection.socket.destroy();
         resolve(result);
       };
-      connection.socket.write(this.render(method, target, body));
+      connection.socket.write(this.encodeRequest(method, target, body));
     });
   }
 
-  /** Drops the connections that no request uses. */
+  /** Closes the idle connections. */
   close(): void {
     for (const { socket } of this.idle) socket.destroy();
     this.idle = [];
   }
 
-  private render(method: string, target: string, body: Buffer | null): Buffer {
+  private encodeRequest(method: string, target: string, body: Buffer | null): Buffer {
     const { host, port } = this.address;
     const head =
       `${method} ${target} HTTP/1.1\r\nHost: ${host}:${port}\r\n` +
@@ -72,7 +76,7 @@
   private takeConnection(): ClientConnection | null {
     const now = monotonicNow();
     for (let connection = this.idle.pop(); connection; connection = this.idle.pop()) {
-      // A connection that idled for long may have been dropped by the other side without a sign.
+      // The server may have dropped a connection after a long idle time without notice.
       if (!connection.socket.destroyed && now - connection.idleSince <= this.maxIdleMs) return connection;
       connection.socket.destroy();
     }
@@ -83,8 +87,8 @@
     const socket = connect({ host: this.address.host, port: this.address.port, noDelay: true });
     const connection: ClientConnection = {
       socket,
-      parser: new HttpParser('response', { ...RESPONSE_LIMITS, bodyBytes: this.bodyBytes }),
-      settle: null,
+      parser: new HttpParser('response', { ...RESPONSE_LIMITS, bodyBytes: this.maxBodyBytes }),
+      complete: null,
       idleSince: 0,
       connected: false,
     };
@@ -93,19 +97,20 @@
     socket.on('connect', () => {
       connection.connected = true;
     });
-    // A connection attempt that was given up never completes later: nothing was sent on it.
+    // An abandoned connection attempt never completes later, so nothing was sent on it.
     socket.on('error', ({ message }) =>
-      connection.settle?.({ ok: false, cause: message, sent: connection.connected }),
+      connection.complete?.({ ok: false, cause: message, sent: connection.connected }),
     );
     socket.on('close', () => this.onClose(connection));
     return connection;
   }
 
-  private onClose({ parser, settle, connected }: ClientConnection): void {
+  private onClose({ parser, complete, connected }: ClientConnection): void {
     this.open--;
     const last = parser.finish();
-    if (last) settle?.({ ok: true, status: last.status, body: last.body });
-    else settle?.({ ok: false, cause: 'connection closed', sent: connected });
+    if (last) complete?.({ ok: true, status: last.status, body: last.body });
+    else
+      complete?.({ ok: false, cause: 'connection closed before the response was complete', sent: connected });
   }
 
   private receive(connection: ClientConnection, chunk: Buffer): void {
@@ -113,22 +118,22 @@
     try {
       messages = connection.parser.push(chunk);
     } catch (error) {
-      connection.settle?.({ ok: false, cause: String(error), sent: true });
+      connection.complete?.({ ok: false, cause: String(error), sent: true });
       connection.socket.destroy();
       return;
     }
     for (const message of messages) if (!this.onResponse(connection, message)) return;
   }
 
-  /** False for a response that no request awaits: its connection is dropped. */
+  /** Returns false for a response without a request, which closes the connection. */
   private onResponse(connection: ClientConnection, { status, body, keepAlive }: HttpMessage): boolean {
-    const { settle, socket } = connection;
-    if (!settle) {
+    const { complete, socket } = connection;
+    if (!complete) {
       socket.destroy();
       return false;
     }
     if (keepAlive) connection.idleSince = monotonicNow();
-    settle({ ok: true, status, body });
+    complete({ ok: true, status, body });
     if (keepAlive) this.idle.push(connection);
     else socket.destroy();
     return true;
--- a/src/runtime/leadership/leader-election.ts
+++ b/src/runtime/leadership/leader-election.ts
@@ -149,7 +149,7 @@
     for (;;) {
       await sleep(PROBE_INTERVAL_MS);
       const responseIsStale =
-        monotonicNow() - this.dependencies.store.lastAnswerAt >= STORE_RESPONSE_FRESH_MS;
+        monotonicNow() - this.dependencies.store.lastResponseAt >= STORE_RESPONSE_FRESH_MS;
       if (responseIsStale || (!this.holdsLease && !this.hasOtherLeader())) await this.checkLeaderKey();
     }
   }
--- a/src/runtime/listeners.ts
+++ b/src/runtime/listeners.ts
@@ -1,21 +1,21 @@
-/** The two addresses that a controller listens on. */
+/** The listeners on the public and the internal address of a controller. */
 import { createServer, type Socket } from 'node:net';
 import type { Address } from '../config/address.js';
 import type { PeerRequest } from '../wire/peer-messages.js';
 import type { HttpMessage } from './http/http-message.js';
 import type { HttpReply } from './http/http-reply.js';
-import { httpConnectionHandler, type HttpHandler } from './http/http-server.js';
-import { STATUS_CONNECTIONS, type SocketBudget } from './http/socket-budget.js';
+import { httpConnectionHandler, type HttpRequestHandler } from './http/http-server.js';
+import { MAX_STATUS_CONNECTIONS, type SocketBudget } from './http/socket-budget.js';
 import type { Logger } from './logger.js';
 import { servePeer } from './peers/peer-server.js';
 import { clientGroup } from './public-router.js';
 
-const PUBLIC_IDLE_MS = 60_000;
-const PUBLIC_BODY_BYTES = 64 * 1024;
-const STATUS_IDLE_MS = 10_000;
-const STATUS_BODY_BYTES = 1024;
+const PUBLIC_IDLE_TIMEOUT_MS = 60_000;
+const MAX_PUBLIC_BODY_BYTES = 64 * 1024;
+const STATUS_IDLE_TIMEOUT_MS = 10_000;
+const MAX_STATUS_BODY_BYTES = 1024;
 
-const listen = (
+const startServer = (
   address: Address,
   onConnection: (socket: Socket) => void,
   backlog: number,
@@ -23,45 +23,48 @@
 ): void => {
   const server = createServer(onConnection);
   server.on('error', (error) => {
-    log.error({ cause: error.message, ...address }, 'cannot listen');
+    log.error({ cause: error.message, ...address }, 'cannot listen on address');
     process.exit(1);
   });
   server.listen({ ...address, backlog });
 };
 
-/** For workers, users and the load balancer. */
-export const listenPublicly = (
+/** Starts the HTTP listener for workers, users and the load balancer. */
+export const startPublicListener = (
   address: Address,
   sockets: SocketBudget,
-  handler: HttpHandler,
+  handler: HttpRequestHandler,
   log: Logger,
 ): void => {
   const limits = {
     connections: sockets.public,
-    idleMs: PUBLIC_IDLE_MS,
-    bodyBytes: PUBLIC_BODY_BYTES,
+    idleMs: PUBLIC_IDLE_TIMEOUT_MS,
+    bodyBytes: MAX_PUBLIC_BODY_BYTES,
     clientGroup,
   };
-  listen(address, httpConnectionHandler(limits, log, handler), sockets.backlog, log);
+  startServer(address, httpConnectionHandler(limits, log, handler), sockets.backlog, log);
 };
 
-/** Who answers on the internal address. */
+/** Handlers of the requests on the internal address. */
 export interface InternalHandlers {
   statusPage: (request: HttpMessage) => HttpReply;
-  /** The response in its encoded form. */
+  /** Resolves to the encoded response. */
   peerRequest: (request: PeerRequest) => Promise<unknown>;
   onMalformedPeerRequest: (cause: string) => void;
 }
 
-/** A frame's first byte is always 0, so a plain HTTP request for the status page is told apart by its first. */
+/**
+ * The first byte of a peer frame is always 0: the length prefix is big-endian, and frames are smaller than 16 MiB. An
+ * HTTP request for the status page starts with a letter.
+ */
 const FRAME_FIRST_BYTE = 0;
 
-/** For peers and for the status page. */
-export const listenInternally = (address: Address, handlers: InternalHandlers, log: Logger): void => {
+/** Starts the listener for peers and for the status page; the first byte of a connection selects the protocol. */
+export const startInternalListener = (address: Address, handlers: InternalHandlers, log: Logger): void => {
   const limits = {
-    connections: STATUS_CONNECTIONS,
-    idleMs: STATUS_IDLE_MS,
-    bodyBytes: STATUS_BODY_BYTES,
+    connections: MAX_STATUS_CONNECTIONS,
+    idleMs: STATUS_IDLE_TIMEOUT_MS,
+    bodyBytes: MAX_STATUS_BODY_BYTES,
   };
   const onHttp = httpConnectionHandler(limits, log, (request, reply) => reply(handlers.statusPage(request)));
   const onConnection = (socket: Socket): void => {
@@ -75,5 +78,5 @@
       socket.resume();
     });
   };
-  listen(address, onConnection, STATUS_CONNECTIONS, log);
+  startServer(address, onConnection, MAX_STATUS_CONNECTIONS, log);
 };
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -5,12 +5,12 @@
 type Level = 'error' | 'info' | 'debug';
 type Fields = Record<string, unknown>;
 
-const MIN_INTERVAL_MS = 1000;
-const MAX_KEYS = 500;
+const MIN_LINE_INTERVAL_MS = 1000;
+const MAX_RATE_LIMIT_KEYS = 500;
 
 const parseLevel = (raw: string | undefined): Level => (raw === 'error' || raw === 'debug' ? raw : 'info');
 
-/** Writes synchronously: a killed process loses no line. */
+/** Writes JSON log lines synchronously, so that a process that is killed loses none. */
 export class Logger {
   private readonly sink;
   private readonly lastWritten = new Map<string, { at: number; skipped: number }>();
@@ -26,33 +26,33 @@
     );
   }
 
-  /** What needs an operator. */
+  /** Logs an event that needs an operator's attention. */
   error(fields: Fields, text: string): void {
     this.sink.error(fields, text);
   }
 
-  /** What the controller does, in normal operation. */
+  /** Logs an event of normal operation. */
   info(fields: Fields, text: string): void {
     this.sink.info(fields, text);
   }
 
-  /** Each single request, lease renewal and placement. */
+  /** Logs an event that occurs for each request, lease renewal or placement. */
   debug(fields: Fields, text: string): void {
     this.sink.debug(fields, text);
   }
 
   /**
-   * At most one line a second for each key. Guards against a failing neighbour that costs this controller its share of
-   * the processor.
+   * Logs at most one line per second for each key, with the number of lines skipped since the last one. Without the
+   * limit, a failing peer, worker or client could use up this controller's CPU share through log lines.
    */
   rateLimited(key: string, level: Level, fields: Fields, text: string): void {
     const now = monotonicNow();
     const last = this.lastWritten.get(key);
-    if (last && now - last.at < MIN_INTERVAL_MS) {
+    if (last && now - last.at < MIN_LINE_INTERVAL_MS) {
       last.skipped++;
       return;
     }
-    if (this.lastWritten.size > MAX_KEYS) this.lastWritten.clear();
+    if (this.lastWritten.size > MAX_RATE_LIMIT_KEYS) this.lastWritten.clear();
     this.lastWritten.set(key, { at: now, skipped: 0 });
     this.sink[level](last?.skipped ? { ...fields, skipped: last.skipped } : fields, text);
   }
--- a/src/runtime/peers/pending-requests.ts
+++ b/src/runtime/peers/pending-requests.ts
@@ -1,42 +1,42 @@
-/** Requests to a peer that await their responses, many at a time over one connection. */
+/** Requests to a peer that wait for their responses, multiplexed over one connection. */
 import { encodeRequestFrame, type Frame } from './frame-codec.js';
 import type { FrameWriter } from './frame-writer.js';
 
-/** Enough for the heartbeats of a large cluster while the leader pauses for as long as a forwarded one waits. */
-export const MAX_OPEN_REQUESTS = 1024;
+/** Enough for the forwarded heartbeats of a large cluster while the leader pauses for the duration of their timeout. */
+export const MAX_PENDING_REQUESTS = 1024;
 
-/** Matches responses to requests by their ids. */
+/** Matches responses to requests by request id. */
 export class PendingRequests {
   private nextId = 1;
-  private readonly waiting = new Map<number, (response: unknown) => void>();
+  private readonly completions = new Map<number, (response: unknown) => void>();
 
-  /** So many await a response that others are not to be sent. */
+  /** Whether the limit of pending requests is reached. */
   get isFull(): boolean {
-    return this.waiting.size >= MAX_OPEN_REQUESTS;
+    return this.completions.size >= MAX_PENDING_REQUESTS;
   }
 
-  /** Sends a request in its encoded form; null without a response in time. */
+  /** Sends an encoded request. Resolves to the encoded response, or to null after the timeout. */
   send(writer: FrameWriter, request: unknown, timeoutMs: number): Promise<unknown> {
     return new Promise((resolve) => {
       const requestId = this.nextId++;
-      const finish = (response: unknown): void => {
+      const complete = (response: unknown): void => {
         clearTimeout(timer);
-        this.waiting.delete(requestId);
+        this.completions.delete(requestId);
         resolve(response);
       };
-      const timer = setTimeout(() => finish(null), timeoutMs);
-      this.waiting.set(requestId, finish);
+      const timer = setTimeout(() => complete(null), timeoutMs);
+      this.completions.set(requestId, complete);
       writer.push(encodeRequestFrame(requestId, request));
     });
   }
 
-  /** A response without a request, as after its time, is dropped. */
+  /** Completes the request that a response belongs to. A response after the timeout is ignored. */
   onResponse({ requestId, response }: Frame): void {
-    this.waiting.get(requestId)?.(response);
+    this.completions.get(requestId)?.(response);
   }
 
-  /** The connection has ended: no response comes any more. */
+  /** Completes all pending requests with null, after the connection is closed. */
   failAll(): void {
-    for (const finish of [...this.waiting.values()]) finish(null);
+    for (const complete of [...this.completions.values()]) complete(null);
   }
 }
--- a/src/runtime/users/job-lookup.ts
+++ b/src/runtime/users/job-lookup.ts
@@ -1,90 +1,90 @@
-/** Reads jobs' records for users' requests. A final state never changes, so it alone is answered from memory. */
+/** Reads job records for user requests. Only final records are cached, because they never change. */
 import type { FinalRecord, JobRecord } from '../../core/job-spec.js';
 import type { JobId, Revision } from '../../core/units.js';
 import { keys, parseFinalRecord, parseJobRecord } from '../../wire/stored-records.js';
 import type { CancellationFeed } from '../cancellations/cancellation-feed.js';
 import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 
-const MAX_FINAL_RECORDS_KEPT = 20_000;
+const MAX_CACHED_FINAL_RECORDS = 20_000;
 
-/** What the key-value store says of a job. */
+/** The state of a job in the key-value store. */
 export type JobLookupResult =
   | { kind: 'active'; record: JobRecord; revision: Revision }
   | { kind: 'final'; record: FinalRecord }
-  /** A record that can't be read: its job was accepted, and nothing else is known of it. */
-  | { kind: 'damaged' }
-  | { kind: 'none' }
-  | { kind: 'undecided' };
+  /** The record cannot be parsed: the job was accepted, and nothing else is known about it. */
+  | { kind: 'malformed' }
+  | { kind: 'not-found' }
+  | { kind: 'unknown' };
 
-/** Whether jobs were accepted, at whichever controller; the first that was not is named. */
-export type AcceptanceResult = { kind: 'accepted' } | { kind: 'undecided' } | { kind: 'missing'; job: JobId };
+/** Whether all of several jobs were accepted, at any controller; `missing` contains the first that was not. */
+export type AcceptanceResult = { kind: 'accepted' } | { kind: 'unknown' } | { kind: 'missing'; job: JobId };
 
 type DependencyState =
   | { kind: 'cancelled' }
   | { kind: 'done' }
-  | { kind: 'undecided' }
+  | { kind: 'unknown' }
   | { kind: 'pending'; dependsOn: readonly JobId[] };
 
-/** The part of the feed that says what is known of other jobs without asking. */
+/** The part of the cancellation feed that gives the state of other jobs without a request to the key-value store. */
 export type KnownJobs = Pick<CancellationFeed, 'has' | 'indexedJob' | 'isFresh'>;
 
-/** Looks up jobs, and what follows for a job from those that it depends on. */
+/** Looks up jobs, and whether their dependencies are accepted or cancelled. */
 export class JobLookup {
   private readonly finalRecords = new Map<JobId, FinalRecord>();
 
   constructor(
     private readonly store: Pick<KeyValueStoreClient, 'get'>,
-    private readonly known: KnownJobs,
+    private readonly knownJobs: KnownJobs,
   ) {}
 
-  /** The final state where it is remembered; it costs no request. */
+  /** The cached final record, without a request to the key-value store. */
   cachedFinalRecord(id: JobId): FinalRecord | undefined {
     return this.finalRecords.get(id);
   }
 
-  /** Active first, then final: a job that finishes between the two reads is found by the second. */
+  /** Reads the active record before the final one: a job that finishes between the reads is found by the second. */
   async find(id: JobId): Promise<JobLookupResult> {
     const cached = this.finalRecords.get(id);
     if (cached) return { kind: 'final', record: cached };
     const active = await this.store.get(keys.active(id));
     if (active.kind === 'ok') {
       const record = parseJobRecord(active.value.data);
-      return record ? { kind: 'active', record, revision: active.value.revision } : { kind: 'damaged' };
+      return record ? { kind: 'active', record, revision: active.value.revision } : { kind: 'malformed' };
     }
-    if (active.kind !== 'gone') return { kind: 'undecided' };
+    if (active.kind !== 'gone') return { kind: 'unknown' };
     const final = await this.store.get(keys.final(id));
-    if (final.kind === 'gone') return { kind: 'none' };
+    if (final.kind === 'gone') return { kind: 'not-found' };
     const record = final.kind === 'ok' ? parseFinalRecord(final.value.data) : null;
-    if (!record) return { kind: 'undecided' };
-    this.keepFinalRecord(id, record);
+    if (!record) return { kind: 'unknown' };
+    this.cacheFinalRecord(id, record);
     return { kind: 'final', record };
   }
 
-  /** Whether each of these jobs was accepted, at whichever controller. */
+  /** Returns whether each of these jobs was accepted, at any controller. */
   async checkAccepted(ids: readonly JobId[]): Promise<AcceptanceResult> {
-    const unknown = ids.filter(
-      (id) => !this.finalRecords.has(id) && !this.known.indexedJob(id) && !this.known.has(id),
+    const idsToRead = ids.filter(
+      (id) => !this.finalRecords.has(id) && !this.knownJobs.indexedJob(id) && !this.knownJobs.has(id),
     );
-    for (const id of unknown) {
+    for (const id of idsToRead) {
       const found = await this.find(id);
-      if (found.kind === 'undecided') return { kind: 'undecided' };
-      if (found.kind === 'none') return { kind: 'missing', job: id };
+      if (found.kind === 'unknown') return { kind: 'unknown' };
+      if (found.kind === 'not-found') return { kind: 'missing', job: id };
     }
     return { kind: 'accepted' };
   }
 
   /**
-   * Whether a job that the job depends on, directly or through others, is cancelled. What the feed says of jobs that
-   * are not over counts only while it is fresh: after an outage it may have missed a cancellation for too long.
+   * Returns whether any direct or transitive dependency of a job is cancelled. The index of unfinished jobs in the
+   * cancellation feed is used only while the feed is fresh: after an outage it may lack recent cancellations.
    */
-  async dependencyCancelled(dependsOn: readonly JobId[]): Promise<boolean | 'undecided'> {
-    const feedIsFresh = this.known.isFresh();
+  async dependencyCancelled(dependsOn: readonly JobId[]): Promise<boolean | 'unknown'> {
+    const feedIsFresh = this.knownJobs.isFresh();
     const visited = new Set<JobId>(dependsOn);
     const toVisit = [...dependsOn];
     for (let id = toVisit.pop(); id !== undefined; id = toVisit.pop()) {
       const state = await this.dependencyState(id, feedIsFresh);
       if (state.kind === 'cancelled') return true;
-      if (state.kind === 'undecided') return 'undecided';
+      if (state.kind === 'unknown') return 'unknown';
       if (state.kind === 'done') continue;
       for (const next of state.dependsOn) {
         if (visited.has(next)) continue;
@@ -96,22 +96,22 @@
   }
 
   private async dependencyState(id: JobId, feedIsFresh: boolean): Promise<DependencyState> {
-    if (this.known.has(id)) return { kind: 'cancelled' };
-    const indexed = feedIsFresh && !this.finalRecords.has(id) ? this.known.indexedJob(id) : undefined;
+    if (this.knownJobs.has(id)) return { kind: 'cancelled' };
+    const indexed = feedIsFresh && !this.finalRecords.has(id) ? this.knownJobs.indexedJob(id) : undefined;
     if (indexed) {
       if (indexed.cancelled) return { kind: 'cancelled' };
       return { kind: 'pending', dependsOn: indexed.dependsOn };
     }
     const found = await this.find(id);
     if (found.kind === 'final') return { kind: found.record.state };
-    if (found.kind !== 'active') return { kind: 'undecided' };
+    if (found.kind !== 'active') return { kind: 'unknown' };
     if (found.record.cancelledAt !== null) return { kind: 'cancelled' };
     return { kind: 'pending', dependsOn: found.record.spec.dependsOn };
   }
 
-  /** The record kept for longest makes room for a new one. */
-  private keepFinalRecord(id: JobId, record: FinalRecord): void {
-    if (this.finalRecords.size >= MAX_FINAL_RECORDS_KEPT)
+  /** Caches a final record, and evicts the oldest one when the cache is full. */
+  private cacheFinalRecord(id: JobId, record: FinalRecord): void {
+    if (this.finalRecords.size >= MAX_CACHED_FINAL_RECORDS)
       this.finalRecords.delete(this.finalRecords.keys().next().value!);
     this.finalRecords.set(id, record);
   }
--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -233,7 +233,7 @@
       this.unchangedHeartbeats.tryConfirmUnchanged(heartbeat, route)
     )
       return leaseRenewed('confirmed unchanged', heartbeatReply(term, []));
-    const response = await route.ask(
+    const response = await route.sendRequest(
       { kind: 'forwarded-heartbeat', heartbeat: body },
       HEARTBEAT_FORWARD_TIMEOUT_MS,
     );
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -122,7 +122,7 @@
   ): Promise<{ reporting: Set<string>; allPeersResponded: boolean }> {
     const responses = await Promise.all(
       this.dependencies.links.map((link) =>
-        link.ask({ kind: 'recent-heartbeats', machines }, PEER_REQUEST_TIMEOUT_MS),
+        link.sendRequest({ kind: 'recent-heartbeats', machines }, PEER_REQUEST_TIMEOUT_MS),
       ),
     );
     return {
