--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -98,8 +98,8 @@
   const warnings: string[] = [];
   for (const team of teams) {
     for (const [kind, guarantee, limit] of [
-      ['cpus', team.cpus, team.cpusMax],
-      ['gpus', team.gpus, team.gpusMax],
+      ['cpus', team.guaranteedCpus, team.maxCpus],
+      ['gpus', team.guaranteedGpus, team.maxGpus],
     ] as const) {
       if (limit === 0 || guarantee <= limit) continue;
       warnings.push(`team ${team.name}: ${guarantee} ${kind} guaranteed, served up to the limit of ${limit}`);
@@ -134,10 +134,10 @@
 
 const toTeamQuota = (team: FileSettings['teams'][number]): TeamQuota => ({
   name: team.name as Team,
-  cpus: team.cpus,
-  cpusMax: team.cpus_max,
-  gpus: team.gpus,
-  gpusMax: team.gpus_max,
+  guaranteedCpus: team.cpus,
+  maxCpus: team.cpus_max,
+  guaranteedGpus: team.gpus,
+  maxGpus: team.gpus_max,
 });
 
 const toObjective = (objective: FileSettings['objectives'][number]): Objective => ({
--- a/src/core/cancellation-log.ts
+++ b/src/core/cancellation-log.ts
@@ -9,17 +9,17 @@
 const MAX_PAGE_ENTRIES = 2000;
 
 /** One run of a controller process: what it remembers ends with it. */
-export type Incarnation = string & { readonly incarnation: unique symbol };
+export type ControllerIncarnation = string & { readonly incarnation: unique symbol };
 
 /** How much of a peer's log this controller holds. */
 export interface CancellationLogPosition {
-  incarnation: Incarnation;
+  incarnation: ControllerIncarnation;
   position: number;
 }
 
 /** A peer's answer to a request that says how much of its log the requester holds. */
 export interface CancellationLogPage {
-  incarnation: Incarnation;
+  incarnation: ControllerIncarnation;
   /** The position of the first job below. */
   from: number;
   jobs: JobId[];
@@ -51,7 +51,7 @@
   private readonly peers: ReadonlySet<NodeName>;
 
   constructor(
-    private readonly incarnation: Incarnation,
+    private readonly incarnation: ControllerIncarnation,
     peers: NodeName[],
     /** For so long an entry can matter: after it, no task of the job can be left anywhere. */
     private readonly retentionMs: number,
--- a/src/core/election.ts
+++ b/src/core/election.ts
@@ -36,12 +36,12 @@
 const AUTHORITY_MARGIN_MS = 50;
 
 /** Authority ends before the key-value store can let the lease expire, counted from the sending of the renewal. */
-export const leaseExpiresAt = (held: HeldLease, ttlMs: number): MonotonicTime =>
+export const authorityEndsAt = (held: HeldLease, ttlMs: number): MonotonicTime =>
   (held.renewedAt + ttlMs * (1 - CLOCK_DRIFT_FRACTION) - AUTHORITY_MARGIN_MS) as MonotonicTime;
 
 /** Whether this controller may act as the leader. */
 export const hasAuthority = (election: ElectionState, ttlMs: number, now: MonotonicTime): boolean =>
-  election.heldLease !== null && now < leaseExpiresAt(election.heldLease, ttlMs);
+  election.heldLease !== null && now < authorityEndsAt(election.heldLease, ttlMs);
 
 /** Takes over a leader that was named, unless a newer one is known. */
 export const recordLeader = (election: ElectionState, node: NodeName, term: Term): void => {
--- a/src/core/heartbeat-record.ts
+++ b/src/core/heartbeat-record.ts
@@ -21,7 +21,7 @@
   }
 
   /** A heartbeat with the same tasks as this one has come in full. */
-  recordRepeated(sequence: Uint64, now: MonotonicTime): void {
+  recordSameTasks(sequence: Uint64, now: MonotonicTime): void {
     this.receivedAt = now;
     this.sequence = sequence;
     this.processedSequence = sequence;
--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -4,7 +4,7 @@
 import { addResources, type Resources } from '../resources.js';
 import type { Job } from '../job.js';
 import {
-  capacityKey,
+  instancePoolKey,
   planScaleOut,
   type ScaleOutRequest,
   type CapacityDemand,
@@ -73,7 +73,7 @@
     for (const id of created)
       if (!this.state.machines.has(id))
         this.state.addMachine({ id, endpoint: '' as Endpoint, type, zone, spot }, now);
-    const key = capacityKey(type, zone, spot);
+    const key = instancePoolKey(type, zone, spot);
     if (created.length < request.count) this.recordRefusal(key, now);
     else this.refusals.delete(key);
     this.state.log('info', { request: requestId, ...request, created: created.length }, 'scale-out answered');
--- a/src/core/leader/heartbeat-reconciler.ts
+++ b/src/core/leader/heartbeat-reconciler.ts
@@ -115,7 +115,7 @@
     const last = machine.lastHeartbeat;
     if (last.supersedes(heartbeat)) return null;
     if (isUnchanged(machine, heartbeat)) {
-      last.recordRepeated(heartbeat.sequence, now);
+      last.recordSameTasks(heartbeat.sequence, now);
       return machine;
     }
     this.state.changedSinceTick = true;
--- a/src/core/leader/one-way-partition-detector.ts
+++ b/src/core/leader/one-way-partition-detector.ts
@@ -70,7 +70,7 @@
       if (replies.recordUnacknowledged())
         this.state.log('info', { machine: machine.id }, 'worker acknowledges no command');
     } else if (previousAt !== null) {
-      replies.recordHeartbeatAfter(now - previousAt);
+      replies.recordHeartbeatInterval(now - previousAt);
     }
     if (replies.isUnacknowledged) this.releaseUnstarted(machine, now);
   }
--- a/src/core/reply-tracker.ts
+++ b/src/core/reply-tracker.ts
@@ -51,8 +51,8 @@
   }
 
   /** A heartbeat that awaits no start came so soon that the worker can't have given up on the reply before it. */
-  recordHeartbeatAfter(gapMs: number): void {
-    if (gapMs < REPLY_TIMEOUT_MS) this.unacknowledged = 0;
+  recordHeartbeatInterval(intervalMs: number): void {
+    if (intervalMs < REPLY_TIMEOUT_MS) this.unacknowledged = 0;
   }
 
   /** The worker's lease has expired: what was counted for its former incarnation says nothing of the new one. */
--- a/src/core/scaling/scale-out-plan.ts
+++ b/src/core/scaling/scale-out-plan.ts
@@ -35,7 +35,7 @@
   /** In the order in which they are served. */
   demands: CapacityDemand[];
   types: MachineType[];
-  /** By `capacityKey`: until when the cloud isn't asked again for what it refused. */
+  /** By `instancePoolKey`: until when the cloud isn't asked again for what it refused. */
   unavailableUntil: Map<string, MonotonicTime>;
   now: MonotonicTime;
   maxNewMachines: number;
@@ -70,7 +70,7 @@
 const SPARE_CAPACITY_VALUE_FRACTION = 0.35;
 
 /** Names a pool of instances of one type, zone and kind. */
-export const capacityKey = (type: MachineTypeName, zone: Zone, spot: boolean): string =>
+export const instancePoolKey = (type: MachineTypeName, zone: Zone, spot: boolean): string =>
   `${type}|${zone}|${spot}`;
 
 const priceOf = (type: MachineType, spot: boolean): number => (spot ? type.spotPrice : type.price);
@@ -196,12 +196,12 @@
   }
 
   private isUnavailable(type: MachineTypeName, zone: Zone, spot: boolean): boolean {
-    const until = this.input.unavailableUntil.get(capacityKey(type, zone, spot)) ?? -Infinity;
+    const until = this.input.unavailableUntil.get(instancePoolKey(type, zone, spot)) ?? -Infinity;
     return until > this.input.now;
   }
 
   private addRequest({ type, zone, spot }: InstancePool): void {
-    const key = capacityKey(type, zone, spot);
+    const key = instancePoolKey(type, zone, spot);
     const request = this.requests.get(key) ?? { type, zone, spot, count: 0 };
     request.count++;
     this.requests.set(key, request);
--- a/src/core/scheduler/guarantees.ts
+++ b/src/core/scheduler/guarantees.ts
@@ -6,8 +6,8 @@
 
 /** What a team is guaranteed of each kind; a guarantee above the limit is served up to the limit. 0: none. */
 export const effectiveGuarantee = (quota: TeamQuota): { cpus: number; gpus: number } => ({
-  cpus: quota.cpusMax > 0 ? Math.min(quota.cpus, quota.cpusMax) : quota.cpus,
-  gpus: quota.gpusMax > 0 ? Math.min(quota.gpus, quota.gpusMax) : quota.gpus,
+  cpus: quota.maxCpus > 0 ? Math.min(quota.guaranteedCpus, quota.maxCpus) : quota.guaranteedCpus,
+  gpus: quota.maxGpus > 0 ? Math.min(quota.guaranteedGpus, quota.maxGpus) : quota.guaranteedGpus,
 });
 
 const fitsGuarantee = (need: Resources, quota: TeamQuota | undefined): boolean => {
--- a/src/core/scheduler/placement-constraints.ts
+++ b/src/core/scheduler/placement-constraints.ts
@@ -29,8 +29,8 @@
   const cpus = (used?.cpus ?? 0) + need.cpus;
   const gpus = (used?.gpus ?? 0) + need.gpus;
   return (
-    (quota.cpusMax === 0 || cpus <= quota.cpusMax + RESOURCE_EPSILON) &&
-    (quota.gpusMax === 0 || gpus <= quota.gpusMax + RESOURCE_EPSILON)
+    (quota.maxCpus === 0 || cpus <= quota.maxCpus + RESOURCE_EPSILON) &&
+    (quota.maxGpus === 0 || gpus <= quota.maxGpus + RESOURCE_EPSILON)
   );
 };
 
--- a/src/core/team-quota.ts
+++ b/src/core/team-quota.ts
@@ -5,11 +5,11 @@
 export interface TeamQuota {
   name: Team;
   /** Guaranteed CPUs. */
-  cpus: number;
+  guaranteedCpus: number;
   /** Limit on CPUs. */
-  cpusMax: number;
+  maxCpus: number;
   /** Guaranteed accelerators. */
-  gpus: number;
+  guaranteedGpus: number;
   /** Limit on accelerators. */
-  gpusMax: number;
+  maxGpus: number;
 }
--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -8,7 +8,7 @@
   CancellationLog,
   cancellationRetentionMs,
   renewalWindowMs,
-  type Incarnation,
+  type ControllerIncarnation,
   type CancellationLogPosition,
   type CancellationLogPage,
 } from '../../core/cancellation-log.js';
@@ -55,7 +55,7 @@
   constructor(private readonly dependencies: CancellationFeedDependencies) {
     const { workers, peers } = dependencies.platform;
     this.cancellationLog = new CancellationLog(
-      randomBytes(INCARNATION_BYTES).toString('base64url') as Incarnation,
+      randomBytes(INCARNATION_BYTES).toString('base64url') as ControllerIncarnation,
       peers.map((peer) => peer.name),
       cancellationRetentionMs(workers.cancelS),
     );
--- a/src/runtime/leadership/leader-election.ts
+++ b/src/runtime/leadership/leader-election.ts
@@ -6,7 +6,7 @@
  */
 import type { PlatformSettings } from '../../config/platform.js';
 import {
-  leaseExpiresAt,
+  authorityEndsAt,
   initialElectionState,
   hasAuthority,
   recordLeader,
@@ -64,7 +64,7 @@
   get authorityLeftMs(): number | null {
     const { heldLease } = this.electionState;
     if (heldLease === null) return null;
-    return Math.round(leaseExpiresAt(heldLease, this.dependencies.leaseMs) - monotonicNow());
+    return Math.round(authorityEndsAt(heldLease, this.dependencies.leaseMs) - monotonicNow());
   }
 
   /** Whether it holds the leader's lease, with or without authority. */
--- a/src/test/cancellations.test.ts
+++ b/src/test/cancellations.test.ts
@@ -1,7 +1,7 @@
 /** Cancellation logs and proofs of coverage between controllers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CancellationLog, renewalWindowMs, type Incarnation } from '../core/cancellation-log.js';
+import { CancellationLog, renewalWindowMs, type ControllerIncarnation } from '../core/cancellation-log.js';
 import type { JobId, NodeName, MonotonicTime } from '../core/units.js';
 import { parseLogPage } from '../wire/cancellation-pages.js';
 
@@ -14,7 +14,7 @@
   const names = ['a', 'b', 'c'] as NodeName[];
   const make = (name: string, run = 1): CancellationLog =>
     new CancellationLog(
-      `${name}${run}` as Incarnation,
+      `${name}${run}` as ControllerIncarnation,
       names.filter((other) => other !== name),
       KEPT,
     );
--- a/src/test/dependencies.test.ts
+++ b/src/test/dependencies.test.ts
@@ -119,7 +119,7 @@
 
 test('while it waits for dependencies a job takes no part of its team guarantee', () => {
   const { state, learn } = setup();
-  const gold = { name: 'gold' as Team, cpus: 0, cpusMax: 0, gpus: 2, gpusMax: 0 };
+  const gold = { name: 'gold' as Team, guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 2, maxGpus: 0 };
   learn(idOf(1), { team: gold.name, tasks: 1 });
   const waiting = learn(idOf(2), { team: gold.name, tasks: 1, dependsOn: [idOf(1)] });
   const later = learn(idOf(3), { team: gold.name, tasks: 1 });
--- a/src/test/four-zones.test.ts
+++ b/src/test/four-zones.test.ts
@@ -9,8 +9,8 @@
 
 const zones = ['north', 'east', 'south', 'west'];
 const teams: TeamQuota[] = [
-  { name: 'green' as Team, cpus: 0, cpusMax: 0, gpus: 16, gpusMax: 60 },
-  { name: 'blue' as Team, cpus: 0, cpusMax: 0, gpus: 8, gpusMax: 24 },
+  { name: 'green' as Team, guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 16, maxGpus: 60 },
+  { name: 'blue' as Team, guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 8, maxGpus: 24 },
 ];
 const over: Partial<ClusterSetup> = {
   zones,
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -23,16 +23,16 @@
 
 const team = (name: string, over: Partial<TeamQuota> = {}): TeamQuota => ({
   name: name as Team,
-  cpus: 0,
-  cpusMax: 0,
-  gpus: 0,
-  gpusMax: 0,
+  guaranteedCpus: 0,
+  maxCpus: 0,
+  guaranteedGpus: 0,
+  maxGpus: 0,
   ...over,
 });
 const red = 'red' as Team;
 const gold = 'gold' as Team;
 const none = 'none' as Team;
-const teams = [team('red', { gpus: 2 }), team('gold', { gpus: 2 }), team('none')];
+const teams = [team('red', { guaranteedGpus: 2 }), team('gold', { guaranteedGpus: 2 }), team('none')];
 
 const within = (jobs: Job[], limits: TeamQuota[]): string[] => {
   markWithinGuarantee(jobs, new Map(limits.map((t) => [t.name, t])));
@@ -74,15 +74,15 @@
 
 test('within its guarantee: CPUs and accelerators are checked separately, and the limit bounds it', () => {
   const one = [submitted('wk-1', 0, { team: red, tasks: 1, cpus: 4, gpus: 1 })];
-  assert.deepEqual(within(one, [team('red', { gpus: 2, cpus: 3 })]), []);
-  assert.deepEqual(within(one, [team('red', { gpus: 2, cpus: 4 })]), ['wk-1']);
+  assert.deepEqual(within(one, [team('red', { guaranteedGpus: 2, guaranteedCpus: 3 })]), []);
+  assert.deepEqual(within(one, [team('red', { guaranteedGpus: 2, guaranteedCpus: 4 })]), ['wk-1']);
   assert.deepEqual(
-    within(one, [team('red', { cpus: 4 })]),
+    within(one, [team('red', { guaranteedCpus: 4 })]),
     ['wk-1'],
     'no guarantee of accelerators, none asked',
   );
   const two = [submitted('wk-1', 0, { team: red, tasks: 2 })];
-  assert.deepEqual(within(two, [team('red', { gpus: 9, gpusMax: 1 })]), []);
+  assert.deepEqual(within(two, [team('red', { guaranteedGpus: 9, maxGpus: 1 })]), []);
 });
 
 test("borrowed capacity of any priority is preempted for a job within its team's guarantee", () => {
@@ -216,9 +216,9 @@
 
 test('teams with more demand than capacity converge: no endless mutual preemption', () => {
   const limits = [
-    team('red', { gpus: 4, gpusMax: 6 }),
-    team('gold', { gpus: 2, gpusMax: 8 }),
-    team('none', { gpusMax: 6 }),
+    team('red', { guaranteedGpus: 4, maxGpus: 6 }),
+    team('gold', { guaranteedGpus: 2, maxGpus: 8 }),
+    team('none', { maxGpus: 6 }),
   ];
   const MOST_ROUNDS = 60;
   for (let seed = 1; seed <= 100; seed++) {
@@ -230,9 +230,9 @@
     let rounds = 0;
     while (applyOneCycle(machines, jobs, limits)) {
       assert.ok(++rounds < MOST_ROUNDS, `seed ${seed} does not settle`);
-      for (const { name, gpusMax } of limits) {
+      for (const { name, maxGpus } of limits) {
         const used = jobs.filter((j) => j.spec.team === name).reduce((sum, j) => sum + j.placements.size, 0);
-        assert.ok(used <= gpusMax, `seed ${seed}: ${name} uses ${used} of ${gpusMax}`);
+        assert.ok(used <= maxGpus, `seed ${seed}: ${name} uses ${used} of ${maxGpus}`);
       }
     }
     for (const j of jobs) {
@@ -243,9 +243,9 @@
 });
 
 const scenarioTeams = [
-  team('red', { gpus: 8, gpusMax: 40 }),
-  team('gold', { gpus: 8, gpusMax: 40 }),
-  team('none', { gpusMax: 40 }),
+  team('red', { guaranteedGpus: 8, maxGpus: 40 }),
+  team('gold', { guaranteedGpus: 8, maxGpus: 40 }),
+  team('none', { maxGpus: 40 }),
 ];
 const MACHINES_PER_ZONE = 8;
 const over: Partial<ClusterSetup> = {
--- a/src/test/large-cluster.test.ts
+++ b/src/test/large-cluster.test.ts
@@ -8,7 +8,7 @@
 import { MachinePool } from '../core/leader/machine-pool.js';
 import { Autoscaler } from '../core/leader/autoscaler.js';
 import { LeaderState } from '../core/leader/leader-state.js';
-import { capacityKey } from '../core/scaling/scale-out-plan.js';
+import { instancePoolKey } from '../core/scaling/scale-out-plan.js';
 import type { MonotonicTime, Term } from '../core/units.js';
 
 const MACHINES = 4000;
@@ -97,7 +97,8 @@
   const kind = (effect: (typeof first)[number]): string => `${effect.request.type} ${effect.request.zone}`;
   assert.ok(!requests(10).some((effect) => kind(effect) === kind(first[0])), 'not before the rest is over');
   assert.ok(
-    autoscaler['unavailableUntil'].get(capacityKey(first[0].request.type, first[0].request.zone, false))! <=
-      16_000,
+    autoscaler['unavailableUntil'].get(
+      instancePoolKey(first[0].request.type, first[0].request.zone, false),
+    )! <= 16_000,
   );
 });
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -10,7 +10,7 @@
   describeDecisions,
 } from './sim/scheduling-cycle-fixtures.js';
 import { jobSpec, types } from './sim/fixtures.js';
-import { leaseExpiresAt, initialElectionState, hasAuthority, recordLeader } from '../core/election.js';
+import { authorityEndsAt, initialElectionState, hasAuthority, recordLeader } from '../core/election.js';
 import type { Machine } from '../core/machine.js';
 import type { Job } from '../core/job.js';
 import { planScaleOut } from '../core/scaling/scale-out-plan.js';
@@ -247,7 +247,7 @@
       capacities: [],
       demands: wants,
       types,
-      unavailableUntil: new Map(refused.map((capacityKey) => [capacityKey, (now + 1) as MonotonicTime])),
+      unavailableUntil: new Map(refused.map((poolKey) => [poolKey, (now + 1) as MonotonicTime])),
       now,
       maxNewMachines: 10,
     }).requests.map(
@@ -267,7 +267,7 @@
   const election = initialElectionState();
   const held = { leaseId: 1, term: 3 as Term, keyRevision: 9 as Revision, renewedAt: 1000 as MonotonicTime };
   election.heldLease = held;
-  assert.ok(leaseExpiresAt(held, 3000) < 4000 * (1 - 0.0005));
+  assert.ok(authorityEndsAt(held, 3000) < 4000 * (1 - 0.0005));
   assert.ok(hasAuthority(election, 3000, 3900 as MonotonicTime));
   assert.ok(!hasAuthority(election, 3000, 3960 as MonotonicTime));
   recordLeader(election, 'other' as NodeName, 4 as Term);
--- a/src/test/sim/fixtures.ts
+++ b/src/test/sim/fixtures.ts
@@ -6,8 +6,8 @@
 
 /** One team with a guarantee and a limit, one without. */
 export const teams: TeamQuota[] = [
-  { name: 'blue' as Team, cpus: 0, cpusMax: 0, gpus: 4, gpusMax: 20 },
-  { name: 'green' as Team, cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
+  { name: 'blue' as Team, guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 4, maxGpus: 20 },
+  { name: 'green' as Team, guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 },
 ];
 
 /** Two machine types, each in two zones. */
--- a/src/test/sim/invariant-checker.ts
+++ b/src/test/sim/invariant-checker.ts
@@ -239,7 +239,7 @@
       cpus += other.cpus;
     }
     const over = (used: number, max: number): boolean => max > 0 && used > max + QUOTA_TOLERANCE;
-    if (over(gpus, team.gpusMax) || over(cpus, team.cpusMax)) this.report('quota', spec.team);
+    if (over(gpus, team.maxGpus) || over(cpus, team.maxCpus)) this.report('quota', spec.team);
   }
 
   private report(rule: string, what: string): void {
--- a/src/test/sim/pending-job-monitor.ts
+++ b/src/test/sim/pending-job-monitor.ts
@@ -60,11 +60,11 @@
 
   private quotaAllows(spec: JobSpec): boolean {
     const { specs, teams } = this.dependencies;
-    const { gpusMax } = teams.find((team) => team.name === spec.team)!;
+    const { maxGpus } = teams.find((team) => team.name === spec.team)!;
     let used = 0;
     for (const other of specs.values())
       if (other.team === spec.team) used += other.gpus * this.activeTasks(other.id);
-    return gpusMax <= 0 || used + spec.gpus * tasksAtOnce(spec) <= gpusMax;
+    return maxGpus <= 0 || used + spec.gpus * tasksAtOnce(spec) <= maxGpus;
   }
 
   private fits(spec: JobSpec): boolean {
--- a/src/test/sim/scenario.ts
+++ b/src/test/sim/scenario.ts
@@ -18,8 +18,8 @@
 
 /** One team without a guarantee or a limit, one with both. */
 export const teams: TeamQuota[] = [
-  { name: 'green' as Team, cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
-  { name: 'blue' as Team, cpus: 0, cpusMax: 0, gpus: 4, gpusMax: 8 },
+  { name: 'green' as Team, guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 },
+  { name: 'blue' as Team, guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 4, maxGpus: 8 },
 ];
 
 /** What a scenario's script acts on. */
--- a/src/test/wire.test.ts
+++ b/src/test/wire.test.ts
@@ -141,7 +141,7 @@
   assert.equal(threeZones.zones.length, 3);
   const red = threeZones.teams.find((t) => (t.name as string) === 'red')!;
   assert.deepEqual(
-    [red.cpus, red.cpusMax, red.gpus, red.gpusMax],
+    [red.guaranteedCpus, red.maxCpus, red.guaranteedGpus, red.maxGpus],
     [0, 0, 9, 4],
     'the limit holds, whatever is guaranteed',
   );
