--- a/src/core/cancellation-log.ts
+++ b/src/core/cancellation-log.ts
@@ -1,14 +1,11 @@
-/**
- * Which jobs' cancellations were confirmed to users, and up to which instant this controller has proof that it knows
- * them all.
- */
+/** The jobs whose cancellation was confirmed to users, and the time up to which this log of them is complete. */
 import { CLOCK_DRIFT_FRACTION } from './clock-drift.js';
 import type { JobId, NodeName, MonotonicTime } from './units.js';
 
-/** Entries a peer is sent at once; what is left follows with the next request. */
+/** Maximum number of entries in a page. The peer gets the remaining entries with its next request. */
 const MAX_PAGE_ENTRIES = 2000;
 
-/** One run of a controller process: what it remembers ends with it. */
+/** Identifies one run of a controller process, whose log is lost when the process ends. */
 export type ControllerIncarnation = string & { readonly incarnation: unique symbol };
 
 /** How much of a peer's log this controller holds. */
@@ -17,29 +14,30 @@
   position: number;
 }
 
-/** A peer's answer to a request that says how much of its log the requester holds. */
+/** A page of a peer's log, in response to a request that contains the requester's position in that log. */
 export interface CancellationLogPage {
   incarnation: ControllerIncarnation;
-  /** The position of the first job below. */
+  /** The position of the first entry in `jobs`. */
   from: number;
   jobs: JobId[];
-  /** Where the log ends; beyond from + jobs.length there is more to ask for. */
+  /** The end position of the log. If it is greater than `from + jobs.length`, there are further pages. */
   end: number;
-  /** How long ago the instant is up to which it knows every cancellation; null: it can prove none. */
+  /** Age of the instant up to which the sender's log is proven complete; null if the sender has no proof. */
   completeAgoMs: number | null;
 }
 
 interface PeerLog extends CancellationLogPosition {
-  /** All that the peer confirmed between these instants is in this controller's log. */
-  from: MonotonicTime;
-  until: MonotonicTime;
+  /** Every cancellation that the peer confirmed between these instants is in this controller's log. */
+  completeFrom: MonotonicTime;
+  completeUntil: MonotonicTime;
 }
 
 /**
- * Guards against a cancelled task that is kept alive by a controller which can't have heard of the cancellation.
- * Each controller keeps a log of the cancelled jobs it knows. It adds a job there before it confirms the cancellation to
- * a user; and it takes over what the key-value store's records and its peers' logs say. From the instants at which it
- * *asked*, it derives `completeUntil`: every cancellation that any controller confirmed until then is in this log.
+ * Guards against a controller that keeps a cancelled task alive because the cancellation could not reach it. Each
+ * controller logs the cancelled jobs that it knows. It adds a job before it confirms the cancellation to a user, and
+ * merges the cancellations in the key-value store's records and in its peers' logs. From the times at which it *sent*
+ * the requests for these it derives `completeUntil`: this log has every cancellation that any controller confirmed
+ * until then.
  */
 export class CancellationLog {
   private readonly learnedAt = new Map<JobId, MonotonicTime>();
@@ -53,13 +51,13 @@
   constructor(
     private readonly incarnation: ControllerIncarnation,
     peers: NodeName[],
-    /** For so long an entry can matter: after it, no task of the job can be left anywhere. */
+    /** How long entries are kept. After this time no task of the job can remain on any machine. */
     private readonly retentionMs: number,
   ) {
     this.peers = new Set(peers);
   }
 
-  /** Adds a cancelled job; false if it is known already. */
+  /** Adds a cancelled job; returns false if it was known already. */
   add(job: JobId, now: MonotonicTime): boolean {
     if (this.learnedAt.has(job)) return false;
     this.learnedAt.set(job, now);
@@ -78,7 +76,7 @@
     return this.learnedAt.get(job);
   }
 
-  /** Whether any cancellation was learned from the one instant on and before the other. */
+  /** Whether any cancellation became known at or after `from` and before `until`. */
   anyLearnedBetween(from: MonotonicTime, until: MonotonicTime): boolean {
     for (const at of this.learnedAt.values()) if (at >= from && at < until) return true;
     return false;
@@ -89,30 +87,31 @@
     return this.learnedAt.keys();
   }
 
-  /** Every cancellation confirmed until this instant is known here; -Infinity in a process that has just begun. */
+  /** Every cancellation confirmed up to this instant is in this log; -Infinity in a process that has just started. */
   provenUntil(now: MonotonicTime): MonotonicTime {
-    // Without peers no other controller confirms any; those of an earlier process are in the store's first answer.
+    // Without peers, no other controller confirms cancellations. Those that an earlier process of this controller
+    // confirmed are in the first response of the key-value store.
     if (this.peers.size === 0 && this.completeUntil > -Infinity) return now;
     return this.completeUntil;
   }
 
   /**
-   * The key-value store answered a request sent at this instant, and all cancelled records in the answer were added:
-   * whatever was confirmed before was recorded before.
+   * Records that the key-value store answered a request sent at this instant and that all cancelled records in the
+   * response were added. Every cancellation confirmed before the request was stored before it.
    */
-  onStoreRead(askedAt: MonotonicTime): void {
-    this.advance(askedAt);
+  onStoreRead(requestSentAt: MonotonicTime): void {
+    this.advance(requestSentAt);
   }
 
-  /** What the next request to the peer says this controller holds; null: nothing. */
+  /** How much of the peer's log this controller holds, for the next request to the peer; null if it holds nothing. */
   positionOf(peer: NodeName): CancellationLogPosition | null {
     const log = this.peerLogs.get(peer);
     return log ? { incarnation: log.incarnation, position: log.position } : null;
   }
 
-  /** The answer to a peer that holds so much of this log. */
-  pageAfter(have: CancellationLogPosition | null, now: MonotonicTime): CancellationLogPage {
-    const known = have?.incarnation === this.incarnation ? have.position : 0;
+  /** The page of this log that follows the requester's position. */
+  pageAfter(requesterPosition: CancellationLogPosition | null, now: MonotonicTime): CancellationLogPage {
+    const known = requesterPosition?.incarnation === this.incarnation ? requesterPosition.position : 0;
     const from = Math.max(this.firstPosition, Math.min(known, this.end));
     const firstIndex = from - this.firstPosition;
     const jobs = this.entries.slice(firstIndex, firstIndex + MAX_PAGE_ENTRIES);
@@ -120,36 +119,47 @@
     return { incarnation: this.incarnation, from, jobs, end: this.end, completeAgoMs };
   }
 
-  /** Takes over a peer's answer to a request sent at `askedAt`; returns the jobs that were not known. */
-  mergePage(peer: NodeName, page: CancellationLogPage, askedAt: MonotonicTime, now: MonotonicTime): JobId[] {
+  /** Merges a peer's response to a request sent at `requestSentAt`; returns the jobs that were not known before. */
+  mergePage(
+    peer: NodeName,
+    page: CancellationLogPage,
+    requestSentAt: MonotonicTime,
+    now: MonotonicTime,
+  ): JobId[] {
     if (!this.peers.has(peer)) return [];
     const added = page.jobs.filter((job) => this.add(job, now));
     let log = this.peerLogs.get(peer);
     if (log?.incarnation !== page.incarnation) {
-      // What the peer's earlier process confirmed last may be unknown here: only what it says from now on counts.
-      log = { incarnation: page.incarnation, position: page.from, from: now, until: askedAt };
+      // Cancellations that the peer's previous process confirmed last may be missing here, so the proof covers only
+      // those confirmed from now on.
+      log = {
+        incarnation: page.incarnation,
+        position: page.from,
+        completeFrom: now,
+        completeUntil: requestSentAt,
+      };
       this.peerLogs.set(peer, log);
     }
-    // Entries before `from` that are missing here were dropped there for their age: they matter no more.
+    // The peer has dropped entries before `page.from` because of their age; they no longer matter.
     log.position = Math.max(log.position, page.from + page.jobs.length);
     if (log.position < page.end) return added;
-    log.until = Math.max(log.until, askedAt) as MonotonicTime;
-    // What the peer has proof of holds here too, since all of its log is here.
+    log.completeUntil = Math.max(log.completeUntil, requestSentAt) as MonotonicTime;
+    // All of the peer's log is held here, so the peer's proof holds for this log, too.
     if (page.completeAgoMs !== null) {
       const completeAgoMs = Math.max(0, page.completeAgoMs) * (1 + CLOCK_DRIFT_FRACTION);
-      this.advance((askedAt - completeAgoMs) as MonotonicTime);
+      this.advance((requestSentAt - completeAgoMs) as MonotonicTime);
     }
     this.advanceByPeerLogs();
     return added;
   }
 
-  /** Advances if every peer's log is here without a gap since the instant that is proven already. */
+  /** Advances if the logs of all peers are held here without a gap since the instant that is already proven. */
   private advanceByPeerLogs(): void {
     let until = Infinity;
     for (const peer of this.peers) {
       const log = this.peerLogs.get(peer);
-      if (!log || log.from > this.completeUntil) return;
-      until = Math.min(until, log.until);
+      if (!log || log.completeFrom > this.completeUntil) return;
+      until = Math.min(until, log.completeUntil);
     }
     if (until < Infinity) this.advance(until as MonotonicTime);
   }
@@ -162,7 +172,7 @@
     return this.firstPosition + this.entries.length;
   }
 
-  /** Bounds the log by age, and so by the rate at which the key-value store takes cancellations. */
+  /** Bounds the log by age, and thereby by the rate at which the key-value store accepts cancellations. */
   private dropExpired(now: MonotonicTime): void {
     let expired = 0;
     while (expired < this.entries.length && this.isExpired(this.entries[expired], now)) expired++;
@@ -176,19 +186,19 @@
   }
 }
 
-/** Log entries are kept for this many times `cancel_s`. */
-const RETENTION_CANCELS = 4;
+/** Entries are kept for this multiple of `cancel_s`. */
+const RETENTION_CANCEL_PERIODS = 4;
 
-/** For how long entries are kept. */
-export const cancellationRetentionMs = (cancelS: number): number => cancelS * 1000 * RETENTION_CANCELS;
+/** How long entries are kept. */
+export const cancellationRetentionMs = (cancelS: number): number => cancelS * 1000 * RETENTION_CANCEL_PERIODS;
 
-/** Between the lease's end on the worker's clock and the tasks' end as others see it. */
+/** Margin between the end of a lease on the worker's clock and the end of its tasks as seen by others. */
 const TASK_END_MARGIN_MS = 1500;
 
 /**
- * How long after `provenUntil` a heartbeat may still be answered 200. What is not known then was confirmed later than
- * that instant; the answer keeps the tasks for at most a lease from the heartbeat's sending, and so until before
- * `cancel_s` after the confirmation.
+ * How long after `provenUntil` a heartbeat may still be answered with 200. A cancellation unknown at that time was
+ * confirmed after `provenUntil`. The response keeps the worker's tasks running for at most one lease from the sending
+ * of the heartbeat, which ends within `cancel_s` of the confirmation.
  */
 export const renewalWindowMs = (cancelS: number, leaseS: number): number => {
   const afterLeaseS = cancelS - leaseS * (1 + CLOCK_DRIFT_FRACTION);
--- a/src/core/election.ts
+++ b/src/core/election.ts
@@ -1,41 +1,41 @@
 /**
- * Leader election: a key attached to a lease in the key-value store, created in the one transaction that also raises
- * the term. This module decides; the runtime carries out the calls.
+ * Leader election by a key that is attached to a lease in the key-value store. The transaction that creates the key
+ * also raises the term. This module contains the rules; the runtime sends the requests.
  */
 import { CLOCK_DRIFT_FRACTION } from './clock-drift.js';
 import type { Uint64, NodeName, Revision, MonotonicTime, Term } from './units.js';
 
-/** One leadership of a controller. */
+/** A period in which one controller is the leader. */
 export interface Leadership {
   term: Term;
-  /** Revision of the leader key: a write on the condition that it is unchanged only succeeds under this leadership. */
+  /** Revision of the leader key. A write conditional on this revision succeeds only during this leadership. */
   keyRevision: Revision;
 }
 
-/** A leadership of this controller, and the lease that it stands on. */
+/** A leadership of this controller, with the lease that it depends on. */
 export interface HeldLease {
   leaseId: Uint64;
   term: Term;
   keyRevision: Revision;
-  /** When the last successful renewal (or the grant) was sent. */
+  /** When the last successful renewal, or the grant, of the lease was sent. */
   renewedAt: MonotonicTime;
 }
 
-/** What this controller knows of the leadership. */
+/** The leader election as known to this controller. */
 export interface ElectionState {
-  /** Null while it doesn't lead. */
+  /** Null while this controller is not the leader. */
   heldLease: HeldLease | null;
-  /** The newest leader that the key-value store or a peer has named. */
+  /** The newest leader reported by the key-value store or by a peer. */
   leader: { node: NodeName; term: Term } | null;
 }
 
-/** A controller that leads nothing and knows no leader. */
+/** The state of a controller that is not the leader and knows of no leader. */
 export const initialElectionState = (): ElectionState => ({ heldLease: null, leader: null });
 
-/** Between the end of the leader's authority and the earliest expiry of the lease. */
+/** Margin between the end of the leader's authority and the earliest possible expiry of the lease. */
 const AUTHORITY_MARGIN_MS = 50;
 
-/** Authority ends before the key-value store can let the lease expire, counted from the sending of the renewal. */
+/** When the leader's authority ends, which is before the key-value store can expire a lease renewed at `renewedAt`. */
 export const authorityEndsAt = (held: HeldLease, ttlMs: number): MonotonicTime =>
   (held.renewedAt + ttlMs * (1 - CLOCK_DRIFT_FRACTION) - AUTHORITY_MARGIN_MS) as MonotonicTime;
 
@@ -43,10 +43,10 @@
 export const hasAuthority = (election: ElectionState, ttlMs: number, now: MonotonicTime): boolean =>
   election.heldLease !== null && now < authorityEndsAt(election.heldLease, ttlMs);
 
-/** Takes over a leader that was named, unless a newer one is known. */
+/** Records a reported leader, unless a newer one is known. */
 export const recordLeader = (election: ElectionState, node: NodeName, term: Term): void => {
   if (election.leader === null || term >= election.leader.term) election.leader = { node, term };
-  // A higher term means that our lease is gone, whatever our own clock says.
+  // A higher term means that this controller's lease is lost, even if it is still valid by the local clock.
   if (election.heldLease !== null && term > election.heldLease.term) election.heldLease = null;
 };
 
--- a/src/core/image-cache.ts
+++ b/src/core/image-cache.ts
@@ -1,6 +1,6 @@
-/** The images in a worker's cache, as the leader infers them: heartbeats don't name them. */
+/** The leader's model of the images in a worker's cache, inferred from tasks, since heartbeats don't list images. */
 
-/** Keeps the most recently used images, as far as they fit, as the worker's cache does. */
+/** Keeps the most recently used images that fit, as the worker's cache does. */
 export class ImageCache {
   /** Sizes by image, the least recently used first. */
   private readonly sizesGb = new Map<string, number>();
@@ -15,7 +15,7 @@
     return this.sizesGb.has(image);
   }
 
-  /** The image was used; the least recently used ones leave until the others fit. One that is too large stays alone. */
+  /** Records a use of the image and evicts others, least recently used first, until it fits or is the only one. */
   recordUse(image: string, imageGb: number, capacityGb: number): void {
     this.sizesGb.delete(image);
     this.sizesGb.set(image, imageGb);
--- a/src/core/job-index.ts
+++ b/src/core/job-index.ts
@@ -1,38 +1,39 @@
 /**
- * What a controller knows of the unfinished jobs without asking for each: that they were accepted, which are cancelled,
- * and which others they depend on. Fed by the changes of the key-value store, so it is some time behind them.
+ * An index of the unfinished jobs, with which a controller can check whether a job was accepted, whether it is
+ * cancelled, and on which jobs it depends. It is updated with the changes of the key-value store, and lags behind the
+ * store.
  */
 import type { JobId } from './units.js';
 
-/** What is kept of an unfinished job. */
+/** The index entry of an unfinished job. */
 export interface IndexedJob {
   dependsOn: readonly JobId[];
   cancelled: boolean;
 }
 
-/** Shared by all jobs without dependencies: there are many. */
+/** Shared by all jobs without dependencies to save memory, since there are many. */
 const NO_DEPENDENCIES: readonly JobId[] = [];
 
 /** The unfinished jobs, as of the last changes read. */
 export class JobIndex {
   private jobs = new Map<JobId, IndexedJob>();
 
-  /** The job's record was created or changed. */
+  /** Adds or updates a job after its record was created or changed. */
   put(id: JobId, dependsOn: readonly JobId[], cancelled: boolean): void {
     this.jobs.set(id, { dependsOn: dependsOn.length > 0 ? dependsOn : NO_DEPENDENCIES, cancelled });
   }
 
-  /** The job's record was deleted: there is a final one. */
+  /** Removes a job after its record was deleted, which means that there is a final record. */
   remove(id: JobId): void {
     this.jobs.delete(id);
   }
 
-  /** All records are about to be put again. */
+  /** Removes all jobs, before all records are added again. */
   clear(): void {
     this.jobs = new Map();
   }
 
-  /** Undefined for a job that is over, or not known yet. */
+  /** The entry of a job; undefined if the job has ended or is not known yet. */
   get(id: JobId): IndexedJob | undefined {
     return this.jobs.get(id);
   }
--- a/src/core/job-progress.ts
+++ b/src/core/job-progress.ts
@@ -3,11 +3,11 @@
 
 const hasBit = (bits: Uint8Array, index: number): boolean => (bits[index >> 3] & (1 << (index & 7))) !== 0;
 
-/** One bit for each task, and the bookkeeping of the segments in which they are written. */
+/** A completion bit for each task, and the state of the segments in which the bits are stored. */
 export class JobProgress {
   readonly completedBits: Uint8Array;
   completedCount = 0;
-  /** Tasks whose completion the key-value store doesn't hold yet, and that no write under way has. */
+  /** Completed tasks that the key-value store doesn't hold yet and that no pending write contains. */
   readonly unpersisted = new Set<number>();
   lastPersistedAt = -Infinity;
   readonly segmentsBeingWritten = new Set<SegmentName>();
@@ -31,7 +31,7 @@
     return hasBit(this.durableBits, index);
   }
 
-  /** The task is done; false: it was before. */
+  /** Marks the task as completed; returns false if the job has no such task or it was already completed. */
   markCompleted(index: number): boolean {
     if (index >= this.tasks || this.isCompleted(index)) return false;
     this.completedBits[index >> 3] |= 1 << (index & 7);
@@ -40,7 +40,7 @@
     return true;
   }
 
-  /** Completions read back from the key-value store, or confirmed as written to it, from that byte on. */
+  /** Records completions that the key-value store holds, read from it or written to it, from `startByte` on. */
   confirm(segment: SegmentName, startByte: number, bytes: Uint8Array): void {
     this.persistedSegments.add(segment);
     for (let i = 0; i < bytes.length && startByte + i < this.durableBits.length; i++) {
@@ -53,7 +53,7 @@
 
 const countBits = (bytes: Uint8Array): number => {
   let count = 0;
-  // Each step clears the lowest bit that is set.
+  // Each step clears the lowest set bit.
   for (const byte of bytes) for (let bits = byte; bits !== 0; bits &= bits - 1) count++;
   return count;
 };
--- a/src/core/job-spec.ts
+++ b/src/core/job-spec.ts
@@ -1,4 +1,4 @@
-/** What users submit, and the records that the key-value store holds of it. */
+/** Jobs as users submit them, and their records in the key-value store. */
 import type { Resources } from './resources.js';
 import type { JobId, Team, MachineTypeName, WallTime, Zone } from './units.js';
 
@@ -8,16 +8,16 @@
  */
 export type JobKind = 'array' | 'gang' | 'service';
 
-/** Work may preempt work of a lower priority. */
+/** A job may preempt jobs of a lower priority. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
 
-/** The greater rank is the more urgent. */
+/** A higher rank is more urgent. */
 export const priorityRank: Record<Priority, number> = { production: 3, high: 2, normal: 1, low: 0 };
 
 /** A job as submitted; the amounts are those of one task. */
 export interface JobSpec extends Resources {
   id: JobId;
-  /** The class of jobs that it belongs to: service-level objectives are set for each class. */
+  /** The class of the job. Service-level objectives are set for each class. */
   class: string;
   team: Team;
   kind: JobKind;
@@ -39,28 +39,28 @@
   spot: boolean;
   /** The owner's estimate of a task's run time without the image fetch; 0 for services. */
   estimateS: number;
-  /** Interval of progress between checkpoints; 0: a task never saves, and its work is lost when it is stopped. */
+  /** Interval of progress between checkpoints; 0 if tasks never save, and so lose their work when they are stopped. */
   checkpointS: number;
-  /** Time that a task needs to save when it is stopped. */
+  /** Time that a task needs to save a checkpoint when it is stopped. */
   saveS: number;
-  /** When the job should be complete, from its submission; null: it has no deadline. */
+  /** Time from submission until the job should be complete; null for a job without a deadline. */
   deadlineS: number | null;
-  /** Jobs that have to be done before any task of this one starts. */
+  /** Jobs that must be done before any task of this job starts. */
   dependsOn: JobId[];
 }
 
-/** The one record that a job has in the key-value store while it is active. */
+/** The only record of an active job in the key-value store. */
 export interface JobRecord {
   spec: JobSpec;
   submittedAt: WallTime;
-  /** When its user asked to cancel it; null while it may run. */
+  /** When the user requested the cancellation; null if the job is not cancelled. */
   cancelledAt: WallTime | null;
 }
 
-/** How a job ended; it never changes again. */
+/** How a job ended. This state is final. */
 export type FinalState = 'done' | 'cancelled';
 
-/** The record that takes the place of a job's record once it is over. */
+/** The record that replaces a job's record when the job ends. */
 export interface FinalRecord {
   state: FinalState;
   /** Number of tasks. */
--- a/src/core/job.ts
+++ b/src/core/job.ts
@@ -1,4 +1,4 @@
-/** A job as the leader knows it: its record, its progress, where its tasks are, and why it waits. */
+/** The leader's state of a job: its record, its progress, the placements of its tasks, and why it waits. */
 import { JobProgress } from './job-progress.js';
 import { priorityRank, type JobRecord, type JobSpec, type Priority } from './job-spec.js';
 import type {
@@ -12,28 +12,28 @@
   WallTime,
 } from './units.js';
 
-/** Where a task is, or may be. It stays until the machine can no longer hold it. */
+/** The assignment of a task to a machine, kept until the machine can no longer hold the task. */
 export interface Placement {
   index: number;
   machine: MachineId;
   attempt: Attempt;
   assignedAt: MonotonicTime;
-  /** The heartbeat in whose reply the start was sent; settled by a newer heartbeat of the same machine. */
+  /** The heartbeat in whose reply the start was sent. A newer heartbeat of the machine shows whether it took effect. */
   startSentInReplyTo: { incarnation: Uint64; sequence: Uint64 } | null;
-  /** A start went straight to the worker and its answer is still awaited. */
+  /** A start was sent directly to the worker, and its response is pending. */
   directStartInFlight: boolean;
-  /** A start sent straight to the worker got no answer: it may still arrive, until the incarnation ends. */
+  /** A start sent directly to the worker got no response: it may still arrive, until the worker's incarnation ends. */
   directStartOutcomeUnknown: boolean;
-  /** The task was reported. */
+  /** The task was listed in a heartbeat. */
   observed: boolean;
   running: boolean;
   runningSince: MonotonicTime | null;
   stop: { gracePeriodS: number; since: MonotonicTime; reason: string } | null;
-  /** Started after a long wait: not preempted, or it would starve all the same. */
+  /** The task was placed while its job was starving. It is not preempted, since its job would starve again. */
   unpreemptible: boolean;
 }
 
-/** The placement of a task whose start has not been sent. */
+/** Creates the placement of a task whose start has not been sent. */
 export const newPlacement = (
   index: number,
   machine: MachineId,
@@ -54,7 +54,7 @@
   unpreemptible: false,
 });
 
-/** Why a job waits, in the status page's words. */
+/** Why a job waits. The status page and the log contain these values. */
 export type WaitReason =
   | { why: 'queued' }
   | { why: 'waiting for other jobs'; jobs: number }
@@ -67,7 +67,10 @@
   | { why: 'no machine with room' }
   | { why: 'machines booting' };
 
-/** From the jobs that depend on a job: the highest of their priorities, and when it has to be over for theirs. */
+/**
+ * Urgency inherited from the jobs that depend on a job: the highest of their priorities, and when the job must finish
+ * so that they can meet their deadlines.
+ */
 export interface InheritedUrgency {
   priority: Priority;
   dueAt: WallTime | null;
@@ -78,47 +81,47 @@
   readonly placements = new Map<number, Placement>();
   readonly progress: JobProgress;
   backoffUntil = -Infinity;
-  /** Capacity gained after this rejection ends its back-off early. */
+  /** The capacity version at the job's last rejection. Capacity gained after that ends the back-off early. */
   rejectedAtCapacityVersion = -1;
   placementRejections = 0;
-  /** Error back-off isn't cut short by free capacity: the job itself may be at fault. */
+  /** End of the back-off after task errors. Gained capacity doesn't shorten it: the job itself may be at fault. */
   errorBackoffUntil = -Infinity;
   errorCount = 0;
   readonly errorMachines = new Set<MachineId>();
   waitReason: WaitReason = { why: 'queued' };
   loggedWaitReason = '';
-  /** Its final record is being written. */
+  /** The job's final record is being written. */
   finalizing = false;
-  /** A controller says that its user was told it is cancelled; the record that says so may not have reached us. */
+  /** When the leader learned of a cancellation confirmed to the user; the job's record may contain it only later. */
   cancellationConfirmedAt: MonotonicTime | null = null;
-  /** Has waited long with none of its tasks placed. */
+  /** The job has waited longer than the aging time, with none of its tasks placed. */
   waitedLong = false;
-  /** Goes before the others, and capacity is reserved for it. */
+  /** The job goes before others, and capacity is reserved for it. */
   starving = false;
-  /** Fits its team's guarantee together with the team's earlier unfinished jobs. */
+  /** The job fits its team's guarantee together with the team's earlier unfinished jobs. */
   withinGuarantee = false;
-  /** Machines reserved for it. */
+  /** Machines reserved for the job. */
   readonly reservedMachines = new Set<MachineId>();
   hasRun = false;
   waitingSince: MonotonicTime;
-  /** Jobs that it depends on and that are not known to be done. */
+  /** Jobs that this job depends on and that are not known to be done. */
   readonly unfinishedDependencies = new Set<JobId>();
-  /** A job that it depends on is cancelled, and so is it: none of its tasks was ever started. */
+  /** A job that this job depends on was cancelled, and so is this job; none of its tasks was ever started. */
   dependencyCancelled = false;
-  /** By how much it will probably miss its deadline; null: it is in time, or has none. */
+  /** By how much the job is predicted to miss its deadline; null if it is on time or has no deadline. */
   predictedLateS: number | null = null;
   inheritedUrgency: InheritedUrgency | null = null;
-  /** Tasks before the cursor that were placed and have to be placed again. */
+  /** Tasks before the cursor that were placed and must be placed again. */
   private readonly requeued = new Set<number>();
-  /** All tasks before it are completed, placed or requeued. */
+  /** All tasks before the cursor are completed, placed or requeued. */
   private cursor = 0;
-  private placedNotCompleted = 0;
+  private placedIncompleteCount = 0;
 
   constructor(
     readonly id: JobId,
     public record: JobRecord,
     public revision: Revision,
-    /** Known before this leadership began: an earlier leader may have started its tasks. */
+    /** The job was known before this leadership began: an earlier leader may have started its tasks. */
     readonly fromEarlierLeader: boolean,
     now: MonotonicTime,
   ) {
@@ -136,12 +139,12 @@
     );
   }
 
-  /** All that it depends on is done. */
+  /** Whether all jobs that this job depends on are done. */
   get ready(): boolean {
     return this.unfinishedDependencies.size === 0;
   }
 
-  /** Its own priority, or that of a job that depends on it where that is higher. */
+  /** The job's own priority, or that of a job that depends on it if that is higher. */
   get priority(): Priority {
     const own = this.spec.priority;
     return this.inheritedUrgency && priorityRank[this.inheritedUrgency.priority] > priorityRank[own]
@@ -149,7 +152,7 @@
       : own;
   }
 
-  /** When it has to be over: by its own deadline and those of the jobs that depend on it. */
+  /** When the job must finish to meet its own deadline and those of the jobs that depend on it, if there are any. */
   get dueAt(): WallTime | null {
     const { deadlineS } = this.spec;
     const own = deadlineS === null ? Infinity : this.record.submittedAt + deadlineS * 1000;
@@ -166,7 +169,7 @@
   }
 
   get pendingCount(): number {
-    return this.spec.tasks - this.completedCount - this.placedNotCompleted;
+    return this.spec.tasks - this.completedCount - this.placedIncompleteCount;
   }
 
   get runningCount(): number {
@@ -175,7 +178,7 @@
     return count;
   }
 
-  /** For how long its user may have known that it is cancelled. */
+  /** For how long the user may have known that the job is cancelled. */
   cancelledForMs(now: MonotonicTime, wall: WallTime): number {
     const { cancelledAt } = this.record;
     const byRecord = cancelledAt === null ? -Infinity : wall - cancelledAt;
@@ -195,19 +198,19 @@
     return this.progress.isDurable(index);
   }
 
-  /** The task is done. */
+  /** Marks the task as completed. */
   markCompleted(index: number): void {
-    if (this.progress.markCompleted(index) && this.placements.has(index)) this.placedNotCompleted--;
+    if (this.progress.markCompleted(index) && this.placements.has(index)) this.placedIncompleteCount--;
   }
 
-  /** Completions read back from the key-value store, or confirmed as written to it, from that byte on. */
+  /** Records completions that the key-value store holds, read from it or written to it, from `startByte` on. */
   confirmCompletions(segment: SegmentName, startByte: number, bytes: Uint8Array): void {
     this.progress.confirm(segment, startByte, bytes);
-    this.placedNotCompleted = 0;
-    for (const index of this.placements.keys()) if (!this.isCompleted(index)) this.placedNotCompleted++;
+    this.placedIncompleteCount = 0;
+    for (const index of this.placements.keys()) if (!this.isCompleted(index)) this.placedIncompleteCount++;
   }
 
-  /** The first tasks, `maxTasks` at the most, that are neither completed nor placed; they stay pending. */
+  /** Up to `maxTasks` tasks that are neither completed nor placed, in scheduling order. They stay pending. */
   firstPending(maxTasks: number): number[] {
     const pending: number[] = [];
     for (const index of this.requeued) {
@@ -226,17 +229,17 @@
     return !this.isCompleted(index) && !this.placements.has(index);
   }
 
-  /** The task is placed, in place of an earlier placement. */
+  /** Adds the placement of a task, replacing an earlier one. */
   addPlacement(placement: Placement): void {
     const { index } = placement;
-    if (this.isPending(index)) this.placedNotCompleted++;
+    if (this.isPending(index)) this.placedIncompleteCount++;
     this.placements.set(index, placement);
   }
 
-  /** The task isn't placed any more: it is pending, unless it is completed. */
+  /** Removes the placement of a task, which is pending from then on unless it is completed. */
   removePlacement(index: number): void {
     if (!this.placements.delete(index) || this.isCompleted(index)) return;
-    this.placedNotCompleted--;
+    this.placedIncompleteCount--;
     if (index < this.cursor) this.requeued.add(index);
   }
 }
--- a/src/core/machine-info.ts
+++ b/src/core/machine-info.ts
@@ -1,8 +1,8 @@
-/** Machines and machine types as the cloud describes them. */
+/** Machines and machine types as described by the cloud provider. */
 import type { Resources } from './resources.js';
 import type { Endpoint, MachineId, MachineTypeName, Zone } from './units.js';
 
-/** What an empty machine of a type offers, and what it costs. */
+/** The capacity of an empty machine of a type, and its prices. */
 export interface MachineType extends Resources {
   name: MachineTypeName;
   /** Size of the image cache. */
@@ -13,23 +13,23 @@
   price: number;
   /** Price of a spot instance per hour. */
   spotPrice: number;
-  /** Nominal time from the request until the machine is up. */
+  /** Nominal time from the request for a machine until it is up. */
   bootS: number;
   /** Zones where the type is offered. */
   zones: Zone[];
 }
 
-/** What identifies a machine and never changes while it exists. */
+/** The identity of a machine, which doesn't change while the machine exists. */
 export interface MachineInfo {
   id: MachineId;
   endpoint: Endpoint;
   type: MachineTypeName;
   zone: Zone;
-  /** A spot instance: the cloud may take it away after an interruption notice. */
+  /** Whether it is a spot instance, which the cloud provider may interrupt after a notice. */
   spot: boolean;
 }
 
-/** A machine in the cloud's list, which lags behind. */
+/** A machine in the cloud provider's list, which may be out of date. */
 export interface ListedMachine extends MachineInfo {
   status: 'starting' | 'running' | 'failed';
   /** Time since it was provisioned. */
--- a/src/core/machine.ts
+++ b/src/core/machine.ts
@@ -1,4 +1,4 @@
-/** A machine as the leader knows it: what its worker has reported, what is placed on it, and what is to become of it. */
+/** The leader's state of a machine: its worker's reports, the tasks placed on it, and its decommissioning. */
 import { priorityRank } from './job-spec.js';
 import type { MachineInfo, MachineType } from './machine-info.js';
 import { taskId, type JobId, type MachineId, type MonotonicTime, type TaskId } from './units.js';
@@ -10,41 +10,41 @@
 import { addResources, noResources, type Resources } from './resources.js';
 import { attemptKey, type AttemptKey, type TaskStatus } from './task-status.js';
 
-/** What a machine's placements mean to the scheduler; made anew only when something changed there. */
+/** A summary of a machine's placements for the scheduler, recomputed only after a change. */
 export interface MachineLoad {
-  /** Resources that tasks already told to stop will release. */
+  /** Resources that stopping tasks will release. */
   releasing: Resources;
   hasStoppingTasks: boolean;
-  /** Images being fetched, with their sizes. */
+  /** Sizes of the images being fetched, by image. */
   fetching: Map<string, number>;
-  /** By priority: what tasks of lower ones take that may be preempted; null: there are none. */
+  /** By priority rank: resources of preemptible tasks of lower ranks; null if there are none. */
   preemptibleBelow: (Resources | null)[];
 }
 
 /**
- * What heartbeats say of a machine. Each state leads only to those after it:
- * - `booting`: its worker has sent no heartbeat, and no earlier leader registered it
- * - `awaiting-heartbeat`: registered by an earlier leader, so it may hold tasks; its endpoint isn't known
+ * How far the leader is in contact with a machine's worker. A state is only ever followed by one listed after it:
+ * - `booting`: the worker has sent no heartbeat, and no earlier leader registered the machine
+ * - `awaiting-heartbeat`: an earlier leader registered the machine, so it may hold tasks; its endpoint is unknown
  * - `reporting`: heartbeats arrive, but none yet under this leader's fencing token
- * - `reconciled`: has reported under this leader's token: what it holds is known, and no earlier leader's command can
- *   reach it
+ * - `reconciled`: the worker has reported under this leader's fencing token: its tasks are known, and commands of
+ *   earlier leaders can no longer reach it
  */
 export type MachineContact = 'booting' | 'awaiting-heartbeat' | 'reporting' | 'reconciled';
 
-/** Whether a page of the durable machine registry names the machine; no task is started on it before. */
+/** Whether a page of the durable machine registry lists the machine. No task is started on a machine before that. */
 export type Registration =
   { state: 'unregistered' } | { state: 'writing'; page: string } | { state: 'durable'; page: string };
 
-/** How a machine leaves the cluster: drained, or fenced with whatever it holds. */
+/** How a machine leaves the cluster: drained of its tasks first, or fenced, which deletes it with its tasks. */
 export interface Decommissioning {
   mode: 'drain' | 'fence';
   since: MonotonicTime;
   deletionRequested: boolean;
-  /** May hold a cancelled task that must soon be gone. */
+  /** The machine may hold a cancelled task that must end soon. */
   mayHoldOverdueTask: boolean;
 }
 
-/** A task as it is placed on a machine. */
+/** A task placed on a machine. */
 export interface MachinePlacement {
   job: Job;
   placement: Placement;
@@ -53,31 +53,31 @@
 const UNREGISTERED: Registration = { state: 'unregistered' };
 const UNLIMITED: Resources = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
 
-/** A machine as observed: provisioned, listed by the cloud provider, or known by its worker's heartbeats. */
+/** A machine known to the leader: provisioned, listed by the cloud provider, registered, or reported by a heartbeat. */
 export class Machine {
   provisionedAt: MonotonicTime;
   contact: MachineContact = 'booting';
   readonly lastHeartbeat = new HeartbeatRecord();
   registration: Registration = UNREGISTERED;
-  /** The last heartbeat's tasks, by attempt: two attempts of a task can be listed at once. */
+  /** The tasks in the last heartbeat, by attempt: a heartbeat can list two attempts of a task at once. */
   reportedTasks = new Map<AttemptKey, TaskStatus>();
-  /** No command for its worker, and none awaited to take effect: an unchanged heartbeat needs no work. */
+  /** No command has to be sent to the worker or to take effect: an unchanged heartbeat needs no processing. */
   inSync = false;
   directCommandInFlight = false;
   readonly inFlightStarts = new InFlightStarts();
   readonly replies = new ReplyTracker();
-  /** When the cloud provider's notice came that the spot instance will be interrupted. */
+  /** When the cloud provider's interruption notice for the spot instance was received; null without a notice. */
   interruptionNoticedAt: MonotonicTime | null = null;
-  /** Leaving the cluster: nothing is placed here any more. */
+  /** Set when the machine is to leave the cluster; no task is placed on it from then on. */
   decommissioning: Decommissioning | null = null;
   idleSince: MonotonicTime | null = null;
-  /** Jobs of which a task failed here since the last one completed here. */
+  /** Jobs of which a task failed here since a task last completed here. */
   readonly failedJobs = new Set<JobId>();
   quarantined = false;
   firstListedAt: MonotonicTime | null = null;
-  /** Was listed by the cloud provider long enough, and is missing now: most likely gone. */
+  /** The machine should be in the cloud provider's list but is missing there, and so has most likely been deleted. */
   missingFromList = false;
-  /** Registered by an earlier leader. */
+  /** An earlier leader registered the machine. */
   fromEarlierLeader = false;
   private readonly placed = new Map<TaskId, MachinePlacement>();
   private readonly images = new ImageCache();
@@ -96,7 +96,7 @@
     return this.info.id;
   }
 
-  /** Its worker runs, or ran under an earlier leader. */
+  /** Whether the worker is running, or was running under an earlier leader. */
   get up(): boolean {
     return this.contact !== 'booting';
   }
@@ -105,7 +105,7 @@
     return this.contact === 'reconciled';
   }
 
-  /** Its endpoint is known by a heartbeat. */
+  /** Whether a heartbeat has reported the endpoint. */
   get endpointKnown(): boolean {
     return this.contact === 'reporting' || this.contact === 'reconciled';
   }
@@ -114,7 +114,7 @@
     return this.lastHeartbeat.receivedAt;
   }
 
-  /** The page of the machine registry that names it. */
+  /** The page of the machine registry that lists the machine; null if it isn't registered. */
   get registryPage(): string | null {
     return this.registration.state === 'unregistered' ? null : this.registration.page;
   }
@@ -126,12 +126,12 @@
       this.decommissioning === null &&
       !this.quarantined &&
       this.interruptionNoticedAt === null &&
-      // Guards against one-way partitions: starts sent there would be lost.
+      // Guards against one-way partitions, in which starts sent to the machine would be lost.
       !this.replies.isUnacknowledged
     );
   }
 
-  /** Holds a task, or may hold one. */
+  /** Whether the machine holds a task, or may hold one. */
   get busy(): boolean {
     if (this.placements.size > 0) return true;
     for (const task of this.reportedTasks.values()) if (task.state !== 'exited') return true;
@@ -142,42 +142,42 @@
     return this.placed;
   }
 
-  /** An earlier leader registered the machine under that page. */
+  /** Records that an earlier leader registered the machine on this page. */
   recordRegisteredEarlier(page: string): void {
     this.registration = { state: 'durable', page };
     this.fromEarlierLeader = true;
     this.contact = 'awaiting-heartbeat';
   }
 
-  /** Its tasks leave before it is deleted. */
+  /** Starts to drain the machine: its tasks leave before it is deleted. */
   startDrain(now: MonotonicTime): void {
     this.decommissioning = { mode: 'drain', since: now, deletionRequested: false, mayHoldOverdueTask: false };
   }
 
-  /** It is deleted with whatever it holds. */
+  /** Fences the machine: it is deleted with the tasks that it holds. */
   startFence(now: MonotonicTime, mayHoldOverdueTask: boolean): void {
     this.decommissioning = { mode: 'fence', since: now, deletionRequested: false, mayHoldOverdueTask };
   }
 
-  /** Counts a task as being here. */
+  /** Adds a task to the machine's placements. */
   assign(job: Job, placement: Placement): void {
     this.placed.set(taskId(job.id, placement.index), { job, placement });
     this.invalidate();
   }
 
-  /** Counts a task as being here no longer. */
+  /** Removes a task from the machine's placements. */
   unassign(job: JobId, index: number): void {
     if (this.placed.delete(taskId(job, index))) this.invalidate();
   }
 
-  /** What is known of its tasks has changed: sums are made anew, and its next heartbeat is processed in full. */
+  /** Discards cached sums after a change of the machine's tasks, and has its next heartbeat processed in full. */
   invalidate(): void {
     this.allocatedMemo = null;
     this.loadMemo = null;
     this.inSync = false;
   }
 
-  /** Sums over its placements, for the scheduler. */
+  /** Summarizes the placements for the scheduler. */
   loadSummary(): MachineLoad {
     if (this.loadMemo) return this.loadMemo;
     const load: MachineLoad = {
@@ -202,23 +202,23 @@
     return load;
   }
 
-  /** The images in its worker's cache, with their sizes. */
+  /** The images in the worker's cache, with their sizes. */
   cachedImages(): [string, number][] {
     return this.images.entries();
   }
 
-  /** Whether its worker's cache holds the image. */
+  /** Whether the worker's cache holds the image. */
   hasImage(image: string): boolean {
     return this.images.has(image);
   }
 
-  /** A task here uses the image. */
+  /** Records that a task on this machine uses the image. */
   recordImageUse(image: string, imageGb: number): void {
     this.loadMemo = null;
     this.images.recordUse(image, imageGb, this.type?.cacheGb ?? 0);
   }
 
-  /** All that takes resources here or may do so: reported tasks, and placements not reported yet. */
+  /** Resources held by all tasks that may be on the machine: those reported, and placements not reported yet. */
   allocated(resourcesOf: (job: JobId) => Resources | null): Resources {
     if (this.allocatedMemo !== null) return this.allocatedMemo;
     const sum = noResources();
@@ -226,7 +226,7 @@
       if (task.state === 'exited') continue;
       if (this.placements.get(taskId(task.job, task.index))?.placement.attempt === task.attempt) continue;
       const spec = resourcesOf(task.job);
-      // A task of a job we no longer know takes an unknown amount: until it is gone, nothing else fits here.
+      // The resources of a task of an unknown job are unknown. No other task fits here until it is gone.
       if (spec === null) return { ...UNLIMITED };
       addResources(sum, spec);
     }
--- a/src/core/progress-segments.ts
+++ b/src/core/progress-segments.ts
@@ -1,24 +1,25 @@
-/** How the completions of a job are divided into records of the key-value store, each within its limit on a value. */
+/** How a job's completion bits are divided into records that fit the key-value store's limit on the size of a value. */
 import type { SegmentName } from './units.js';
 
-/** The largest segment, of 16,384 tasks: all that versions before the one with lowered limits wrote. */
+/** The largest segment, for 16,384 tasks; the only size in versions from before the limits were lowered. */
 export const LARGEST_SEGMENT_BYTES = 2048;
 
 /**
- * The name of a segment in the key-value store. A number alone counts segments of the largest size, and stands for all of
- * a job that fits one segment; any other size is part of the name, which versions that know one size only pass over.
+ * The name of a segment in the key-value store. Segments of the largest size, and the only segment of a job, are named
+ * by their index. For any other size the name also contains the size; versions that only know the largest size ignore
+ * it.
  */
 export const segmentName = (index: number, segmentBytes: number, jobBytes: number): SegmentName =>
   (segmentBytes === LARGEST_SEGMENT_BYTES || jobBytes <= segmentBytes
     ? String(index)
     : `${index}x${segmentBytes}`) as SegmentName;
 
-/** The index of a segment and, for any but the largest size, its size in bytes. */
-const SEGMENT_NAME = /^(\d+)(?:x(\d+))?$/;
+/** Matches the index of a segment and, for any but the largest size, its size in bytes. */
+const SEGMENT_NAME_PATTERN = /^(\d+)(?:x(\d+))?$/;
 
-/** At which byte of the job's completions the segment begins; null for a name that is not one of ours. */
+/** The byte of the job's completion bits at which the segment begins; null if this is not the name of a segment. */
 export const segmentStart = (name: string): number | null => {
-  const match = SEGMENT_NAME.exec(name);
+  const match = SEGMENT_NAME_PATTERN.exec(name);
   if (!match) return null;
   const [, index, segmentBytes] = match;
   return Number(index) * (segmentBytes === undefined ? LARGEST_SEGMENT_BYTES : Number(segmentBytes));
--- a/src/core/resources.ts
+++ b/src/core/resources.ts
@@ -1,6 +1,6 @@
 /** Arithmetic on amounts of CPUs, accelerators and memory. */
 
-/** Amounts of what tasks take and machines offer. */
+/** Amounts that tasks require or machines offer. */
 export interface Resources {
   cpus: number;
   /** Accelerators. */
@@ -8,13 +8,13 @@
   memoryGb: number;
 }
 
-/** Amounts that differ by less than this count as equal: sums of decimal amounts are not exact. */
+/** Amounts that differ by less than this are considered equal, because sums of decimal fractions are inexact. */
 export const RESOURCE_EPSILON = 1e-6;
 
-/** Nothing of any kind, to be added to. */
+/** A new sum of resources, initially zero. */
 export const noResources = (): Resources => ({ cpus: 0, gpus: 0, memoryGb: 0 });
 
-/** A copy of the amounts alone, to be added to. */
+/** A copy of the resource amounts only, without the other properties of the object. */
 export const copyResources = ({ cpus, gpus, memoryGb }: Resources): Resources => ({ cpus, gpus, memoryGb });
 
 /** Adds `b` to `a`, `factor` times. */
@@ -24,21 +24,26 @@
   a.memoryGb += b.memoryGb * factor;
 };
 
-const enough = (need: number, free: number): boolean => need === 0 || need <= free + RESOURCE_EPSILON;
+const isSufficient = (required: number, available: number): boolean =>
+  required === 0 || required <= available + RESOURCE_EPSILON;
 
-/** Whether `need` fits into `free`. */
-export const fits = (need: Resources, free: Resources): boolean =>
-  enough(need.cpus, free.cpus) && enough(need.gpus, free.gpus) && enough(need.memoryGb, free.memoryGb);
+/** Whether `required` fits into `available`. */
+export const fits = (required: Resources, available: Resources): boolean =>
+  isSufficient(required.cpus, available.cpus) &&
+  isSufficient(required.gpus, available.gpus) &&
+  isSufficient(required.memoryGb, available.memoryGb);
 
-/** For tasks that take nothing. */
+/** The result for tasks that require no resources. */
 const MAX_TASKS_PER_MACHINE = 100_000;
 
-/** How many tasks that take `need` each fit on an empty machine with this capacity. */
-export const tasksPerMachine = (need: Resources, capacity: Resources): number => {
+/** The number of tasks requiring `required` each that fit on an empty machine with this capacity. */
+export const tasksPerMachine = (required: Resources, capacity: Resources): number => {
   let tasks = MAX_TASKS_PER_MACHINE;
-  if (need.cpus > 0) tasks = Math.min(tasks, Math.floor(capacity.cpus / need.cpus + RESOURCE_EPSILON));
-  if (need.gpus > 0) tasks = Math.min(tasks, Math.floor(capacity.gpus / need.gpus + RESOURCE_EPSILON));
-  if (need.memoryGb > 0)
-    tasks = Math.min(tasks, Math.floor(capacity.memoryGb / need.memoryGb + RESOURCE_EPSILON));
+  if (required.cpus > 0)
+    tasks = Math.min(tasks, Math.floor(capacity.cpus / required.cpus + RESOURCE_EPSILON));
+  if (required.gpus > 0)
+    tasks = Math.min(tasks, Math.floor(capacity.gpus / required.gpus + RESOURCE_EPSILON));
+  if (required.memoryGb > 0)
+    tasks = Math.min(tasks, Math.floor(capacity.memoryGb / required.memoryGb + RESOURCE_EPSILON));
   return tasks;
 };
--- a/src/core/scaling/arrival-rates.ts
+++ b/src/core/scaling/arrival-rates.ts
@@ -1,13 +1,13 @@
-/** How much work has arrived lately, by class: the forecast that capacity is kept ready for. */
+/** Arrival rates of jobs by class, and a forecast of the tasks for which capacity is to be kept ready. */
 import type { JobRecord, JobSpec } from '../job-spec.js';
 import type { MachineType } from '../machine-info.js';
 import type { MonotonicTime, WallTime } from '../units.js';
 
-const WINDOW_MS = 150_000;
-const WINDOW_S = WINDOW_MS / 1000;
-/** Allowance for machines that boot more slowly than their nominal time. */
+const ARRIVAL_WINDOW_MS = 150_000;
+const ARRIVAL_WINDOW_S = ARRIVAL_WINDOW_MS / 1000;
+/** Allowance for machines that boot more slowly than their nominal boot time. */
 const BOOT_TIME_FACTOR = 1.2;
-/** Tasks counted of each job at the most. */
+/** Maximum number of tasks per job in the forecast. */
 const MAX_FORECAST_TASKS_PER_JOB = 8;
 
 interface Arrival {
@@ -16,13 +16,13 @@
 }
 
 interface ClassHistory {
-  /** The newest job of the class stands for all of them. */
+  /** The newest job of the class, which represents the class. */
   spec: JobSpec;
   arrivals: Arrival[];
 }
 
-/** The expected seconds until a new machine of the fastest usable type could start a task; null if none is usable. */
-const provisioningS = (spec: JobSpec, types: MachineType[]): number | null => {
+/** The expected seconds until a new machine of the fastest usable type could start a task; null without such a type. */
+const estimatedProvisioningS = (spec: JobSpec, types: MachineType[]): number | null => {
   const usable = types.filter((type) => spec.types === null || spec.types.includes(type.name));
   if (usable.length === 0) return null;
   return Math.min(...usable.map((type) => type.bootS * BOOT_TIME_FACTOR + spec.imageGb / type.fetchGbPerS));
@@ -32,13 +32,13 @@
 export class ArrivalRates {
   private readonly classes = new Map<string, ClassHistory>();
 
-  /** A job was submitted, possibly some time ago. */
+  /** Records a job by its submission time, which may be some time ago. */
   recordArrival(record: JobRecord, now: MonotonicTime, wallTime: WallTime): void {
     const at = (now - Math.max(0, wallTime - record.submittedAt)) as MonotonicTime;
     this.recordTasks(record.spec, at);
   }
 
-  /** Work that began to need capacity then. */
+  /** Records tasks that began to need capacity at the given time. */
   recordTasks(spec: JobSpec, at: MonotonicTime): void {
     const history = this.classes.get(spec.class) ?? { spec, arrivals: [] };
     history.spec = spec;
@@ -47,8 +47,8 @@
   }
 
   /**
-   * The tasks of each class to keep capacity ready for: `headroom` standard deviations of the arrivals in the time that
-   * a new machine takes.
+   * The number of tasks of each class to keep capacity ready for: `headroom` standard deviations of the arrivals within
+   * the time that provisioning a machine takes.
    */
   forecastTasks(
     types: MachineType[],
@@ -57,12 +57,12 @@
   ): { spec: JobSpec; tasks: number }[] {
     const forecast: { spec: JobSpec; tasks: number }[] = [];
     for (const history of this.classes.values()) {
-      history.arrivals = history.arrivals.filter((arrival) => now - arrival.at < WINDOW_MS);
+      history.arrivals = history.arrivals.filter((arrival) => now - arrival.at < ARRIVAL_WINDOW_MS);
       const { spec, arrivals } = history;
       if (arrivals.length === 0) continue;
-      const leadTimeS = provisioningS(spec, types);
+      const leadTimeS = estimatedProvisioningS(spec, types);
       if (leadTimeS === null) continue;
-      const jobs = (arrivals.length / WINDOW_S) * leadTimeS;
+      const jobs = (arrivals.length / ARRIVAL_WINDOW_S) * leadTimeS;
       const tasksPerJob = arrivals.reduce((sum, arrival) => sum + arrival.tasks, 0) / arrivals.length;
       const tasks = headroom * Math.sqrt(jobs) * Math.min(tasksPerJob, MAX_FORECAST_TASKS_PER_JOB);
       forecast.push({ spec, tasks: Math.ceil(tasks) });
--- a/src/core/scaling/scale-out-plan.ts
+++ b/src/core/scaling/scale-out-plan.ts
@@ -1,4 +1,4 @@
-/** How many machines of which type, zone and kind the waiting and the forecast work needs. */
+/** Plans how many machines of which type, zone and purchase kind are needed for pending and forecast tasks. */
 import { addResources, copyResources, fits, tasksPerMachine, type Resources } from '../resources.js';
 import type { Machine } from '../machine.js';
 import { mayRunOn, zoneAllowsOneMore, type ZoneCounts } from '../scheduler/placement-constraints.js';
@@ -10,13 +10,13 @@
 export interface CapacityDemand {
   spec: JobSpec;
   tasks: number;
-  /** Zones already used by the job's tasks, for spread and one-zone jobs. */
+  /** The number of the job's placed tasks in each zone, for the constraints of spread and one-zone jobs. */
   zones: ZoneCounts;
-  /** Forecast work is that of many jobs, none of which has been submitted. */
+  /** Forecast tasks belong to several jobs, none of which has been submitted yet. */
   isForecast: boolean;
 }
 
-/** Machines of one type, zone and kind that the cloud can be asked for. */
+/** The cloud provider's machines of one type, zone and purchase kind. */
 interface InstancePool {
   type: MachineTypeName;
   zone: Zone;
@@ -28,37 +28,37 @@
   count: number;
 }
 
-/** What a plan is made from. */
+/** The input of a plan. */
 export interface ScaleOutInput {
-  /** Schedulable machines with what is free on them, and machines still booting. */
+  /** Schedulable and booting machines, with their free resources. */
   capacities: { machine: Machine; free: Resources }[];
-  /** In the order in which they are served. */
+  /** In the order in which capacity is assigned to them. */
   demands: CapacityDemand[];
   types: MachineType[];
-  /** By `instancePoolKey`: until when the cloud isn't asked again for what it refused. */
+  /** By `instancePoolKey`: until when no machines are requested from a pool, since the cloud provider had none left. */
   unavailableUntil: Map<string, MonotonicTime>;
   now: MonotonicTime;
   maxNewMachines: number;
 }
 
-/** What to request, and what to keep. */
+/** The machines to request, and the existing ones to keep. */
 export interface ScaleOutPlan {
   requests: ScaleOutRequest[];
-  /** Machines that waiting or forecast work would use: not idle, whatever they do now. */
+  /** Machines that pending or forecast tasks would use. They are not idle, even if they hold no task now. */
   neededMachines: Set<MachineId>;
 }
 
-/** Free capacity of a machine, existing or to be requested. */
+/** The free capacity of a machine that exists or is to be requested. */
 interface Capacity extends InstancePool {
   free: Resources;
   /** Null for a machine to be requested. */
   machine: MachineId | null;
   busy: boolean;
-  /** Hourly price of one accelerator, or of one CPU where there are none. */
+  /** Hourly price per accelerator, or per CPU for a machine without accelerators. */
   unitPrice: number;
 }
 
-/** A machine to be requested, with its price for each task, weighed by how much of it is used. */
+/** A machine that could be requested. Its cost is the price per task, weighted by how much of the machine is used. */
 interface Offer {
   type: MachineType;
   zone: Zone;
@@ -66,10 +66,10 @@
   cost: number;
 }
 
-/** Value of capacity beyond a job's tasks, as others will use it, as a share of that of used capacity. */
+/** Value of capacity beyond a job's tasks, which other jobs may use, as a fraction of the value of used capacity. */
 const SPARE_CAPACITY_VALUE_FRACTION = 0.35;
 
-/** Names a pool of instances of one type, zone and kind. */
+/** Identifies the pool of machines of one type, zone and purchase kind. */
 export const instancePoolKey = (type: MachineTypeName, zone: Zone, spot: boolean): string =>
   `${type}|${zone}|${spot}`;
 
@@ -78,16 +78,16 @@
 const unitPriceOf = (type: MachineType, spot: boolean): number =>
   priceOf(type, spot) / (type.gpus > 0 ? type.gpus : type.cpus);
 
-/** Machines in use first, then cheap ones, then full ones: the expensive and empty ones are free for scale-in. */
+/** Machines in use first, then cheap ones, then full ones: expensive and empty ones are left free for scale-in. */
 const packingOrder = (a: Capacity, b: Capacity): number => {
   if (a.busy !== b.busy) return a.busy ? -1 : 1;
   return a.unitPrice - b.unitPrice || a.free.gpus - b.free.gpus;
 };
 
-/** Plans the capacity for the demands. */
-export const planScaleOut = (input: ScaleOutInput): ScaleOutPlan => new Planner(input).run();
+/** Plans which machines to request for the demands. */
+export const planScaleOut = (input: ScaleOutInput): ScaleOutPlan => new ScaleOutPlanner(input).run();
 
-class Planner {
+class ScaleOutPlanner {
   private readonly capacities: Capacity[] = [];
   private readonly requests = new Map<string, ScaleOutRequest>();
   private readonly neededMachines = new Set<MachineId>();
@@ -108,42 +108,42 @@
     }
   }
 
-  /** Serves the demands in their order. */
+  /** Assigns capacity to the demands in their order. */
   run(): ScaleOutPlan {
     this.capacities.sort(packingOrder);
-    for (const demand of this.input.demands) this.serve(demand);
+    for (const demand of this.input.demands) this.planDemand(demand);
     return { requests: [...this.requests.values()], neededMachines: this.neededMachines };
   }
 
-  private serve(demand: CapacityDemand): void {
-    let left = demand.tasks;
-    // Spread and one-zone hold within each of the forecast jobs, not over all of them.
-    const groupSize = demand.isForecast ? Math.max(1, demand.spec.tasks) : left;
-    while (left > 0) {
-      const group = Math.min(groupSize, left);
+  private planDemand(demand: CapacityDemand): void {
+    let remaining = demand.tasks;
+    // The zone constraints apply within each forecast job, not across all of them.
+    const groupSize = demand.isForecast ? Math.max(1, demand.spec.tasks) : remaining;
+    while (remaining > 0) {
+      const group = Math.min(groupSize, remaining);
       if (!this.placeGroup(demand.spec, new Map(demand.zones), group)) return;
-      left -= group;
+      remaining -= group;
     }
   }
 
-  /** One pass over the machines in their order, then new ones; false if nothing available can take all tasks. */
+  /** Assigns tasks to the machines in order, then to new ones; false if none available fits the remaining tasks. */
   private placeGroup(spec: JobSpec, zones: ZoneCounts, tasks: number): boolean {
-    let left = tasks;
+    let remaining = tasks;
     for (const capacity of this.capacities) {
-      if (left === 0) return true;
+      if (remaining === 0) return true;
       if (!fits(spec, capacity.free) || !mayRunOn(spec, capacity.type, capacity.zone, capacity.spot))
         continue;
-      left -= this.fill(spec, capacity, zones, left);
+      remaining -= this.fill(spec, capacity, zones, remaining);
     }
-    while (left > 0) {
-      const capacity = this.requestMachine(spec, zones, left);
+    while (remaining > 0) {
+      const capacity = this.requestMachine(spec, zones, remaining);
       if (!capacity) return false;
-      left -= this.fill(spec, capacity, zones, left);
+      remaining -= this.fill(spec, capacity, zones, remaining);
     }
     return true;
   }
 
-  /** Places up to `limit` tasks on the machine and returns their number. */
+  /** Assigns up to `limit` tasks to the machine and returns their number. */
   private fill(spec: JobSpec, capacity: Capacity, zones: ZoneCounts, limit: number): number {
     let placed = 0;
     while (placed < limit && fits(spec, capacity.free) && zoneAllowsOneMore(spec, capacity.zone, zones)) {
@@ -168,7 +168,7 @@
       zone,
       spot,
       machine: null,
-      // Requested for this work: as good as in use.
+      // It is requested for these tasks, so it counts as in use.
       busy: true,
       unitPrice: unitPriceOf(type, spot),
     };
--- a/src/core/scheduler/candidate-ranking.ts
+++ b/src/core/scheduler/candidate-ranking.ts
@@ -1,13 +1,13 @@
-/** Cached scores of the machines that a job's tasks may go to. */
+/** Cached scores of the machines on which a job's tasks may be placed. */
 import type { CandidateMachine } from './candidate-machine.js';
 
 /**
- * Scores kept while a job's like tasks are placed one after the other (opportunistic batching): a placement changes one
- * machine, so only that one is scored again.
+ * Ranks machines for the identical tasks of one job (opportunistic batching). A placement changes only one machine, so
+ * only that machine is scored again for the next task.
  */
 export class CandidateRanking {
   private readonly scores: Float64Array;
-  /** The machine's version when it was scored. */
+  /** The version of each machine when its score was computed. */
   private readonly versions: Int32Array;
 
   constructor(
--- a/src/core/scheduler/candidate-selection.ts
+++ b/src/core/scheduler/candidate-selection.ts
@@ -1,6 +1,6 @@
 /**
- * Filter and score: the machine with enough capacity on which a task would start soonest, weighed against what that
- * capacity is worth to other tasks.
+ * Filters and scores machines. Selects the machine with enough capacity on which a task would start soonest, weighed
+ * against the value of that capacity to other tasks.
  */
 import { fits } from '../resources.js';
 import type { Job } from '../job.js';
@@ -12,22 +12,22 @@
 import type { Snapshot } from './snapshot.js';
 import { UnschedulableSignatures } from './unschedulable-signatures.js';
 
-/** Seconds of waiting that it is worth to leave an empty machine empty. */
-const EMPTY_MACHINE_S = 8;
-/** Seconds for each unit of a machine type's placement penalty. */
+/** Additional seconds of waiting accepted to keep an empty machine empty. */
+const EMPTY_MACHINE_PENALTY_S = 8;
+/** Seconds of waiting that one unit of the type penalty is worth. */
 const TYPE_PENALTY_S = 10;
-/** Share of a fetch by which it slows each other fetch on the machine. */
+/** Fraction of its own duration by which a fetch is assumed to slow down each other fetch on the machine. */
 const FETCH_CONTENTION_FRACTION = 0.3;
-/** Seconds of waiting that it is worth to leave an on-demand machine to work that may not use spot machines. */
-const ON_DEMAND_MACHINE_S = 8;
-/** Seconds for the whole of a machine left free: full machines leave others empty. */
-const FREE_CAPACITY_S = 2;
+/** Additional seconds of waiting accepted to leave on-demand machines to jobs that may not use spot instances. */
+const ON_DEMAND_MACHINE_PENALTY_S = 8;
+/** Penalty for leaving the whole machine free, or a proportional part of it: filling machines keeps others empty. */
+const FREE_CAPACITY_PENALTY_S = 2;
 
 /** Selects machines for tasks in one cycle. */
 export class CandidateSelection {
   private readonly unschedulable = new UnschedulableSignatures();
-  /** Scores for the job that is being placed; a placement of another job makes them out of date. */
-  private ranked: { job: Job; ranking: CandidateRanking } | null = null;
+  /** The ranking for the job being placed. It is outdated once another job has been placed. */
+  private currentRanking: { job: Job; ranking: CandidateRanking } | null = null;
   private readonly penalties = new Map<JobSpec, Map<MachineTypeName, number>>();
 
   constructor(
@@ -35,7 +35,7 @@
     private readonly typePenalty: (spec: JobSpec, type: MachineTypeName) => number,
   ) {}
 
-  /** The best machine with enough capacity, or null. */
+  /** The best machine with enough free capacity; null if there is none. */
   best(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): CandidateMachine | null {
     if (this.unschedulable.has(job, onlyZone)) return null;
     const ranking = this.rankingFor(job);
@@ -47,12 +47,12 @@
     return best;
   }
 
-  /** What failed while a part of a plan was assumed need not fail without it. */
+  /** Discards recorded failures that may have been due to a tentative placement, now reverted. */
   forgetUnschedulable(job: Job, onlyZone: Zone | null): void {
     this.unschedulable.forget(job, onlyZone);
   }
 
-  /** Expected seconds until the task can start, plus what it costs to use up this machine's capacity; lower is better. */
+  /** Expected seconds until a task can start, plus penalties for using up this machine's capacity; lower is better. */
   score(spec: JobSpec, candidate: CandidateMachine): number {
     const type = candidate.machine.type!;
     const { fetchingImagesGb, free } = candidate;
@@ -60,16 +60,16 @@
     if (!candidate.machine.hasImage(spec.image) && !fetchingImagesGb.has(spec.image)) {
       score += (FETCH_CONTENTION_FRACTION * fetchingImagesGb.size * spec.imageGb) / type.fetchGbPerS;
     }
-    if (candidate.isEmpty) score += EMPTY_MACHINE_S;
+    if (candidate.isEmpty) score += EMPTY_MACHINE_PENALTY_S;
     score += TYPE_PENALTY_S * this.penaltyOf(spec, candidate.machine.info.type);
-    if (spec.spot && !candidate.machine.info.spot) score += ON_DEMAND_MACHINE_S;
+    if (spec.spot && !candidate.machine.info.spot) score += ON_DEMAND_MACHINE_PENALTY_S;
     const freeFraction =
       type.gpus > 0 ? (free.gpus - spec.gpus) / type.gpus : (free.cpus - spec.cpus) / type.cpus;
-    return score + FREE_CAPACITY_S * freeFraction;
+    return score + FREE_CAPACITY_PENALTY_S * freeFraction;
   }
 
   private rankingFor(job: Job): CandidateRanking {
-    if (this.ranked?.job === job) return this.ranked.ranking;
+    if (this.currentRanking?.job === job) return this.currentRanking.ranking;
     const { candidatesWithCapacity } = this.snapshot;
     this.snapshot.machineEvaluations += candidatesWithCapacity.length;
     const anyZone: ZoneCounts = new Map();
@@ -78,7 +78,7 @@
     );
     if (feasible.length === 0) this.unschedulable.record(job, anyZone, null);
     const ranking = new CandidateRanking(feasible, (candidate) => this.score(job.spec, candidate));
-    this.ranked = { job, ranking };
+    this.currentRanking = { job, ranking };
     return ranking;
   }
 
--- a/src/core/scheduler/capacity-reservations.ts
+++ b/src/core/scheduler/capacity-reservations.ts
@@ -1,19 +1,19 @@
 /**
- * Capacity reservations for gangs that have waited long: the machines that will have capacity soonest are kept free of
- * other jobs. Guards against starvation: small groups would otherwise take each piece as it appears and the whole would
- * never come together. No task is stopped.
+ * Capacity reservations for gangs that have waited long: the machines that are expected to have capacity soonest are
+ * closed to other jobs. No task is stopped. Guards against starvation: smaller jobs would otherwise take each piece of
+ * capacity as it becomes free, and a large gang would never find enough at once.
  */
 import type { Job } from '../job.js';
 import type { Zone } from '../units.js';
 import { estimatedFreeInS, type CandidateMachine } from './candidate-machine.js';
 import type { Snapshot } from './snapshot.js';
 
-/** Gangs that capacity is reserved for at the same time. */
+/** Maximum number of gangs that have reservations at the same time. */
 const MAX_RESERVATIONS = 8;
 
 interface Reservation {
   candidates: CandidateMachine[];
-  /** How many of them were reserved in the cycle before. */
+  /** The number of these machines that were already reserved for the gang in the previous cycle. */
   keptCount: number;
   /** Expected seconds until all of them have capacity. */
   freeInS: number;
@@ -28,12 +28,12 @@
 
   constructor(private readonly snapshot: Snapshot) {}
 
-  /** Reserves machines for all of the gang's tasks, or drops what was reserved for it. */
+  /** Reserves machines for all of the gang's tasks, or releases its reservations if too few machines qualify. */
   reserveFor(job: Job, tasks: number, zones: (Zone | null)[]): void {
     if (this.count >= MAX_RESERVATIONS) return;
     let best: Reservation | null = null;
     for (const zone of zones) {
-      const reservation = this.soonestIn(job, tasks, zone);
+      const reservation = this.soonestInZone(job, tasks, zone);
       if (reservation && isBetter(reservation, best)) best = reservation;
     }
     job.reservedMachines.clear();
@@ -45,7 +45,7 @@
     }
   }
 
-  private soonestIn(job: Job, tasks: number, zone: Zone | null): Reservation | null {
+  private soonestInZone(job: Job, tasks: number, zone: Zone | null): Reservation | null {
     const chosen = this.snapshot.candidates
       .filter((candidate) => this.snapshot.allows(job, candidate, new Map(), zone))
       .map((candidate) => ({
@@ -54,7 +54,8 @@
         freeInS: estimatedFreeInS(job.spec, candidate, this.snapshot.time.now),
       }))
       .filter((option) => option.freeInS < Infinity)
-      // Those reserved already first: estimates change, and what is half drained must not be given up for others.
+      // Machines already reserved come first: estimates change between cycles, and a machine that has been partly
+      // drained must not be given up for another.
       .sort((a, b) => Number(b.isKept) - Number(a.isKept) || a.freeInS - b.freeInS)
       .slice(0, tasks);
     if (chosen.length < tasks) return null;
--- a/src/core/scheduler/delay-scheduling.ts
+++ b/src/core/scheduler/delay-scheduling.ts
@@ -1,6 +1,7 @@
 /**
- * Delay scheduling: when a task is better off not to start on the best machine with capacity now, because one that has
- * its image is free soon, one that boots fetches alone, or lower-priority work can leave a machine with the image.
+ * Delay scheduling: decides whether a task should not start on the best machine with free capacity, because a machine
+ * with its image will be free soon, a booting machine can fetch the image without contention, or lower-priority tasks
+ * can be stopped on a machine with the image.
  */
 import { addResources, fits } from '../resources.js';
 import type { Job } from '../job.js';
@@ -10,14 +11,14 @@
 import { checkpointsWithin, MIN_FETCH_TO_PREEMPT_S, type Preemption } from './preemption.js';
 import type { Snapshot } from './snapshot.js';
 
-/** Shorter fetches are not worth a delay. */
+/** No task is delayed to avoid an image fetch shorter than this. */
 const MIN_FETCH_TO_DELAY_S = 15;
-/** A machine with the image must be free within this share of the fetch elsewhere. */
+/** A machine with the image must be expected to be free within this fraction of the avoided fetch. */
 const MAX_DELAY_FRACTION = 0.7;
-/** Victims must have saved within this share of the fetch that they save. */
+/** Victims must be able to save within this fraction of the avoided fetch. */
 const MAX_SAVE_FRACTION = 0.5;
 
-/** Decides in one cycle which tasks are delayed. */
+/** Decides which tasks are delayed in one cycle. */
 export class DelayScheduling {
   constructor(
     private readonly snapshot: Snapshot,
@@ -25,10 +26,10 @@
   ) {}
 
   /**
-   * A machine that has the image and is expected to be free well before a fetch elsewhere would end is worth waiting
-   * for: the task starts earlier, and no machine stands idle while it fetches.
+   * Delays a task if a machine with its image is expected to be free well before a fetch elsewhere would end: the task
+   * starts earlier, and no capacity is idle during a fetch. Returns whether the task is delayed.
    */
-  awaitsMachineWithImage(job: Job, candidate: CandidateMachine, zones: ZoneCounts): boolean {
+  delayForMachineWithImage(job: Job, candidate: CandidateMachine, zones: ZoneCounts): boolean {
     this.snapshot.machineEvaluations += this.snapshot.candidates.length;
     const fetchS = estimatedFetchS(job.spec, candidate);
     if (fetchS < MIN_FETCH_TO_DELAY_S || job.spec.kind === 'service') return false;
@@ -37,15 +38,18 @@
       if (!this.snapshot.allows(job, other, zones, null)) continue;
       const freeInS = estimatedFreeInS(job.spec, other, this.snapshot.time.now);
       if (freeInS > fetchS * MAX_DELAY_FRACTION) continue;
-      addResources(other.claimed, job.spec);
+      addResources(other.delayedDemand, job.spec);
       job.waitReason = { why: 'waiting for a machine with its image', expectedS: Math.round(freeInS) };
       return true;
     }
     return false;
   }
 
-  /** Rather than a second fetch beside a running one: a machine that is about to be up, and fetches this image alone. */
-  awaitsBootingMachine(job: Job, candidate: CandidateMachine, zones: ZoneCounts): boolean {
+  /**
+   * Delays a task if its fetch would run beside another one and a booting machine is expected to start the task sooner.
+   * Returns whether the task is delayed.
+   */
+  delayForBootingMachine(job: Job, candidate: CandidateMachine, zones: ZoneCounts): boolean {
     const { spec } = job;
     const { fetchingImagesGb } = candidate;
     const startsNoSecondFetch =
@@ -53,7 +57,7 @@
       fetchingImagesGb.has(spec.image) ||
       fetchingImagesGb.size === 0;
     if (startsNoSecondFetch) return false;
-    const booting = this.soonestBooting(job, estimatedFetchS(spec, candidate), zones);
+    const booting = this.soonestBootingMachine(job, estimatedFetchS(spec, candidate), zones);
     if (!booting) return false;
     addResources(booting.free, spec, -1);
     booting.fetchingImagesGb.set(spec.image, spec.imageGb);
@@ -62,8 +66,8 @@
   }
 
   /**
-   * For a service, a long fetch on a free machine loses against a machine that has the image and holds work of lower
-   * priority which can save: that leaves within seconds, and resumes elsewhere from its checkpoint.
+   * Nominates victims for a service that would otherwise wait for a long fetch: lower-priority tasks on a machine with
+   * the image. They save and leave within seconds, and resume elsewhere from their checkpoints.
    */
   nominateWithImage(job: Job, candidate: CandidateMachine, zones: ZoneCounts): Nomination | null {
     if (job.spec.kind !== 'service') return null;
@@ -78,8 +82,8 @@
     );
   }
 
-  /** The booting machine on which the task could start soonest, before `startsInS`. */
-  private soonestBooting(job: Job, startsInS: number, zones: ZoneCounts): CandidateMachine | null {
+  /** The booting machine on which the task could start soonest, if that is before `startsInS`; null otherwise. */
+  private soonestBootingMachine(job: Job, startsInS: number, zones: ZoneCounts): CandidateMachine | null {
     const { spec } = job;
     let best: CandidateMachine | null = null;
     let bestS = startsInS;
--- a/src/core/scheduler/gang-planning.ts
+++ b/src/core/scheduler/gang-planning.ts
@@ -1,4 +1,4 @@
-/** Gang scheduling: all members are placed in one cycle or none is, with or without victims. */
+/** Gang scheduling: all members of a gang are placed in the same cycle, with or without victims, or none is. */
 import type { Job } from '../job.js';
 import { priorityRank } from '../job-spec.js';
 import type { Zone } from '../units.js';
@@ -9,22 +9,29 @@
 import { checkpointsWithin, MIN_FETCH_TO_PREEMPT_S, type Preemption } from './preemption.js';
 import type { Snapshot } from './snapshot.js';
 
-/** Machines for all members of a gang, none of which needs victims. */
+/** A placement of all members of a gang on free capacity, without victims. */
 export interface GangPlan {
   candidates: CandidateMachine[];
-  /** The worst score of a member's machine. */
+  /** The highest, that is worst, score among the members' machines. */
   cost: number;
-  /** Expected seconds of the longest fetch: the gang starts with its slowest member. */
+  /** Expected seconds of the longest image fetch, which delays the start of the whole gang. */
   longestFetchS: number;
 }
 
-/** Fetches up to this share of the plan's longest one are accepted beside machines that have the image. */
-const MAX_FETCH_FRACTION = 0.5;
+/**
+ * Victims are stopped to avoid a long fetch only if each member then waits at most this fraction of it, for its own
+ * fetch or for its victims to save.
+ */
+const MAX_WAIT_FRACTION = 0.5;
 
-/** Chooses a place for the next member, given the zones of those chosen before. */
+/** Selects the machine for the next member, given the zones of the members placed so far. */
 type ChooseMember = (zones: ZoneCounts) => Nomination | null;
 
-const withoutVictims = (candidate: CandidateMachine): Nomination => ({ candidate, victims: [], cost: 0 });
+const nominationWithoutVictims = (candidate: CandidateMachine): Nomination => ({
+  candidate,
+  victims: [],
+  cost: 0,
+});
 
 /** Plans the placements of gangs in one cycle. */
 export class GangPlanning {
@@ -34,33 +41,34 @@
     private readonly preemption: Preemption,
   ) {}
 
-  /** The zones to try one by one; null: any zone for any member. */
+  /** The zones to try in turn; null stands for any zone, which may differ between members. */
   zonesFor(job: Job): (Zone | null)[] {
     if (!job.spec.oneZone) return [null];
     return [...new Set(this.snapshot.candidates.map((candidate) => candidate.machine.info.zone))];
   }
 
-  /** The cheapest placement of all members on machines with enough capacity. */
+  /** The placement of all members on free capacity with the lowest cost; null if not all of them fit. */
   plan(job: Job, tasks: number, zones: (Zone | null)[]): GangPlan | null {
     let best: GangPlan | null = null;
     for (const zone of zones) {
-      const plan = this.planIn(job, tasks, zone);
+      const plan = this.planInZone(job, tasks, zone);
       if (plan && (best === null || plan.cost < best.cost)) best = plan;
     }
     return best;
   }
 
-  /** Victims for the members that no machine has capacity for; null if not all members get a place. */
+  /** Nominates victims for the members that fit on no machine; null, without victims, if not all can be placed. */
   nominateVictims(job: Job, tasks: number, zones: (Zone | null)[]): Victim[] | null {
-    return this.firstComplete(job, tasks, zones, (zone) => (counts) => {
+    return this.firstCompletePlacement(job, tasks, zones, (zone) => (counts) => {
       const free = this.selection.best(job, counts, zone);
-      return free ? withoutVictims(free) : this.preemption.nominateVictims(job, counts, zone);
+      return free ? nominationWithoutVictims(free) : this.preemption.nominateVictims(job, counts, zone);
     });
   }
 
   /**
-   * An urgent gang starts with its slowest member: rather than wait for a long fetch it takes the place of lower-priority
-   * array work that can save, on machines that have the image, for all members whose own machine lacks it.
+   * Nominates victims so that an urgent gang doesn't wait for a long fetch. Members are placed on free machines where
+   * their fetch is short, and otherwise on machines that have the image, in place of lower-priority array tasks that
+   * save quickly. Returns null unless all members can be placed that way.
    */
   nominateWithImage(
     job: Job,
@@ -69,16 +77,16 @@
     zones: (Zone | null)[],
   ): Victim[] | null {
     if (longestFetchS < MIN_FETCH_TO_PREEMPT_S || priorityRank[job.priority] < priorityRank.high) return null;
-    const maxWaitS = longestFetchS * MAX_FETCH_FRACTION;
+    const maxWaitS = longestFetchS * MAX_WAIT_FRACTION;
     const mayStop = (victim: Victim): boolean => checkpointsWithin(victim, maxWaitS);
-    return this.firstComplete(job, tasks, zones, (zone) => (counts) => {
+    return this.firstCompletePlacement(job, tasks, zones, (zone) => (counts) => {
       const free = this.selection.best(job, counts, zone);
-      if (free && estimatedFetchS(job.spec, free) <= maxWaitS) return withoutVictims(free);
+      if (free && estimatedFetchS(job.spec, free) <= maxWaitS) return nominationWithoutVictims(free);
       return this.preemption.nominateWithImage(job, counts, mayStop, zone);
     });
   }
 
-  private planIn(job: Job, tasks: number, zone: Zone | null): GangPlan | null {
+  private planInZone(job: Job, tasks: number, zone: Zone | null): GangPlan | null {
     const chosen: CandidateMachine[] = [];
     const counts: ZoneCounts = new Map();
     let cost = 0;
@@ -92,27 +100,32 @@
       this.countForSpread(job, candidate, counts);
       chosen.push(candidate);
     }
-    // Only a plan so far. What failed with a part of the gang allocated need not fail for others.
+    // The allocations were tentative. A task that failed to fit beside part of the gang may fit without it.
     for (const candidate of chosen) this.snapshot.deallocate(job, candidate);
     if (chosen.length > 0 && chosen.length < tasks) this.forgetUnschedulable(job, zone);
     return chosen.length === tasks ? { candidates: chosen, cost, longestFetchS } : null;
   }
 
-  private firstComplete(
+  private firstCompletePlacement(
     job: Job,
     tasks: number,
     zones: (Zone | null)[],
-    chooseIn: (zone: Zone | null) => ChooseMember,
+    chooserForZone: (zone: Zone | null) => ChooseMember,
   ): Victim[] | null {
     for (const zone of zones) {
-      const victims = this.reserveAll(job, tasks, zone, chooseIn(zone));
+      const victims = this.reserveAllMembers(job, tasks, zone, chooserForZone(zone));
       if (victims) return victims;
     }
     return null;
   }
 
-  /** All members get a place, chosen one after the other, or no victim is nominated. */
-  private reserveAll(job: Job, tasks: number, zone: Zone | null, choose: ChooseMember): Victim[] | null {
+  /** Reserves machines for all members and returns the victims; otherwise reverts everything and returns null. */
+  private reserveAllMembers(
+    job: Job,
+    tasks: number,
+    zone: Zone | null,
+    choose: ChooseMember,
+  ): Victim[] | null {
     const victims: Victim[] = [];
     const reserved: CandidateMachine[] = [];
     const counts: ZoneCounts = new Map();
@@ -131,7 +144,7 @@
     return null;
   }
 
-  /** Counts the zones of the members chosen so far; a gang of one zone is tried zone by zone instead. */
+  /** Counts the member's zone if the gang must be spread. One-zone gangs are planned per zone instead. */
   private countForSpread(job: Job, candidate: CandidateMachine, counts: ZoneCounts): void {
     if (!job.spec.spread) return;
     const { zone } = candidate.machine.info;
--- a/src/core/scheduler/nomination.ts
+++ b/src/core/scheduler/nomination.ts
@@ -1,24 +1,27 @@
-/** What preemption nominates: victims on a machine, with what stopping them costs. Nominated tasks still run. */
+/**
+ * Results of preemption: nominated victims on a machine, and the cost of stopping them. Nominated tasks are still
+ * running.
+ */
 import type { Job, Placement } from '../job.js';
 import type { Team } from '../units.js';
 import type { CandidateMachine } from './candidate-machine.js';
 
-/** A task to be stopped for another one. */
+/** A task to be stopped so that another task can start. */
 export interface Victim {
   job: Job;
   placement: Placement;
-  /** Set where the victim's team runs beyond its guarantee and this team reclaims its own. */
+  /** The team that reclaims its guaranteed capacity from the victim's team; unset for preemption by priority. */
   reclaimedForTeam?: Team;
 }
 
-/** Victims that together make enough capacity; empty where tasks that are stopping already do. */
+/** Victims that together release enough capacity; empty if tasks that are already stopping do. */
 export interface VictimSet {
   victims: Victim[];
-  /** About the seconds of work that stopping them loses, with lower priorities well before higher ones. */
+  /** Approximately the seconds of work lost by stopping the victims, plus a cost for their priorities. */
   cost: number;
 }
 
-/** The machine where a task gets its place once the victims there have left. */
+/** The machine on which a task is placed once the victims have left it. */
 export interface Nomination extends VictimSet {
   candidate: CandidateMachine;
 }
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -1,4 +1,4 @@
-/** Nominates victims: the machine on which the least work has to stop for a task. No task is stopped here. */
+/** Preemption: nominates the victims that cost least to stop for a task. The leader stops them after the cycle. */
 import type { Job } from '../job.js';
 import type { Zone } from '../units.js';
 import { estimatedFetchS, estimatedFreeInS, type CandidateMachine } from './candidate-machine.js';
@@ -8,27 +8,28 @@
 import { UnschedulableSignatures } from './unschedulable-signatures.js';
 import { lowerPriorityVictims, reclaimVictims, type VictimFilter } from './victim-selection.js';
 
-/** For shorter fetches no task is stopped. */
+/** No task is stopped to avoid an image fetch shorter than this. */
 export const MIN_FETCH_TO_PREEMPT_S = 12;
 
 const anyVictim = (): boolean => true;
 
-/** Array work that saves in less than this and resumes elsewhere from its checkpoint. */
+/** Whether the victim is an array task that saves in less than this time and resumes elsewhere from its checkpoint. */
 export const checkpointsWithin = ({ job: { spec } }: Victim, seconds: number): boolean =>
   spec.kind === 'array' && spec.checkpointS > 0 && spec.saveS < seconds;
 
 /**
- * Guards against two jobs that stop one another's tasks without end: what was stopped for a guarantee would take its
- * place back by priority, and the guaranteed work, which goes first, take it again. So too within one team.
+ * Guards against endless mutual preemption. A job stopped for a team's guarantee could preempt the guaranteed job by
+ * its priority, and the guaranteed job, which is scheduled first, would then reclaim the capacity. This can also happen
+ * between jobs of one team.
  */
 const isProtectedFrom = (job: Job, victim: Victim): boolean =>
   victim.job.withinGuarantee && !job.withinGuarantee;
 
-/** Expected seconds until the job starts once the victims have left. */
+/** Expected seconds until a task of the job starts if the victims are stopped now. */
 const estimatedStartInS = (job: Job, { candidate, victims }: Nomination): number =>
   Math.max(0, ...victims.map((victim) => victim.job.spec.saveS)) + estimatedFetchS(job.spec, candidate);
 
-/** The victims found on a machine, as of the machine's version then. */
+/** The victims found on a machine, valid for one version of it. */
 interface CachedVictimSet {
   version: number;
   victimSet: VictimSet | null;
@@ -38,20 +39,23 @@
 export class Preemption {
   private readonly unschedulable = new UnschedulableSignatures();
   private readonly unschedulableByReclaim = new UnschedulableSignatures();
-  /** Kept while victims are nominated for a job's like tasks one after the other: each changes one machine. */
+  /**
+   * Victims found for the job being placed. Its tasks are identical and a nomination changes one machine, so the
+   * victims found on the other machines stay valid.
+   */
   private cached: { job: Job; victimSets: Map<CandidateMachine, CachedVictimSet> } | null = null;
 
   constructor(private readonly snapshot: Snapshot) {}
 
   /**
-   * Lower-priority work first; for a job within its team's guarantee then what other teams run beyond theirs. A
-   * nomination without victims means that enough is being released already.
+   * Nominates lower-priority tasks or, failing that, for a job within its team's guarantee, tasks that other teams run
+   * beyond their guarantees. A nomination without victims means that tasks already stopping will release enough.
    */
   nominateVictims(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): Nomination | null {
     return this.nominateLowerPriority(job, zones, onlyZone) ?? this.nominateReclaim(job, zones, onlyZone);
   }
 
-  /** Lower-priority work that passes the filter, on machines that have the job's image. */
+  /** Nominates lower-priority tasks that pass the filter, on a machine that has the job's image. */
   nominateWithImage(
     job: Job,
     zones: ZoneCounts,
@@ -70,13 +74,13 @@
     return best;
   }
 
-  /** What failed while a part of a plan was assumed need not fail without it. */
+  /** Discards recorded failures that may have been due to a tentative placement, now reverted. */
   forgetUnschedulable(job: Job, onlyZone: Zone | null): void {
     this.unschedulable.forget(job, onlyZone);
     this.unschedulableByReclaim.forget(job, onlyZone);
   }
 
-  /** The machine where a place costs the least lower-priority work. */
+  /** Nominates lower-priority tasks on the machine where stopping them costs least. */
   private nominateLowerPriority(job: Job, zones: ZoneCounts, onlyZone: Zone | null): Nomination | null {
     if (this.unschedulable.has(job, onlyZone)) return null;
     const candidates = this.snapshot.preemptionCandidates(job.priority);
@@ -91,25 +95,25 @@
     return best;
   }
 
-  /** The machine where a place costs the least work that other teams run beyond their guarantees. */
+  /** Nominates tasks that other teams run beyond their guarantees, on the machine where stopping them costs least. */
   private nominateReclaim(job: Job, zones: ZoneCounts, onlyZone: Zone | null): Nomination | null {
     if (!job.withinGuarantee || this.unschedulableByReclaim.has(job, onlyZone)) return null;
     const { candidates, guaranteeAccounting, time } = this.snapshot;
     let best: Nomination | null = null;
-    let soonestS = Infinity;
+    let soonestStartS = Infinity;
     for (const candidate of candidates) {
       if (!this.snapshot.allows(job, candidate, zones, onlyZone)) continue;
       this.snapshot.machineEvaluations += candidate.machine.placements.size;
       const mayStop = (victim: Victim): boolean => !this.snapshot.isNominated(victim.placement);
       const found = reclaimVictims(job, candidate, mayStop, guaranteeAccounting, time);
       const fetchS = estimatedFetchS(job.spec, candidate);
-      soonestS = Math.min(soonestS, estimatedFreeInS(job.spec, candidate, time.now) + fetchS);
+      soonestStartS = Math.min(soonestStartS, estimatedFreeInS(job.spec, candidate, time.now) + fetchS);
       if (found && (best === null || found.cost + fetchS < best.cost))
         best = { candidate, victims: found.victims, cost: found.cost + fetchS };
     }
     if (!best) this.unschedulableByReclaim.record(job, zones, onlyZone);
-    // No task is stopped where one that ends by itself makes the place as soon.
-    return best && soonestS > estimatedStartInS(job, best) ? best : null;
+    // No task is stopped if the capacity is expected to become free just as soon without preemption.
+    return best && soonestStartS > estimatedStartInS(job, best) ? best : null;
   }
 
   private cachedVictimsOn(job: Job, candidate: CandidateMachine): VictimSet | null {
--- a/src/core/scheduler/scheduling-cycle.ts
+++ b/src/core/scheduler/scheduling-cycle.ts
@@ -1,6 +1,6 @@
 /**
- * The scheduling cycle: one frozen snapshot, whole groups, assumed placements, and victims that are nominated and stopped
- * only after a complete placement (docs/design.md).
+ * The scheduling cycle. It works on one snapshot of the cluster, places a gang as a whole or not at all, and nominates
+ * victims only for a complete placement. The leader starts tasks and stops victims after the cycle (docs/design.md).
  */
 import type { Machine } from '../machine.js';
 import type { Job } from '../job.js';
@@ -16,39 +16,39 @@
 import { Preemption } from './preemption.js';
 import { Snapshot, type SnapshotInput } from './snapshot.js';
 
-/** A task placed in this cycle, on a machine of the snapshot. */
+/** A placement decided in this cycle. Its task has not been started yet. */
 export interface AssumedPlacement {
   job: Job;
   index: number;
   machine: Machine;
 }
 
-/** What the leader is to carry out after a cycle. */
+/** The decisions of one cycle, which the leader carries out afterwards. */
 export interface CycleResult {
   placed: AssumedPlacement[];
   victims: Victim[];
-  /** Jobs with tasks left over, in queue order: the demand that scale-out serves. */
+  /** In queue order, jobs and their number of tasks that fit on no machine: the demand for scale-out. */
   unplaced: { job: Job; tasks: number }[];
-  /** Jobs that this cycle did not get to. */
+  /** Jobs left for the next cycle because this one reached its limit of machine evaluations. */
   unprocessed: Job[];
-  /** How many times a machine was evaluated: what the cycle cost. */
+  /** The number of machine evaluations, which measures the cost of the cycle. */
   machineEvaluations: number;
 }
 
-/** What a cycle works on, and its bounds. */
+/** The input and the limits of a cycle. */
 export interface CycleInput extends SnapshotInput {
-  /** Tasks considered for each array or service in one cycle: bounds the time a cycle takes. */
+  /** Maximum number of tasks considered for each array or service; bounds the duration of a cycle. */
   maxTasksPerJob: number;
-  /** Machine evaluations in one cycle, over all jobs, after which no further job is begun. */
+  /** After this many machine evaluations, over all jobs, the cycle processes no further job. */
   maxMachineEvaluations: number;
-  /** How badly a machine type suits a task, against how badly it suits the others; about -2 to 2. */
+  /** Penalty for placing the job on the machine type, relative to the other classes of jobs; from -2 to 2. */
   typePenalty: (spec: JobSpec, type: MachineTypeName) => number;
 }
 
-/** Runs one scheduling cycle; of its input it changes only the jobs' wait reasons and reserved machines. */
-export const runSchedulingCycle = (input: CycleInput): CycleResult => new Cycle(input).run();
+/** Runs one scheduling cycle. Of its input, it modifies only the wait reasons and the reserved machines of jobs. */
+export const runSchedulingCycle = (input: CycleInput): CycleResult => new SchedulingCycle(input).run();
 
-class Cycle {
+class SchedulingCycle {
   private readonly snapshot: Snapshot;
   private readonly selection: CandidateSelection;
   private readonly preemption: Preemption;
@@ -72,10 +72,10 @@
     this.reservations = new CapacityReservations(this.snapshot);
   }
 
-  /** Places the queue's jobs in their order. */
+  /** Processes the jobs in queue order. */
   run(): CycleResult {
     for (const job of this.input.queue) {
-      // A cycle is bounded; the remaining queue is placed in the next one, on a snapshot of its own.
+      // The cost of a cycle is bounded. The next cycle processes the remaining jobs on a new snapshot.
       if (this.snapshot.machineEvaluations < this.input.maxMachineEvaluations) this.placeJob(job);
       else this.result.unprocessed.push(job);
     }
@@ -88,16 +88,16 @@
     const pending = job.firstPending(isGang ? job.spec.tasks : this.input.maxTasksPerJob);
     if (pending.length === 0) return;
     if (isGang) this.placeGang(job, pending);
-    else this.placeEach(job, pending);
+    else this.placeIndependentTasks(job, pending);
   }
 
-  /** Arrays and services: every task is a group of its own with a minimum count of one. */
-  private placeEach(job: Job, pending: number[]): void {
+  /** Places the tasks of an array or a service independently of one another. */
+  private placeIndependentTasks(job: Job, pending: number[]): void {
     const zones = this.snapshot.zonesOf(job);
     for (const [i, index] of pending.entries()) {
       if (!this.snapshot.teamAllows(job, 1)) {
         job.waitReason = { why: 'team limit' };
-        return; // not counted as unplaced: more machines would not help
+        return; // not added to `unplaced`: more machines would not help
       }
       if (this.placeTask(job, index, zones)) continue;
       job.waitReason = { why: 'no machine with room' };
@@ -106,38 +106,41 @@
     }
   }
 
-  /** Places a task, or has it wait for something certain; false: there is nothing that it could wait for. */
+  /**
+   * Places the task, or delays it for victims, a machine with its image or a booting machine. Returns false if none of
+   * these is possible.
+   */
   private placeTask(job: Job, index: number, zones: ZoneCounts): boolean {
     const candidate = this.selection.best(job, zones);
     if (!candidate) {
       const nomination = this.preemption.nominateVictims(job, zones);
-      if (nomination) this.awaitVictims(job, nomination, zones);
+      if (nomination) this.reserveWithVictims(job, nomination, zones);
       return nomination !== null;
     }
     const withImage = this.delays.nominateWithImage(job, candidate, zones);
-    if (withImage) this.awaitVictims(job, withImage, zones);
-    else if (!this.isDelayed(job, candidate, zones)) this.assume(job, index, candidate, zones);
+    if (withImage) this.reserveWithVictims(job, withImage, zones);
+    else if (!this.delayStart(job, candidate, zones)) this.assume(job, index, candidate, zones);
     return true;
   }
 
-  private isDelayed(job: Job, candidate: CandidateMachine, zones: ZoneCounts): boolean {
+  private delayStart(job: Job, candidate: CandidateMachine, zones: ZoneCounts): boolean {
     return (
-      this.delays.awaitsMachineWithImage(job, candidate, zones) ||
-      this.delays.awaitsBootingMachine(job, candidate, zones)
+      this.delays.delayForMachineWithImage(job, candidate, zones) ||
+      this.delays.delayForBootingMachine(job, candidate, zones)
     );
   }
 
-  private awaitVictims(job: Job, { candidate, victims }: Nomination, zones: ZoneCounts): void {
+  private reserveWithVictims(job: Job, { candidate, victims }: Nomination, zones: ZoneCounts): void {
     this.snapshot.reserveWithVictims(job, candidate, victims, zones);
-    this.stopVictims(job, victims);
+    this.addVictims(job, victims);
   }
 
-  private stopVictims(job: Job, victims: Victim[]): void {
+  private addVictims(job: Job, victims: Victim[]): void {
     this.result.victims.push(...victims);
     job.waitReason = { why: 'waiting for victims', victims: victims.length };
   }
 
-  /** Gangs: all tasks or none, in one zone if the job says so. */
+  /** Places all tasks of a gang or none; in a single zone if the job requires it. */
   private placeGang(job: Job, pending: number[]): void {
     if (job.placements.size > 0) {
       job.waitReason = { why: 'old attempt not gone' };
@@ -153,14 +156,14 @@
     const victims = plan
       ? this.gangs.nominateWithImage(job, tasks, plan, zones)
       : this.gangs.nominateVictims(job, tasks, zones);
-    if (victims) this.stopVictims(job, victims);
-    else if (plan) this.startGang(job, pending, plan);
+    if (victims) this.addVictims(job, victims);
+    else if (plan) this.assumeGang(job, pending, plan);
     else this.rejectGang(job, tasks, zones);
   }
 
-  private startGang(job: Job, pending: number[], { candidates }: GangPlan): void {
+  private assumeGang(job: Job, pending: number[], { candidates }: GangPlan): void {
     const only = candidates.length === 1 ? candidates[0] : null;
-    if (only && this.delays.awaitsMachineWithImage(job, only, new Map())) return;
+    if (only && this.delays.delayForMachineWithImage(job, only, new Map())) return;
     for (const [i, candidate] of candidates.entries()) this.assume(job, pending[i], candidate, new Map());
   }
 
--- a/src/core/scheduler/snapshot.ts
+++ b/src/core/scheduler/snapshot.ts
@@ -1,6 +1,6 @@
 /**
- * The frozen snapshot that one cycle works on: machines with their free capacity, what teams use, and what the cycle
- * has assumed on top.
+ * The snapshot of the cluster that one scheduling cycle works on: free capacity of machines and resource usage of
+ * teams, updated with the placements that the cycle decides.
  */
 import { addResources, fits, noResources, type Resources } from '../resources.js';
 import type { Machine } from '../machine.js';
@@ -8,51 +8,51 @@
 import { priorityRank, type Priority } from '../job-spec.js';
 import type { TeamQuota } from '../team-quota.js';
 import type { MachineId, Team, WallTime, Zone } from '../units.js';
-import { candidateOf, type CandidateInput, type CandidateMachine } from './candidate-machine.js';
+import { createCandidate, type CandidateInput, type CandidateMachine } from './candidate-machine.js';
 import { GuaranteeAccounting } from './guarantee-accounting.js';
 import type { Victim } from './nomination.js';
 import { mayRunOn, withinTeamLimit, zoneAllowsOneMore, type ZoneCounts } from './placement-constraints.js';
 import type { CycleTime } from './victim-selection.js';
 
-/** What a snapshot is made from. */
+/** The state from which a snapshot is taken. */
 export interface SnapshotInput extends CandidateInput {
   machines: Map<MachineId, Machine>;
-  /** The jobs to place, in their order. */
+  /** Jobs to place, in scheduling order. */
   queue: Job[];
-  /** All jobs that have tasks placed. */
+  /** All jobs that have placed tasks, and possibly others. */
   jobs: Iterable<Job>;
   wallTime: WallTime;
-  /** What each team's placed tasks take. */
+  /** Resources allocated to the tasks of each team. */
   usage: Map<Team, Resources>;
   quotas: Map<Team, TeamQuota>;
 }
 
-/** The least that any waiting task takes of each kind. */
-const smallestNeed = (queue: Job[]): Resources => {
-  const least = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
+/** For each resource, the smallest amount that a task of any queued job requires. */
+const smallestDemand = (queue: Job[]): Resources => {
+  const smallest = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
   for (const { spec } of queue) {
-    least.cpus = Math.min(least.cpus, spec.cpus);
-    least.gpus = Math.min(least.gpus, spec.gpus);
-    least.memoryGb = Math.min(least.memoryGb, spec.memoryGb);
+    smallest.cpus = Math.min(smallest.cpus, spec.cpus);
+    smallest.gpus = Math.min(smallest.gpus, spec.gpus);
+    smallest.memoryGb = Math.min(smallest.memoryGb, spec.memoryGb);
   }
-  return least;
+  return smallest;
 };
 
-/** State of one scheduling cycle. */
+/** A snapshot of the cluster, with the cycle's own decisions applied to it. */
 export class Snapshot {
   readonly time: CycleTime;
   readonly guaranteeAccounting: GuaranteeAccounting;
-  /** Machines that are up and take new tasks. */
+  /** Machines that are up and schedulable. */
   readonly candidates: CandidateMachine[] = [];
   readonly bootingCandidates: CandidateMachine[] = [];
-  /** Machines with capacity for the smallest waiting task: all that a placement without victims can go to. */
+  /** Machines with capacity for the smallest queued task: the only ones for a placement without victims. */
   readonly candidatesWithCapacity: CandidateMachine[] = [];
-  /** How many times a machine was evaluated so far: what the cycle costs. */
+  /** Number of machine evaluations so far, which measures the cost of the cycle. */
   machineEvaluations = 0;
   private readonly candidatesById = new Map<MachineId, CandidateMachine>();
   private readonly usage = new Map<Team, Resources>();
   private readonly nominated = new Set<Placement>();
-  /** By priority rank: see `preemptionCandidates`. */
+  /** Cached results of `preemptionCandidates`, by priority rank. */
   private preemptionCandidatesByRank: (CandidateMachine[] | null)[] = [];
 
   constructor(private readonly input: SnapshotInput) {
@@ -60,14 +60,14 @@
     this.guaranteeAccounting = new GuaranteeAccounting(input.quotas, input.usage, input.jobs);
     for (const machine of input.machines.values()) this.addMachine(machine);
     for (const [team, used] of input.usage) this.usage.set(team, { ...used });
-    // Capacity only shrinks within a cycle, so a machine that is full now need not be evaluated again.
-    const least = smallestNeed(input.queue);
+    // Free capacity only shrinks within a cycle: a machine that is full now stays so for placements without victims.
+    const smallest = smallestDemand(input.queue);
     for (const candidate of this.candidates)
-      if (fits(least, candidate.free)) this.candidatesWithCapacity.push(candidate);
+      if (fits(smallest, candidate.free)) this.candidatesWithCapacity.push(candidate);
   }
 
   private addMachine(machine: Machine): void {
-    const candidate = candidateOf(machine, this.input);
+    const candidate = createCandidate(machine, this.input);
     if (!candidate) return;
     if (!machine.up) {
       this.bootingCandidates.push(candidate);
@@ -77,7 +77,7 @@
     this.candidatesById.set(machine.id, candidate);
   }
 
-  /** In which zones the job's tasks are, counting those that are still stopping. */
+  /** The number of the job's placed tasks in each zone, including tasks that are stopping. */
   zonesOf(job: Job): ZoneCounts {
     const zones: ZoneCounts = new Map();
     for (const placement of job.placements.values()) {
@@ -87,7 +87,10 @@
     return zones;
   }
 
-  /** The filter, but for capacity: whether the job's next task may run there, given the zones of its others. */
+  /**
+   * Whether all constraints except capacity permit one more task of the job on the machine. `zones` counts the job's
+   * other tasks; `onlyZone`, unless it is null, is the only zone considered.
+   */
   allows(job: Job, candidate: CandidateMachine, zones: ZoneCounts, onlyZone: Zone | null): boolean {
     const { info } = candidate.machine;
     const { spec } = job;
@@ -98,14 +101,14 @@
     return zoneAllowsOneMore(spec, info.zone, zones);
   }
 
-  /** Whether so many tasks more keep the job's team within its limit. */
+  /** Whether the job's team stays within its limit with this number of additional tasks of the job. */
   teamAllows(job: Job, tasks: number): boolean {
     const { cpus, gpus, memoryGb } = job.spec;
-    const need = { cpus: cpus * tasks, gpus: gpus * tasks, memoryGb: memoryGb * tasks };
-    return withinTeamLimit(need, this.usage.get(job.spec.team), this.input.quotas.get(job.spec.team));
+    const additional = { cpus: cpus * tasks, gpus: gpus * tasks, memoryGb: memoryGb * tasks };
+    return withinTeamLimit(additional, this.usage.get(job.spec.team), this.input.quotas.get(job.spec.team));
   }
 
-  /** Counts a task as placed, whether it starts at once or waits for its victims. */
+  /** Records a task as placed, whether it can start at once or must wait for its victims to stop. */
   assumeTask(job: Job, candidate: CandidateMachine, zones: ZoneCounts): void {
     this.allocate(job, candidate);
     const used = this.usage.get(job.spec.team) ?? noResources();
@@ -115,25 +118,25 @@
     zones.set(zone, (zones.get(zone) ?? 0) + 1);
   }
 
-  /** Undoes `assumeTask`, but for the zone counts. */
+  /** Reverts `assumeTask`, except for the zone counts. */
   forgetTask(job: Job, candidate: CandidateMachine): void {
     this.deallocate(job, candidate);
     addResources(this.usage.get(job.spec.team)!, job.spec, -1);
   }
 
-  /** Takes a task's share of the machine only, while a plan is tried. */
+  /** Subtracts a task's resources from the machine, but not from the team's quota; also used for tentative plans. */
   allocate(job: Job, candidate: CandidateMachine): void {
     addResources(candidate.free, job.spec, -1);
     candidate.version++;
   }
 
-  /** Undoes `allocate`. */
+  /** Reverts `allocate`. */
   deallocate(job: Job, candidate: CandidateMachine): void {
     addResources(candidate.free, job.spec);
     candidate.version++;
   }
 
-  /** Reserves what the victims will release for this job, so that no job behind it in the queue takes it. */
+  /** Records a task as placed on capacity that victims will release, so that no later job in the queue can take it. */
   reserveWithVictims(job: Job, candidate: CandidateMachine, victims: Victim[], zones: ZoneCounts): void {
     for (const victim of victims) {
       this.nominated.add(victim.placement);
@@ -148,7 +151,7 @@
     this.assumeTask(job, candidate, zones);
   }
 
-  /** The placement was not complete: its victims are nominated no longer. */
+  /** Reverts the nomination of victims for a placement that could not be completed. */
   withdrawVictims(victims: Victim[]): void {
     this.guaranteeAccounting.withdrawVictims(victims);
     for (const { job, placement } of victims) {
@@ -164,7 +167,7 @@
     return this.nominated.has(placement);
   }
 
-  /** Machines where tasks are stopping, or where work of lower priority may be preempted. */
+  /** Machines with tasks that are stopping, or with preemptible tasks of a lower priority. */
   preemptionCandidates(priority: Priority): CandidateMachine[] {
     const rank = priorityRank[priority];
     let candidates = this.preemptionCandidatesByRank[rank];
--- a/src/core/scheduler/type-penalties.ts
+++ b/src/core/scheduler/type-penalties.ts
@@ -1,4 +1,4 @@
-/** Which machine types suit which class of jobs: a task that is as well off on either leaves the one that others need. */
+/** Penalties for machine types: jobs that run equally well on several types avoid the one that others need. */
 import { tasksPerMachine } from '../resources.js';
 import type { JobSpec } from '../job-spec.js';
 import type { MachineType } from '../machine-info.js';
@@ -7,62 +7,64 @@
 
 const MAX_CLASSES = 50;
 const MAX_CACHED_PENALTIES = 1000;
-const MAX_DISADVANTAGE = 2;
+const MAX_EXCESS_COST_FRACTION = 2;
 
-/** Penalties for placing a job's tasks on a machine type, relative to the other classes of jobs. */
+/** Computes penalties for placing a job's tasks on a machine type, relative to the other classes of jobs. */
 export class TypePenalties {
   private types: MachineType[] = [];
-  /** A job of each class stands for all of them. */
+  /** The first known job of each class, which represents the class. */
   private readonly classes = new Map<string, JobSpec>();
   private readonly cache = new Map<string, number>();
 
-  /** The machine types with their current prices. */
+  /** Sets the machine types and their current prices. */
   setTypes(types: MachineType[]): void {
     this.types = types;
     this.cache.clear();
   }
 
-  /** Takes note of the job's class. */
+  /** Records the job's class. */
   recordSpec(spec: JobSpec): void {
     if (this.classes.has(spec.class) || this.classes.size >= MAX_CLASSES) return;
     this.classes.set(spec.class, spec);
     this.cache.clear();
   }
 
-  /** The job's own disadvantage on the type, less the mean disadvantage that the other classes have there. */
+  /** The job's own excess cost on the type, minus the mean excess cost of the other classes. */
   penaltyOf(spec: JobSpec, type: MachineTypeName): number {
     const key = `${spec.class}|${spec.cpus}|${spec.gpus}|${spec.memoryGb}|${type}`;
-    const known = this.cache.get(key);
-    if (known !== undefined) return known;
-    const penalty = this.disadvantage(spec, type) - this.meanDisadvantageOfOthers(spec, type);
+    const cached = this.cache.get(key);
+    if (cached !== undefined) return cached;
+    const penalty = this.excessCostFraction(spec, type) - this.meanExcessCostOfOthers(spec, type);
     if (this.cache.size > MAX_CACHED_PENALTIES) this.cache.clear();
     this.cache.set(key, penalty);
     return penalty;
   }
 
-  private meanDisadvantageOfOthers(spec: JobSpec, type: MachineTypeName): number {
+  private meanExcessCostOfOthers(spec: JobSpec, type: MachineTypeName): number {
     let sum = 0;
     let count = 0;
     for (const [name, other] of this.classes) {
       if (name === spec.class) continue;
-      sum += this.disadvantage(other, type);
+      sum += this.excessCostFraction(other, type);
       count++;
     }
     return count === 0 ? 0 : sum / count;
   }
 
-  /** How much more a task's share of the machine costs here than on the type where it costs least, as a fraction. */
-  private disadvantage(spec: JobSpec, name: MachineTypeName): number {
-    let own = Infinity;
-    let least = Infinity;
+  /** How much more a task costs on this type than on the type where it costs least, as a fraction of the latter. */
+  private excessCostFraction(spec: JobSpec, name: MachineTypeName): number {
+    let costOnType = Infinity;
+    let leastCost = Infinity;
     for (const type of this.types) {
       if (!type.zones.some((zone) => mayRunOn(spec, type.name, zone, false))) continue;
       const tasks = tasksPerMachine(spec, type);
       if (tasks === 0) continue;
       const cost = type.price / tasks;
-      least = Math.min(least, cost);
-      if (type.name === name) own = cost;
+      leastCost = Math.min(leastCost, cost);
+      if (type.name === name) costOnType = cost;
     }
-    return own === Infinity || least === 0 ? MAX_DISADVANTAGE : Math.min(MAX_DISADVANTAGE, own / least - 1);
+    return costOnType === Infinity || leastCost === 0
+      ? MAX_EXCESS_COST_FRACTION
+      : Math.min(MAX_EXCESS_COST_FRACTION, costOnType / leastCost - 1);
   }
 }
--- a/src/core/scheduler/victim-selection.ts
+++ b/src/core/scheduler/victim-selection.ts
@@ -1,4 +1,4 @@
-/** Selects the tasks on one machine that would have to stop for a task to fit there. */
+/** Selects victims on one machine: the tasks that must stop for another task to fit there. */
 import { addResources, fits, type Resources } from '../resources.js';
 import type { Job } from '../job.js';
 import { priorityRank } from '../job-spec.js';
@@ -7,7 +7,7 @@
 import type { GuaranteeAccounting } from './guarantee-accounting.js';
 import type { Victim, VictimSet } from './nomination.js';
 
-/** The cycle's time on both clocks: deadlines are counted from submissions, which are wall-clock times. */
+/** The time of the cycle on both clocks. Deadlines are relative to submissions, which are wall-clock times. */
 export interface CycleTime {
   now: MonotonicTime;
   wallTime: WallTime;
@@ -16,33 +16,36 @@
 /** Whether a task may be chosen as a victim. */
 export type VictimFilter = (victim: Victim) => boolean;
 
-/** Delay of a stopped task: saving, waiting for another place, and often a fetch. */
+/** Expected delay of a stopped task, which saves, waits for another machine and often fetches its image again. */
 const STOP_DELAY_S = 20;
-/** Seconds of lost work that keeping a job's deadline is worth at the most. */
+/** Maximum cost of endangering a victim's deadline, in seconds of lost work. */
 const MAX_DEADLINE_COST_S = 10;
-/** Keeps every task of a lower priority cheaper than those of higher ones. */
-const PRIORITY_COST_S = 1000;
-/** Prefers few victims among sets that lose the same. */
-const VICTIM_COST_S = 1;
+/** Cost per priority rank. A victim of a lower priority is cheaper unless it loses more work than this. */
+const COST_PER_PRIORITY_RANK_S = 1000;
+/** Cost per victim: of sets that lose the same work, the one with fewer victims is preferred. */
+const COST_PER_VICTIM_S = 1;
 
-const ranForS = ({ placement }: Victim, now: MonotonicTime): number =>
+const elapsedRunS = ({ placement }: Victim, now: MonotonicTime): number =>
   placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
 
-/** Rises as the time left beyond the task's own run shrinks; nothing for a job that is late whatever happens. */
+/**
+ * Increases as the slack between the task's remaining run time and its job's deadline shrinks; 0 if the deadline can't
+ * be met in any case.
+ */
 const deadlineCostS = (victim: Victim, { now, wallTime }: CycleTime): number => {
   const { dueAt, spec } = victim.job;
   if (dueAt === null) return 0;
   const dueInS = (dueAt - wallTime) / 1000;
-  const slackS = dueInS - Math.max(spec.estimateS - ranForS(victim, now), 0);
+  const slackS = dueInS - Math.max(spec.estimateS - elapsedRunS(victim, now), 0);
   return slackS < 0 ? 0 : MAX_DEADLINE_COST_S * Math.min(1, STOP_DELAY_S / Math.max(slackS, 1));
 };
 
-/** Seconds of work that stopping the victim loses, with lower priorities well before higher ones. */
+/** Cost of stopping the victim: seconds of lost work, plus its deadline cost and its priority cost. */
 const stopCostOf = (victim: Victim, time: CycleTime): number => {
   const { checkpointS, saveS } = victim.job.spec;
-  const ranS = ranForS(victim, time.now);
+  const ranS = elapsedRunS(victim, time.now);
   const lostS = checkpointS > 0 ? Math.min(ranS, saveS) : ranS;
-  return lostS + deadlineCostS(victim, time) + PRIORITY_COST_S * priorityRank[victim.job.priority];
+  return lostS + deadlineCostS(victim, time) + COST_PER_PRIORITY_RANK_S * priorityRank[victim.job.priority];
 };
 
 interface CostedVictim extends Victim {
@@ -50,8 +53,9 @@
 }
 
 /**
- * Adds victims in ascending order of their cost to what is `available` until the task fits; null where all of them are
- * too few. `accept` is asked for each in its turn, as one victim may rule out another.
+ * Selects victims in ascending order of cost and adds their resources to `available` until a task of the job fits.
+ * Returns null if it doesn't fit with all of them. `accept` is called for one victim after another, since one accepted
+ * victim may rule out the next.
  */
 const cheapestVictims = (
   job: Job,
@@ -65,7 +69,7 @@
   for (const candidate of candidates) {
     if (!accept(candidate)) continue;
     victims.push(candidate);
-    cost += candidate.stopCost + VICTIM_COST_S;
+    cost += candidate.stopCost + COST_PER_VICTIM_S;
     addResources(available, candidate.job.spec);
     if (fits(job.spec, available)) return { victims, cost };
   }
@@ -74,7 +78,7 @@
 
 const anyCandidate = (): boolean => true;
 
-/** The lower-priority work on the machine that is cheapest to stop for the job's task; null where it is too little. */
+/** Selects the lower-priority tasks on the machine that cost least to stop for a task; null if they are too few. */
 export const lowerPriorityVictims = (
   job: Job,
   candidate: CandidateMachine,
@@ -85,7 +89,7 @@
   addResources(available, candidate.releasing);
   if (fits(job.spec, available)) return { victims: [], cost: 0 };
   const rank = priorityRank[job.priority];
-  // Most machines hold too little preemptible work: the sums tell, without a look at the tasks.
+  // Most machines hold too few preemptible tasks. The precomputed sums show this without iterating over the tasks.
   const preemptible = candidate.preemptibleBelow[rank];
   if (!preemptible) return null;
   addResources(available, preemptible);
@@ -101,8 +105,9 @@
 };
 
 /**
- * The work of other teams beyond their guarantees, of any priority, that is cheapest to stop for the task of a job
- * within its own team's guarantee. A gang counts with all of its members, and no team falls below its guarantee.
+ * Selects the tasks of other teams, of any priority and beyond the teams' guarantees, that are cheapest to stop for a
+ * task of a job within its own team's guarantee. A gang counts with all of its members, and no team is left below its
+ * guarantee.
  */
 export const reclaimVictims = (
   job: Job,
@@ -130,7 +135,7 @@
     return true;
   };
   const found = cheapestVictims(job, available, victims, accept);
-  // They count as lost only once the whole placement is complete.
+  // These records were tentative. Victims are recorded again when they are nominated.
   accounting.withdrawVictims(recorded);
   return found;
 };
--- a/src/core/task-status.ts
+++ b/src/core/task-status.ts
@@ -1,17 +1,17 @@
-/** Identifies and compares the task statuses that heartbeats carry. */
+/** The task statuses in heartbeats, and functions to identify and compare them. */
 import type { JobId, Attempt } from './units.js';
 
-/** A task's state on its machine; `waiting` is for the other members of its gang. */
+/** A task's state on its machine. A `waiting` task waits for the other members of its gang. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 
 /**
- * Why a task exited. `peers`: another member of its gang is gone; `incomplete`: the gang was not complete in time;
+ * Why a task exited. `peers`: another member of its gang has ended; `incomplete`: the gang was not complete in time;
  * `no_room`, `in_use`, `no_such`: the start was refused.
  */
 export type ExitCause =
   'done' | 'stopped' | 'peers' | 'incomplete' | 'error' | 'no_room' | 'in_use' | 'no_such';
 
-/** One attempt of a task in a heartbeat. */
+/** The status of one attempt of a task in a heartbeat. */
 export interface TaskStatus {
   job: JobId;
   index: number;
@@ -19,18 +19,18 @@
   state: TaskState;
   /** Null until the task has exited. */
   cause: ExitCause | null;
-  /** Stopped with its progress saved in a checkpoint. */
+  /** The task was stopped and saved its progress in a checkpoint. */
   saved: boolean;
 }
 
-/** Names one attempt of one task. */
+/** Identifies one attempt of one task. */
 export type AttemptKey = string & { readonly attemptKey: unique symbol };
 
 /** The key of this attempt. */
 export const attemptKey = (job: JobId, index: number, attempt: number): AttemptKey =>
   `${job}/${index}#${attempt}` as AttemptKey;
 
-/** Whether two status lists name the same attempts, in the same order and states. */
+/** Whether two lists contain the same attempts in the same order and the same states. */
 export const sameTaskStatuses = (a: TaskStatus[], b: TaskStatus[]): boolean => {
   if (a.length !== b.length) return false;
   for (let i = 0; i < a.length; i++) {
--- a/src/core/team-quota.ts
+++ b/src/core/team-quota.ts
@@ -1,7 +1,7 @@
-/** What a team is guaranteed and limited to. */
+/** The guarantees and limits of teams. */
 import type { Team } from './units.js';
 
-/** A team's guaranteed amounts and its limits; 0: it has none of this kind. */
+/** The resources guaranteed to a team, and the team's limits; 0 means that there is no guarantee or no limit. */
 export interface TeamQuota {
   name: Team;
   /** Guaranteed CPUs. */
--- a/src/core/units.ts
+++ b/src/core/units.ts
@@ -1,4 +1,4 @@
-/** Identifiers, versions and points in time, each a type of its own so that they can't be mixed up. */
+/** Identifiers, versions and points in time. Each has its own type to prevent mix-ups. */
 declare const brand: unique symbol;
 type Branded<T, B extends string> = T & { readonly [brand]: B };
 
@@ -18,28 +18,28 @@
 export type Team = Branded<string, 'Team'>;
 /** Network address of a worker: host and port. */
 export type Endpoint = Branded<string, 'Endpoint'>;
-/** Monotonic-clock milliseconds; only meaningful inside one process. */
+/** Monotonic-clock milliseconds; only meaningful within one process. */
 export type MonotonicTime = Branded<number, 'MonotonicTime'>;
 /** Wall-clock milliseconds since the epoch; comparable between processes within the clock error. */
 export type WallTime = Branded<number, 'WallTime'>;
-/** Rising number of a leadership; doubles as the workers' fencing token. */
+/** Number of a leadership, higher than those of all earlier ones; also used as the fencing token for workers. */
 export type Term = Branded<number, 'Term'>;
-/** Names a segment of a job's completions in the key-value store. */
+/** Name of a segment of a job's completions in the key-value store. */
 export type SegmentName = Branded<string, 'SegmentName'>;
-/** Number of one start of a task; the members of a gang start under the same one. */
+/** Number of an attempt to run a task; the members of a gang have the same one. */
 export type Attempt = Branded<number, 'Attempt'>;
-/** Outside counters go up to 2^64: numbers while safe, bigints beyond. `<` and `>` compare both. */
+/** An external counter below 2^64: a number if that is exact, otherwise a bigint. `<` and `>` compare both. */
 export type Uint64 = number | bigint;
 /** Modification revision of a key in the key-value store, for compare-and-swap. */
 export type Revision = Uint64;
 
-/** Whether two counters are equal, whichever of the two representations each has. */
+/** Whether two counters are equal, whether they are numbers or bigints. */
 export const equalUint64 = (a: Uint64, b: Uint64): boolean => !(a < b) && !(a > b);
 
 /** The id of a job's task with this index. */
 export const taskId = (job: JobId, index: number): TaskId => `${job}/${index}` as TaskId;
 
 const ATTEMPTS_PER_TERM = 2 ** 24;
-/** Attempts derive from the term, so that no two leaders ever use the same one and none needs a write. */
+/** Derives attempt numbers from the term, so that no two leaders use the same one and none has to be stored. */
 export const attemptNumber = (term: Term, ordinal: number): Attempt =>
   (term * ATTEMPTS_PER_TERM + ordinal) as Attempt;
--- a/src/core/worker-command.ts
+++ b/src/core/worker-command.ts
@@ -1,7 +1,7 @@
 /** Commands to workers. */
 import type { Attempt, JobId } from './units.js';
 
-/** What a worker is told to do; it executes commands in their order. */
+/** A command to a worker. Workers execute commands in the order in which they are sent. */
 export type Command =
   | { op: 'start'; job: JobId; index: number; attempt: Attempt }
   | { op: 'stop'; job: JobId; index: number; attempt: Attempt; gracePeriodS: number }
--- a/src/core/worker-timings.ts
+++ b/src/core/worker-timings.ts
@@ -1,14 +1,14 @@
-/** The times that the protocol with the workers is built on; the settings' values. */
+/** Times in the worker protocol, as set in the platform settings. */
 
-/** The times that the protocol with the workers is built on. */
+/** Times in the worker protocol. */
 export interface WorkerTimings {
   heartbeatIntervalS: number;
-  /** A worker ends its tasks when its last answered heartbeat was sent longer ago than this. */
+  /** A worker ends its tasks if the last heartbeat that got a reply was sent longer ago than this. */
   leaseS: number;
-  /** For so long a gang's members wait for one another. */
+  /** How long the members of a gang wait for one another. */
   gangWaitS: number;
-  /** Within this time the members of a gang notice that one is gone, and within this time all of them must be stopped. */
+  /** Members of a gang detect within this time that another one is gone, and must all have stopped within it. */
   gangPeerS: number;
-  /** Within this time of a confirmed cancellation every task of the job must be gone. */
+  /** All tasks of a job must be gone within this time of its confirmed cancellation. */
   cancelS: number;
 }
