--- a/src/core/cancellation-log.ts
+++ b/src/core/cancellation-log.ts
@@ -72,7 +72,7 @@
   }
 
   /** When this controller learned that the job is cancelled. */
-  learnedAtOf(job: JobId): MonotonicTime | undefined {
+  cancellationLearnedAt(job: JobId): MonotonicTime | undefined {
     return this.learnedAt.get(job);
   }
 
--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -85,8 +85,8 @@
   }
 
   /** When this controller learned of the job's cancellation. */
-  learnedAtOf(job: JobId): MonotonicTime | undefined {
-    return this.cancellationLog.learnedAtOf(job);
+  cancellationLearnedAt(job: JobId): MonotonicTime | undefined {
+    return this.cancellationLog.cancellationLearnedAt(job);
   }
 
   /** Whether it learned of any cancellation from one instant until before the other. */
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -24,7 +24,7 @@
 export interface LeaderlessFencingDependencies {
   platform: PlatformSettings;
   heartbeatHandler: HeartbeatHandler;
-  cancellations: Pick<CancellationFeed, 'learnedAtOf' | 'anyLearnedBetween'>;
+  cancellations: Pick<CancellationFeed, 'cancellationLearnedAt' | 'anyLearnedBetween'>;
   links: PeerLink[];
   cloud: Pick<CloudProviderClient, 'deleteMachines' | 'listMachines'>;
   storeAvailable: () => boolean;
@@ -66,7 +66,8 @@
       .machinesWithoutHeartbeatFor(platform.workers.leaseS * 1000, now)
       .filter(([, tasks]) =>
         tasks.some(
-          (task) => task.state !== 'exited' && (cancellations.learnedAtOf(task.job) ?? Infinity) < overdue,
+          (task) =>
+            task.state !== 'exited' && (cancellations.cancellationLearnedAt(task.job) ?? Infinity) < overdue,
         ),
       )
       .map(([id]) => id);
