--- a/src/core/job-progress.ts
+++ b/src/core/job-progress.ts
@@ -21,7 +21,7 @@
     this.durableBits = new Uint8Array(bytes);
   }
 
-  /** Whether the task is done. */
+  /** Whether the task is completed. */
   isCompleted(index: number): boolean {
     return hasBit(this.completedBits, index);
   }
--- a/src/core/job-spec.ts
+++ b/src/core/job-spec.ts
@@ -27,15 +27,15 @@
   /** The image that a machine must have before a task can start. */
   image: string;
   imageGb: number;
-  /** Allowed machine types; null: any. */
+  /** Allowed machine types; null allows any type. */
   types: MachineTypeName[] | null;
-  /** The only allowed zone; null: any. */
+  /** The only allowed zone; null allows any zone. */
   zone: Zone | null;
   /** All tasks must be in the same zone. */
   oneZone: boolean;
   /** At most half of the tasks, rounded up, may be in one zone. */
   spread: boolean;
-  /** May run on spot instances. */
+  /** Whether the tasks may run on spot instances. */
   spot: boolean;
   /** The owner's estimate of a task's run time without the image fetch; 0 for services. */
   estimateS: number;
--- a/src/core/job.ts
+++ b/src/core/job.ts
@@ -188,7 +188,7 @@
     );
   }
 
-  /** Whether the task is done. */
+  /** Whether the task is completed. */
   isCompleted(index: number): boolean {
     return this.progress.isCompleted(index);
   }
--- a/src/core/scheduler/capacity-reservations.ts
+++ b/src/core/scheduler/capacity-reservations.ts
@@ -15,7 +15,7 @@
   candidates: CandidateMachine[];
   /** The number of these machines that were already reserved for the gang in the previous cycle. */
   keptCount: number;
-  /** Expected seconds until all of them have capacity. */
+  /** Expected seconds until all of these machines have capacity. */
   freeInS: number;
 }
 
--- a/src/core/task-status.ts
+++ b/src/core/task-status.ts
@@ -26,7 +26,7 @@
 /** Identifies one attempt of one task. */
 export type AttemptKey = string & { readonly attemptKey: unique symbol };
 
-/** The key of this attempt. */
+/** Builds the key of an attempt. */
 export const attemptKey = (job: JobId, index: number, attempt: number): AttemptKey =>
   `${job}/${index}#${attempt}` as AttemptKey;
 
--- a/src/core/team-quota.ts
+++ b/src/core/team-quota.ts
@@ -4,9 +4,7 @@
 /** The resources guaranteed to a team, and the team's limits; 0 means that there is no guarantee or no limit. */
 export interface TeamQuota {
   name: Team;
-  /** Guaranteed CPUs. */
   guaranteedCpus: number;
-  /** Limit on CPUs. */
   maxCpus: number;
   /** Guaranteed accelerators. */
   guaranteedGpus: number;
--- a/src/core/units.ts
+++ b/src/core/units.ts
@@ -6,11 +6,11 @@
 export type JobId = Branded<string, 'JobId'>;
 /** Id of one task of a job: the job's id, a slash and the task's index. */
 export type TaskId = Branded<string, 'TaskId'>;
-/** Id of a machine, given by the cloud. */
+/** Id of a machine, assigned by the cloud provider. */
 export type MachineId = Branded<string, 'MachineId'>;
 /** Name of a controller node. */
 export type NodeName = Branded<string, 'NodeName'>;
-/** Name of a machine type of the cloud. */
+/** Name of a machine type of the cloud provider. */
 export type MachineTypeName = Branded<string, 'MachineTypeName'>;
 /** Name of an availability zone. */
 export type Zone = Branded<string, 'Zone'>;
