--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -8,7 +8,7 @@
   CancellationLog,
   cancellationRetentionMs,
   renewalWindowMs,
-  type Incarnation,
+  type ControllerIncarnation,
   type CancellationLogPosition,
   type CancellationLogPage,
 } from '../../core/cancellation-log.js';
@@ -55,7 +55,7 @@
   constructor(private readonly dependencies: CancellationFeedDependencies) {
     const { workers, peers } = dependencies.platform;
     this.cancellationLog = new CancellationLog(
-      randomBytes(INCARNATION_BYTES).toString('base64url') as Incarnation,
+      randomBytes(INCARNATION_BYTES).toString('base64url') as ControllerIncarnation,
       peers.map((peer) => peer.name),
       cancellationRetentionMs(workers.cancelS),
     );
@@ -85,8 +85,8 @@
   }
 
   /** When this controller learned of the job's cancellation. */
-  learnedAtOf(job: JobId): MonotonicTime | undefined {
-    return this.cancellationLog.learnedAtOf(job);
+  cancellationLearnedAt(job: JobId): MonotonicTime | undefined {
+    return this.cancellationLog.cancellationLearnedAt(job);
   }
 
   /** Whether this controller learned of any cancellation at or after `from` and before `until`. */
