--- a/src/test/cancellations.test.ts
+++ b/src/test/cancellations.test.ts
@@ -1,4 +1,4 @@
-/** Cancellation logs and proofs of coverage between controllers. */
+/** Cancellation logs of controllers, and the proof that a log covers every confirmed cancellation. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CancellationLog, renewalWindowMs, type ControllerIncarnation } from '../core/cancellation-log.js';
@@ -7,100 +7,104 @@
 
 const at = (ms: number): MonotonicTime => ms as MonotonicTime;
 const job = (index: number): JobId => `wk-${index}` as JobId;
-const KEPT = 160_000;
+const RETENTION_MS = 160_000;
 
-/** Controllers a, b and c; the test has each of them ask the others. */
+/** The logs of controllers a, b and c, and a function by which one of them requests a page of another one's log. */
 const cluster = () => {
   const names = ['a', 'b', 'c'] as NodeName[];
-  const make = (name: string, run = 1): CancellationLog =>
+  const createLog = (name: string, incarnation = 1): CancellationLog =>
     new CancellationLog(
-      `${name}${run}` as ControllerIncarnation,
+      `${name}${incarnation}` as ControllerIncarnation,
       names.filter((other) => other !== name),
-      KEPT,
+      RETENTION_MS,
     );
-  const logs = { a: make('a'), b: make('b'), c: make('c') };
-  const ask = (who: 'a' | 'b' | 'c', whom: 'a' | 'b' | 'c', ms: number): void => {
-    const page = logs[whom].pageAfter(logs[who].positionOf(whom as NodeName), at(ms + 1));
-    logs[who].mergePage(whom as NodeName, page, at(ms), at(ms + 2));
+  const logs = { a: createLog('a'), b: createLog('b'), c: createLog('c') };
+  const requestPage = (requester: 'a' | 'b' | 'c', peer: 'a' | 'b' | 'c', ms: number): void => {
+    const page = logs[peer].pageAfter(logs[requester].positionOf(peer as NodeName), at(ms + 1));
+    logs[requester].mergePage(peer as NodeName, page, at(ms), at(ms + 2));
   };
-  return { logs, ask, make };
+  return { logs, requestPage, createLog };
 };
 
-test('a key-value store read proves coverage of what was confirmed before the request', () => {
+test('a read of the key-value store proves coverage of cancellations confirmed before the request', () => {
   const { logs } = cluster();
-  assert.equal(logs.a.provenUntil(at(50)), -Infinity, 'a process that has just begun knows nothing');
+  assert.equal(logs.a.provenUntil(at(50)), -Infinity, 'a process that has just started has no proof');
   logs.a.onStoreRead(at(100));
   logs.a.onStoreRead(at(70));
-  assert.equal(logs.a.provenUntil(at(200)), 100, 'a late answer does not move it back');
+  assert.equal(logs.a.provenUntil(at(200)), 100, 'a late response does not reduce the coverage');
 });
 
-test('in an outage all peers together prove coverage, and their logs list what they confirmed', () => {
-  const { logs, ask } = cluster();
-  ask('a', 'b', 0);
-  ask('a', 'c', 0);
-  assert.equal(logs.a.provenUntil(at(10)), -Infinity, 'what their earlier processes confirmed is not known');
+test('in an outage the logs of all peers together prove coverage, and contain the cancellations they confirmed', () => {
+  const { logs, requestPage } = cluster();
+  requestPage('a', 'b', 0);
+  requestPage('a', 'c', 0);
+  assert.equal(
+    logs.a.provenUntil(at(10)),
+    -Infinity,
+    'cancellations confirmed by earlier processes of the peers are unknown',
+  );
   logs.a.onStoreRead(at(100));
   logs.b.add(job(1), at(150));
-  ask('a', 'b', 200);
+  requestPage('a', 'b', 200);
   assert.ok(logs.a.has(job(1)));
-  assert.equal(logs.a.provenUntil(at(210)), 100, 'c has not spoken yet');
-  ask('a', 'c', 300);
+  assert.equal(logs.a.provenUntil(at(210)), 100, 'no page of c has been received since');
+  requestPage('a', 'c', 300);
   assert.equal(logs.a.provenUntil(at(310)), 200);
-  ask('a', 'b', 400);
+  requestPage('a', 'b', 400);
   assert.equal(logs.a.provenUntil(at(410)), 300);
 });
 
 test('a peer restarted during an outage proves nothing about its previous process', () => {
-  const { logs, ask, make } = cluster();
-  for (const peer of ['b', 'c'] as const) ask('a', peer, 0);
+  const { logs, requestPage, createLog } = cluster();
+  for (const peer of ['b', 'c'] as const) requestPage('a', peer, 0);
   logs.a.onStoreRead(at(100));
-  for (const peer of ['b', 'c'] as const) ask('a', peer, 200);
+  for (const peer of ['b', 'c'] as const) requestPage('a', peer, 200);
   assert.equal(logs.a.provenUntil(at(210)), 200);
-  logs.b.add(job(1), at(250)); // confirmed, and then the controller crashes before any peer has read it
-  logs.b = make('b', 2);
-  for (const peer of ['b', 'c'] as const) ask('a', peer, 300);
-  for (const peer of ['b', 'c'] as const) ask('a', peer, 400);
+  logs.b.add(job(1), at(250)); // confirmed, but the controller crashes before any peer has read its log
+  logs.b = createLog('b', 2);
+  for (const peer of ['b', 'c'] as const) requestPage('a', peer, 300);
+  for (const peer of ['b', 'c'] as const) requestPage('a', peer, 400);
   assert.equal(logs.a.provenUntil(at(410)), 200);
   logs.a.onStoreRead(at(500));
-  for (const peer of ['b', 'c'] as const) ask('a', peer, 600);
+  for (const peer of ['b', 'c'] as const) requestPage('a', peer, 600);
   assert.equal(logs.a.provenUntil(at(610)), 600, 'a read covers the gap');
 });
 
-test('a controller that has just started adopts what a peer knows and can prove', () => {
-  const { logs, ask } = cluster();
+test("a controller that has just started adopts a peer's log and its coverage", () => {
+  const { logs, requestPage } = cluster();
   logs.b.add(job(1), at(50));
   logs.b.add(job(2), at(60));
   logs.b.onStoreRead(at(1000));
-  ask('a', 'b', 3000);
+  requestPage('a', 'b', 3000);
   assert.ok(logs.a.has(job(1)) && logs.a.has(job(2)));
   const proven = logs.a.provenUntil(at(3010));
-  assert.ok(proven <= 1000 && proven > 990, `${proven}: as old as the peer's own, and less for drift`);
+  assert.ok(proven <= 1000 && proven > 990, `${proven}: the peer's own coverage, reduced by the clock drift`);
 });
 
-test('part of a long log does not advance the coverage, the remainder does', () => {
-  const { logs, ask } = cluster();
+test('the coverage advances only when all pages of a long log have been received', () => {
+  const { logs, requestPage } = cluster();
   for (let index = 0; index < 2500; index++) logs.b.add(job(index), at(1));
   logs.b.onStoreRead(at(100));
-  ask('a', 'b', 200);
+  requestPage('a', 'b', 200);
   assert.ok(logs.a.has(job(0)) && !logs.a.has(job(2400)));
   assert.equal(logs.a.provenUntil(at(210)), -Infinity);
-  ask('a', 'b', 300);
+  requestPage('a', 'b', 300);
   assert.ok(logs.a.has(job(2400)) && logs.a.provenUntil(at(310)) > 0);
 });
 
-test('entries expire once none of their tasks can remain, and positions continue', () => {
-  const { logs, ask } = cluster();
+test('entries expire when no task of the job can remain, and positions in the log continue', () => {
+  const { logs, requestPage } = cluster();
   logs.b.add(job(1), at(0));
-  ask('a', 'b', 10);
-  logs.b.add(job(2), at(KEPT + 100));
+  requestPage('a', 'b', 10);
+  logs.b.add(job(2), at(RETENTION_MS + 100));
   assert.ok(!logs.b.has(job(1)));
-  ask('a', 'b', KEPT + 200);
+  requestPage('a', 'b', RETENTION_MS + 200);
   assert.ok(logs.a.has(job(2)));
-  ask('c', 'b', KEPT + 200);
+  requestPage('c', 'b', RETENTION_MS + 200);
   assert.ok(logs.c.has(job(2)) && !logs.c.has(job(1)));
 });
 
-test('malformed peer messages are refused', () => {
+test('malformed log pages are rejected', () => {
   const good = { incarnation: 'b1', from: 0, jobs: ['wk-1'], end: 1, completeAgoMs: 5 };
   assert.ok(parseLogPage(good).ok);
   assert.ok(parseLogPage({ ...good, completeAgoMs: null }).ok);
@@ -118,7 +122,7 @@
     assert.ok(!parseLogPage(bad).ok, JSON.stringify(bad));
 });
 
-test('the coverage window leaves a lease, the clock error and a margin before cancel_s', () => {
+test('the lease renewal window ends a lease, the clock error and a margin before cancel_s', () => {
   const windowMs = renewalWindowMs(40, 10);
   assert.ok(windowMs > 28_000 && windowMs + 10_000 * 1.0005 < 40_000 * 0.9995 - 1000, String(windowMs));
 });
--- a/src/test/heartbeat-handler.test.ts
+++ b/src/test/heartbeat-handler.test.ts
@@ -1,10 +1,10 @@
-/** How a controller answers heartbeats: forwarded, redirected, renewed without a leader, or batched as unchanged. */
+/** How a controller handles heartbeats: forwarding, redirects, lease renewal without a leader, and batches of unchanged ones. */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
 import { createBatchingFollower, createFollower, workers } from './sim/heartbeat-handler-fixtures.js';
 import type { MachineId } from '../core/units.js';
 
-test('heartbeats are forwarded to the leader; a worker of another zone is redirected to its own once', async () => {
+test('heartbeats are forwarded to the leader; a worker of another zone is redirected once to its own', async () => {
   const { environment, sendHeartbeat } = createFollower();
   assert.equal(await sendHeartbeat('east'), '200 {"reins":3,"calls":[]}');
   assert.equal(environment.forwardedCount, 1);
@@ -12,19 +12,19 @@
   assert.equal(
     await sendHeartbeat('west', 2),
     '200 {"reins":3,"calls":[]}',
-    'back: it is not sent a second time',
+    'the worker returned: it is not redirected a second time',
   );
   assert.equal(environment.forwardedCount, 2);
 });
 
 test('no worker is redirected to a controller that receives no heartbeats', async () => {
-  // Guards against workers that lose 5 s of their lease at a leader that is partitioned from the workers alone.
+  // Guards against redirecting workers to a leader that is partitioned only from the workers: they lose 5 s of their lease.
   const { environment, sendHeartbeat } = createFollower();
   environment.leaderReceivesHeartbeats = false;
   assert.equal(await sendHeartbeat('west', 2), '200 {"reins":3,"calls":[]}');
 });
 
-test('without key-value store and peers, a worker is redirected, and its lease renewed only if no one else accepts it', async () => {
+test('without key-value store and peers, a worker is redirected, and its lease renewed only if no other controller accepts it', async () => {
   const { environment, heartbeatHandler, sendHeartbeat } = createFollower();
   heartbeatHandler.recordLeaderSeen();
   environment.linkAlive = false;
@@ -34,32 +34,36 @@
   assert.equal(await sendHeartbeat('east'), '200 {"reins":3,"calls":[]}');
 });
 
-test('connections between controllers refused: workers are redirected to the leader', async () => {
+test('when connections between controllers are refused, workers are redirected to the leader', async () => {
   // Guards against followers that renew leases until the window ends while the leader fences half of the machines.
   const { environment, heartbeatHandler, sendHeartbeat } = createFollower();
   heartbeatHandler.recordLeaderSeen();
   environment.linkAlive = false;
-  assert.equal(await sendHeartbeat('east'), '200 {"reins":3,"calls":[]}', 'behind a partition they stay');
+  assert.equal(
+    await sendHeartbeat('east'),
+    '200 {"reins":3,"calls":[]}',
+    'in a partition the worker is not redirected',
+  );
   environment.linkRefuses = true;
   assert.equal(await sendHeartbeat('east'), '421 {"foreman":"stable-1"}');
   assert.equal(
     await sendHeartbeat('east'),
     '200 {"reins":3,"calls":[]}',
-    'back: the leader is not to be reached',
+    'the worker returned: it cannot reach the leader',
   );
 });
 
-test('a restarted controller renews leases by what its peers know of the leader', async () => {
+test('a restarted controller renews leases based on when its peers last saw the leader', async () => {
   const { environment, heartbeatHandler, sendHeartbeat } = createFollower();
   environment.linkAlive = false;
-  assert.equal(await sendHeartbeat('east'), '503 {}', 'nobody knows when there was a leader');
+  assert.equal(await sendHeartbeat('east'), '503 {}', 'no peer has reported when it last saw a leader');
   heartbeatHandler.recordLeaderSeen(3000);
   assert.equal(heartbeatHandler.leaderSeenAgoMs, 3000);
   assert.equal(await sendHeartbeat('east'), '200 {"reins":3,"calls":[]}');
 });
 
-test('partitioned from the leader, leases are renewed from its last heartbeat on, for a bounded time', async () => {
-  // Guards against counting the time from the last heartbeat seen here, when there has been none.
+test("a controller partitioned from the leader renews leases for a bounded time after the leader's last heartbeat", async () => {
+  // Guards against measuring this time from the last heartbeat that this controller received, which may not exist.
   const { environment, heartbeatHandler, sendHeartbeat } = createFollower();
   heartbeatHandler.recordLeaderSeen();
   environment.linkAlive = false;
@@ -69,7 +73,7 @@
   assert.equal(
     await sendHeartbeat('east', 4),
     '421 {}',
-    'a higher token would drop our answer and hold the worker here',
+    'a worker with a higher fencing token would drop the response and stay connected to this controller',
   );
   environment.now += 2;
   assert.equal(await sendHeartbeat('east'), '503 {}');
@@ -78,7 +82,11 @@
 test('in an outage, leases are renewed while every cancellation is known, and cancelled tasks are stopped', async () => {
   const { environment, cancelled, sendHeartbeat } = createFollower();
   Object.assign(environment, { linkAlive: false, storeAvailable: false });
-  assert.equal(await sendHeartbeat('east'), '421 {}', 'without peers too, another controller may do better');
+  assert.equal(
+    await sendHeartbeat('east'),
+    '421 {}',
+    'without peers, the worker is redirected first: another controller may accept it',
+  );
   const tasks = [
     { hand: 'wk-1/0', try: 5, status: 'running' },
     { hand: 'wk-2/3', try: 6, status: 'running' },
@@ -90,7 +98,7 @@
   // A task cancelled right after the proof must stop in time: the response renews its lease.
   cancelled.provenUntil = environment.now;
   environment.now += (workers.cancelS - workers.leaseS) * 1000 - 2000;
-  assert.equal(await sendHeartbeat('east'), '421 {}', 'tried again now and then');
+  assert.equal(await sendHeartbeat('east'), '421 {}', 'the worker is redirected again from time to time');
   assert.equal(await sendHeartbeat('east', 3, tasks), `200 {"reins":3,"calls":[${stop}]}`);
   environment.now += 2000;
   assert.equal(await sendHeartbeat('east', 3, tasks), '503 {}');
@@ -100,7 +108,11 @@
   const { environment, sendHeartbeat } = createFollower();
   Object.assign(environment, { linkAlive: false, storeAvailable: false });
   assert.equal(await sendHeartbeat('east', 9), '421 {}');
-  assert.equal(await sendHeartbeat('east', 9), '200 {"reins":9,"calls":[]}', 'nobody else accepted it');
+  assert.equal(
+    await sendHeartbeat('east', 9),
+    '200 {"reins":9,"calls":[]}',
+    'no other controller accepted the worker',
+  );
 });
 
 test('unchanged heartbeats are batched; a change, a duplicate, a new incarnation and another leader are not', async (t) => {
@@ -109,7 +121,7 @@
   const { sendHeartbeat, lastSequence } = createBatchingFollower();
   assert.equal(await sendHeartbeat(1), 'forwarded-heartbeat');
   assert.equal(await sendHeartbeat(2), 'unchanged-heartbeats');
-  assert.equal(lastSequence(), 2, 'the leader knows that the machine lives');
+  assert.equal(lastSequence(), 2, 'the leader has processed the unchanged heartbeat');
   assert.equal(await sendHeartbeat(2), 'forwarded-heartbeat', 'a duplicate is not batched');
   const task = { hand: 'wk-9/0', try: 1, status: 'running' };
   assert.equal(
@@ -119,9 +131,21 @@
   );
   assert.equal(await sendHeartbeat(4), 'forwarded-heartbeat');
   assert.equal(await sendHeartbeat(5), 'unchanged-heartbeats');
-  assert.equal(await sendHeartbeat(6, { recallS: 9 }), 'forwarded-heartbeat', 'so is a notice');
-  assert.equal(await sendHeartbeat(7), 'forwarded-heartbeat', 'and what comes after it');
-  assert.equal(await sendHeartbeat(1, { shift: 2 }), 'forwarded-heartbeat', 'and a new incarnation');
+  assert.equal(
+    await sendHeartbeat(6, { recallS: 9 }),
+    'forwarded-heartbeat',
+    'an interruption notice is reported in full',
+  );
+  assert.equal(
+    await sendHeartbeat(7),
+    'forwarded-heartbeat',
+    'the heartbeat after a notice is reported in full',
+  );
+  assert.equal(
+    await sendHeartbeat(1, { shift: 2 }),
+    'forwarded-heartbeat',
+    'a new incarnation is reported in full',
+  );
 });
 
 test('a batch of unchanged heartbeats that is lost or does not match makes the next heartbeat a full one', async (t) => {
@@ -134,12 +158,12 @@
   environment.linkAlive = true;
   assert.equal(await sendHeartbeat(3), 'forwarded-heartbeat', 'the batch got no response');
   assert.equal(await sendHeartbeat(4), 'unchanged-heartbeats');
-  // Something is expected from the machine: an unchanged heartbeat must not put it in sync.
+  // The machine is no longer in sync with the leader, and an unchanged heartbeat must not mark it as in sync.
   environment.leader.machines.get('host-1' as MachineId)!.invalidate();
   assert.equal(await sendHeartbeat(5), 'unchanged-heartbeats');
-  assert.equal(lastSequence(), 4, 'not accepted');
+  assert.equal(lastSequence(), 4, 'the unchanged heartbeat is not accepted');
   assert.equal(await sendHeartbeat(6), 'forwarded-heartbeat');
-  // The leader has processed a newer heartbeat, as from a direct command's response: the base has changed.
+  // The leader has processed a newer heartbeat, such as one in the response to a direct command: the base has changed.
   environment.leader.machines.get('host-1' as MachineId)!.lastHeartbeat.processedSequence = 7;
   assert.equal(await sendHeartbeat(8), 'unchanged-heartbeats');
   assert.equal(lastSequence(), 6);
--- a/src/test/in-flight-starts.test.ts
+++ b/src/test/in-flight-starts.test.ts
@@ -1,4 +1,4 @@
-/** What a message proves of a start in flight: the leader must not give a task up while one may still arrive. */
+/** Starts in flight: the leader must keep the placement of a task while a start command for it may still arrive. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FETCH_MS, LeaderHarness, startsJob } from './sim/leader-harness.js';
@@ -6,8 +6,8 @@
 const LONG_MS = 60_000;
 const SHORT_MS = 1000;
 
-/** One start is in flight straight to the worker, and another one in the response to a heartbeat. */
-const twoStartsOnTheirWay = (machines: number) => {
+/** One start is in flight as a direct command to the worker, and another one in the response to a heartbeat. */
+const setUpTwoInFlightStarts = (machines: number) => {
   const harness = new LeaderHarness(machines, LONG_MS);
   const first = harness.submit('wk-1', { cpus: 64 });
   const worker = harness.workers[0];
@@ -15,14 +15,14 @@
   // Placed while the direct command is in flight: its start goes with the response to the next heartbeat.
   const second = harness.submit('wk-2', { cpus: 0, gpus: 1, types: null });
   harness.tick();
-  const slowAnswer = harness.sendHeartbeat(worker);
-  assert.ok(startsJob(direct.commands, first) && startsJob(slowAnswer.commands, second));
-  return { harness, worker, direct, slowAnswer, second };
+  const delayedResponse = harness.sendHeartbeat(worker);
+  assert.ok(startsJob(direct.commands, first) && startsJob(delayedResponse.commands, second));
+  return { harness, worker, direct, delayedResponse, second };
 };
 
-test('a task moved for an interruption notice does not run twice, though its start is still in flight', () => {
-  const { harness, worker, direct, slowAnswer, second } = twoStartsOnTheirWay(2);
-  // The notice comes with the response to the direct command.
+test('a task that is moved because of an interruption notice does not run twice while its first start is in flight', () => {
+  const { harness, worker, direct, delayedResponse, second } = setUpTwoInFlightStarts(2);
+  // The response to the direct command contains the interruption notice.
   worker.interruptionNoticeS = 30;
   harness.onCommandsExecuted(direct, harness.executeCommands(worker, direct));
   const other = harness.workers[1];
@@ -31,10 +31,10 @@
     harness.exchangeHeartbeat(other);
   }
   harness.advance(FETCH_MS);
-  harness.deliverResponse(worker, slowAnswer);
+  harness.deliverResponse(worker, delayedResponse);
   harness.advance(FETCH_MS);
   assert.deepEqual(harness.checker.violations, []);
-  // A later heartbeat decides it: the response has been executed, or never will be.
+  // A later heartbeat proves that the delayed response has been executed or will never be executed.
   harness.exchangeHeartbeat(worker);
   harness.exchangeHeartbeat(worker);
   harness.tick();
@@ -44,13 +44,13 @@
   assert.deepEqual(harness.checker.machinesOf(second), [other.info.id]);
 });
 
-test('a cancelled task stays known while its start may still arrive', () => {
-  const { harness, worker, direct, slowAnswer, second } = twoStartsOnTheirWay(1);
+test('the placement of a cancelled task is kept while its start may still arrive', () => {
+  const { harness, worker, direct, delayedResponse, second } = setUpTwoInFlightStarts(1);
   harness.cancel(second);
   harness.onCommandsExecuted(direct, harness.executeCommands(worker, direct));
   harness.tick();
-  assert.ok(harness.hasPlacement(second), 'the start is on its way');
-  harness.deliverResponse(worker, slowAnswer);
+  assert.ok(harness.hasPlacement(second), 'the start is in flight');
+  harness.deliverResponse(worker, delayedResponse);
   harness.exchangeHeartbeat(worker);
   harness.exchangeHeartbeat(worker);
   assert.ok(!harness.hasPlacement(second));
@@ -58,17 +58,17 @@
   assert.equal(harness.checker.startsAfterCancellation, 0);
 });
 
-test('a completed task is not started again by a late duplicate, though a later one was never sent', () => {
+test('a late duplicate of a start does not run a completed task again, even if a repeated start was never sent', () => {
   const harness = new LeaderHarness(1, SHORT_MS);
   const worker = harness.workers[0];
-  // There is no capacity for its second task, so the job continues when the first has completed.
+  // There is no capacity for the second task, so the job is still unfinished when the first task has completed.
   const job = harness.submit('wk-1', { tasks: 2, gpus: 5 });
-  const late = harness.tickWithCommands(worker);
-  harness.onCommandsUnanswered(late);
+  const lateCommands = harness.tickWithCommands(worker);
+  harness.onCommandsUnanswered(lateCommands);
   harness.submit('wk-2');
-  const repeated = harness.tickWithCommands(worker);
-  assert.ok(startsJob(late.commands, job) && startsJob(repeated.commands, job));
-  harness.onCommandsUnsent(repeated);
+  const unsentCommands = harness.tickWithCommands(worker);
+  assert.ok(startsJob(lateCommands.commands, job) && startsJob(unsentCommands.commands, job));
+  harness.onCommandsUnsent(unsentCommands);
   harness.exchangeHeartbeat(worker);
   for (let i = 0; i < 2; i++) {
     harness.advance(FETCH_MS + SHORT_MS);
@@ -77,7 +77,7 @@
       harness.saveProgress(harness.tick());
     }
   }
-  harness.executeCommands(worker, late);
+  harness.executeCommands(worker, lateCommands);
   harness.advance(FETCH_MS);
   assert.deepEqual(harness.checker.violations, []);
 });
--- a/src/test/leader-simulation.test.ts
+++ b/src/test/leader-simulation.test.ts
@@ -1,4 +1,4 @@
-/** One leader on virtual time: with single faults and pairs of them, at size, and in the cases that need a safeguard. */
+/** One leader on virtual time: single faults, pairs of faults, a large cluster, and cases that each need a safeguard. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobSpec } from './sim/fixtures.js';
@@ -7,12 +7,12 @@
 import { Leader } from '../core/leader/leader.js';
 import type { JobId, MachineId, MonotonicTime, WallTime } from '../core/units.js';
 
-const assertServed = (simulation: LeaderSimulation, what: string): void => {
+const assertPasses = (simulation: LeaderSimulation, description: string): void => {
   simulation.checker.checkAtEnd();
-  assert.deepEqual(simulation.checker.violations, [], what);
-  assert.ok(simulation.checker.startCount > 40, `${what}: ${simulation.checker.startCount} starts`);
+  assert.deepEqual(simulation.checker.violations, [], description);
+  assert.ok(simulation.checker.startCount > 40, `${description}: ${simulation.checker.startCount} starts`);
   const open = [...simulation.specs.keys()].filter((id) => !simulation.finalStates.has(id));
-  assert.deepEqual(open, [], `${what}: all jobs end`);
+  assert.deepEqual(open, [], `${description}: every job ends`);
 };
 
 test('every single fault: no invariant is violated and every job ends', () => {
@@ -20,7 +20,7 @@
     const simulation = busySimulation(7);
     simulation.clock.after(minutes(3), () => fault(simulation));
     simulation.clock.runUntil(minutes(20));
-    assertServed(simulation, name);
+    assertPasses(simulation, name);
   }
 });
 
@@ -35,25 +35,25 @@
         leaderFaults[second](simulation),
       );
       simulation.clock.runUntil(minutes(20));
-      assertServed(simulation, `${first}, then ${second}`);
+      assertPasses(simulation, `${first}, then ${second}`);
     }
   }
 });
 
-test('930 machines: live work recovers first after a mass loss with failover, in cycles of bounded work', () => {
+test('930 machines: after a loss of many machines and a failover, services recover first, in cycles of bounded work', () => {
   const simulation = new LeaderSimulation(21);
   simulation.machines.capacity.set('small', 780);
   simulation.machines.capacity.set('large', 150);
-  const live = {
+  const serviceSpec = {
     class: 'live',
     kind: 'service',
     priority: 'production',
     estimateS: 0,
     spread: true,
   } as const;
-  const lives = Array.from({ length: 50 }, (_item, i) => `wk-${i}` as JobId);
-  for (const [i, id] of lives.entries())
-    simulation.submit(jobSpec(id, { ...live, tasks: 8, image: `live-${i % 9}`, checkpointS: 0 }));
+  const serviceIds = Array.from({ length: 50 }, (_item, i) => `wk-${i}` as JobId);
+  for (const [i, id] of serviceIds.entries())
+    simulation.submit(jobSpec(id, { ...serviceSpec, tasks: 8, image: `live-${i % 9}`, checkpointS: 0 }));
   for (let i = 0; i < 40; i++)
     simulation.submit(
       jobSpec(`wk-${100 + i}`, { class: 'batch', tasks: 80, image: `batch-${i % 4}`, estimateS: 200 }),
@@ -62,35 +62,39 @@
     of.reduce((sum, id) => sum + (simulation.leader?.jobs.get(id)?.runningCount ?? 0), 0);
   simulation.clock.runUntil(70_000);
   assert.ok(simulation.machines.running.size > 900, `${simulation.machines.running.size} machines are up`);
-  assert.equal(running(lives), 400);
-  // Every sixth machine dies, with its tasks; the leader too, and another is elected at once.
+  assert.equal(running(serviceIds), 400);
+  // Every sixth machine is lost with its tasks. The leader crashes too, and another one is elected at once.
   [...simulation.machines.running.keys()]
     .filter((_item, i) => i % 6 === 0)
     .forEach((id) => simulation.machines.remove(id));
   simulation.crashLeader(100);
   simulation.clock.runUntil(125_000);
   assert.deepEqual(simulation.checker.violations, []);
-  assert.equal(running(lives), 400, 'every live replica runs again');
+  assert.equal(running(serviceIds), 400, 'every service replica runs again');
   assert.ok(
     simulation.maxCycleWork <= 200_000 + 100_000,
     `${simulation.maxCycleWork} units of work in one cycle`,
   );
 });
 
-test('for live work on unreachable machines replacements boot before the old machines are fenced', () => {
+test('for services on unreachable machines, replacements boot before the old machines are fenced', () => {
   const simulation = new LeaderSimulation(22);
-  const live = { kind: 'service', priority: 'production', estimateS: 0, imageGb: 1 } as const;
-  for (let i = 0; i < 6; i++) simulation.submit(jobSpec(`wk-${i}`, { ...live, tasks: 8 }));
+  const serviceSpec = { kind: 'service', priority: 'production', estimateS: 0, imageGb: 1 } as const;
+  for (let i = 0; i < 6; i++) simulation.submit(jobSpec(`wk-${i}`, { ...serviceSpec, tasks: 8 }));
   simulation.clock.runUntil(90_000);
   const busy = [...simulation.machines.running.values()].filter(
     (running) => running.worker.nextHeartbeat().tasks.length > 0,
   );
-  // More than a tenth, but less than half of a zone: waited for, and not taken for a partition.
+  // More than a tenth of a zone, so the leader waits before it fences them; less than half, so it assumes no partition.
   for (const { worker } of busy.slice(0, Math.ceil(busy.length / 4))) worker.unreachable = true;
-  const from = simulation.trace.length;
+  const traceStart = simulation.trace.length;
   simulation.clock.runUntil(130_000);
-  const at = (what: string): number => simulation.trace.slice(from).findIndex((line) => line.includes(what));
-  assert.ok(at('creates') >= 0 && at('creates') < at('fenced'), simulation.trace.slice(from).join('\n'));
+  const traceIndexOf = (text: string): number =>
+    simulation.trace.slice(traceStart).findIndex((line) => line.includes(text));
+  assert.ok(
+    traceIndexOf('creates') >= 0 && traceIndexOf('creates') < traceIndexOf('fenced'),
+    simulation.trace.slice(traceStart).join('\n'),
+  );
   assert.deepEqual(simulation.checker.violations, []);
 });
 
@@ -104,27 +108,27 @@
   assert.deepEqual(run(), run());
 });
 
-test('no starvation behind a stream of higher priority: whole machines, low priority', () => {
+test('low-priority jobs that need whole machines do not starve behind a stream of jobs with higher priority', () => {
   assert.deepEqual(crowdedSimulation().checker.violations, []);
 });
 
-test('a duplicate of an executed and answered start command never runs the task again', () => {
-  // The checker must detect it: this mutation forgets attempts at once.
-  class LeaderForgettingAttempts extends Leader {
+test('a duplicate of a start command that was executed and acknowledged does not run the task again', () => {
+  // Mutation that drops in-flight starts at once. The checker must detect it.
+  class LeaderWithoutInFlightStarts extends Leader {
     override tick(now: MonotonicTime, wall: WallTime): void {
       for (const machine of this.machines.values())
         if (!machine.directCommandInFlight) machine.inFlightStarts.clear();
       super.tick(now, wall);
     }
   }
-  const run = (make?: ConstructorParameters<typeof LeaderSimulation>[1]): LeaderSimulation => {
-    const simulation = new LeaderSimulation(13, make);
+  const run = (createLeader?: ConstructorParameters<typeof LeaderSimulation>[1]): LeaderSimulation => {
+    const simulation = new LeaderSimulation(13, createLeader);
     simulation.link.duplicateFraction = 1;
     for (let i = 0; i < 20; i++) {
       simulation.clock.after(i * 9000, () =>
         simulation.submit(jobSpec(`wk-${i}`, { tasks: 6, imageGb: 1, estimateS: 20 })),
       );
-      // Preempted work continues elsewhere while duplicates of its first start are still in flight.
+      // Preempted tasks start on other machines while duplicates of their first start are still in flight.
       simulation.clock.after(i * 9000 + 4000, () =>
         simulation.submit(
           jobSpec(`wk-${100 + i}`, { tasks: 3, priority: 'high', gpus: 2, imageGb: 1, estimateS: 10 }),
@@ -137,7 +141,7 @@
     return simulation;
   };
   assert.deepEqual(run().checker.violations, []);
-  const broken = run((...a) => new LeaderForgettingAttempts(...a)).checker.violations;
+  const broken = run((...a) => new LeaderWithoutInFlightStarts(...a)).checker.violations;
   assert.ok(
     broken.some((b) => b.startsWith('ran_twice')),
     'the mutation is detected',
@@ -164,25 +168,32 @@
 });
 
 for (const lost of [false, true]) {
-  const how = lost ? 'lost' : 'held back';
-  // Guards against healthy machines being fenced when a partition longer than the lease ends.
-  test(`heartbeats that a partition ${how} do not count as a one-way partition`, () =>
+  const outcome = lost ? 'lost' : 'delayed';
+  // Guards against a leader that fences healthy machines when a partition longer than the lease ends.
+  test(`heartbeats that were ${outcome} in a partition are not treated as a sign of a one-way partition`, () =>
     partitionLongerThanLease(lost));
 }
 
 const partitionLongerThanLease = (lost: boolean): void => {
   const simulation = new LeaderSimulation(15);
-  const live = { kind: 'service', tasks: 12, estimateS: 0, priority: 'production', imageGb: 1 } as const;
-  simulation.submit(jobSpec('wk-1', live));
+  const serviceSpec = {
+    kind: 'service',
+    tasks: 12,
+    estimateS: 0,
+    priority: 'production',
+    imageGb: 1,
+  } as const;
+  simulation.submit(jobSpec('wk-1', serviceSpec));
   simulation.clock.runUntil(60_000);
   const workers = [...simulation.machines.running.values()].map((running) => running.worker);
   const busy = workers.filter((worker) => simulation.leader!.machines.get(worker.info.id)!.busy);
   assert.ok(busy.length > 1);
-  const held = workers.map((worker) => worker.nextHeartbeat());
+  const delayedHeartbeats = workers.map((worker) => worker.nextHeartbeat());
   for (const worker of workers) worker.unreachable = true;
   simulation.clock.runUntil(74_000);
   if (!lost)
-    for (const report of held) simulation.leader!.onHeartbeat(report, simulation.clock.now as MonotonicTime);
+    for (const report of delayedHeartbeats)
+      simulation.leader!.onHeartbeat(report, simulation.clock.now as MonotonicTime);
   for (const worker of workers) worker.unreachable = false;
   simulation.clock.runUntil(80_000);
   assert.ok(
@@ -191,14 +202,14 @@
         worker.incarnation === 2 && simulation.leader!.machines.get(worker.info.id)?.decommissioning === null,
     ),
   );
-  // Nor is one fenced as the last of the unreachable ones, while heartbeats of the others arrive again.
+  // The last machines that are still unreachable while the others send heartbeats again are not fenced either.
   assert.deepEqual(
     simulation.trace.filter((line) => line.includes('fenced')),
     [],
   );
 };
 
-test('a new leader places by the image locations that its predecessor knew', () => {
+test('a new leader places tasks by the image locations that its predecessor recorded', () => {
   const simulation = new LeaderSimulation(6);
   simulation.submit(
     jobSpec('wk-1', { image: 'img-9', imageGb: 20, estimateS: 5, kind: 'service', tasks: 2, spread: true }),
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -1,4 +1,4 @@
-/** Scheduling cycles: gangs, preemption, image caches, spread, quota, scale-out and the cost of a cycle. */
+/** Scheduling cycles: gangs, preemption, image caches, spread, team quotas, scale-out, leader authority and large arrays. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -28,20 +28,20 @@
   Zone,
 } from '../core/units.js';
 
-test('a gang is placed whole or not at all, and in one zone', () => {
+test('a gang is placed completely or not at all, and in a single zone if it requires one', () => {
   const gang = makeJob('wk-1', { kind: 'gang', tasks: 3, oneZone: true });
   const split = [makeMachine('a', 'small', 'east'), makeMachine('b', 'small', 'west')];
   assert.deepEqual(
     describeDecisions(runTestCycle(split, [gang])),
     ['wk-1 waits for 3'],
-    'two places in each zone are not three in one',
+    'two free slots in each zone do not fit a gang of three that requires one zone',
   );
   const result = runTestCycle([...split, makeMachine('c', 'small', 'west')], [gang]);
   assert.deepEqual(new Set(result.placed.map((placed) => placed.machine.info.zone)), new Set(['west']));
   assert.equal(result.placed.length, 3);
 });
 
-test('the capacity of a gang that does not fit stays free for the next group', () => {
+test('the capacity of a gang that does not fit stays free for the next job', () => {
   const result = runTestCycle(
     [makeMachine('a', 'small', 'east')],
     [makeJob('wk-1', { kind: 'gang', tasks: 3 }), makeJob('wk-2', { tasks: 2 })],
@@ -54,63 +54,63 @@
   const low = makeJob('wk-9', { tasks: 2, priority: 'low' });
   placeRunningTask(a, low, 0);
   placeRunningTask(a, low, 1);
-  const whole = makeJob('wk-1', { kind: 'gang', tasks: 2, priority: 'high' });
-  assert.deepEqual(describeDecisions(runTestCycle([a], [whole])), ['stop wk-9/0', 'stop wk-9/1']);
+  const fittingGang = makeJob('wk-1', { kind: 'gang', tasks: 2, priority: 'high' });
+  assert.deepEqual(describeDecisions(runTestCycle([a], [fittingGang])), ['stop wk-9/0', 'stop wk-9/1']);
   const tooLarge = makeJob('wk-2', { kind: 'gang', tasks: 3, priority: 'high' });
   assert.deepEqual(
     describeDecisions(runTestCycle([a], [tooLarge])),
     ['wk-2 waits for 3'],
-    'nobody is stopped in vain',
+    'no task is stopped if the gang still does not fit',
   );
-  const equal = makeJob('wk-3', { kind: 'gang', tasks: 2, priority: 'low' });
+  const equalPriorityGang = makeJob('wk-3', { kind: 'gang', tasks: 2, priority: 'low' });
   assert.deepEqual(
-    describeDecisions(runTestCycle([a], [equal])),
+    describeDecisions(runTestCycle([a], [equalPriorityGang])),
     ['wk-3 waits for 2'],
     'equal priority does not preempt',
   );
 });
 
-test('an urgent gang preempts array work on a machine with its image rather than fetch for long', () => {
+test('a high-priority gang preempts array tasks on a machine with its image if fetching the image takes long', () => {
   const cold = makeMachine('a', 'large', 'east');
   const warm = makeMachine('b', 'small', 'west');
   warm.recordImageUse('img-1', 30);
   const array = makeJob('wk-9', { tasks: 2, priority: 'low', saveS: 2, checkpointS: 10 });
   placeRunningTask(warm, array, 0);
   placeRunningTask(warm, array, 1);
-  const gang = (over: Partial<JobSpec> = {}): Job =>
-    makeJob('wk-1', { kind: 'gang', tasks: 2, priority: 'high', imageGb: 30, ...over });
+  const gang = (overrides: Partial<JobSpec> = {}): Job =>
+    makeJob('wk-1', { kind: 'gang', tasks: 2, priority: 'high', imageGb: 30, ...overrides });
   const stops = ['stop wk-9/0', 'stop wk-9/1'];
   assert.deepEqual(describeDecisions(runTestCycle([cold, warm], [gang()])), stops);
-  const onCold = ['wk-1/0 -> a', 'wk-1/1 -> a'];
+  const placedOnCold = ['wk-1/0 -> a', 'wk-1/1 -> a'];
   assert.deepEqual(
     describeDecisions(runTestCycle([cold, warm], [gang({ priority: 'normal' })])),
-    onCold,
-    'not urgent',
+    placedOnCold,
+    'normal priority',
   );
   assert.deepEqual(
     describeDecisions(runTestCycle([cold, warm], [gang({ imageGb: 5 })])),
-    onCold,
-    'a short fetch',
+    placedOnCold,
+    'the fetch is short',
   );
   const tooLarge = gang({ tasks: 3 });
   assert.deepEqual(
     describeDecisions(runTestCycle([cold, warm], [tooLarge])),
     ['wk-1/0 -> a', 'wk-1/1 -> a', 'wk-1/2 -> a'],
-    'one member would be cold all the same',
+    'one member would have to fetch the image anyway',
   );
   const slowToSave = makeJob('wk-8', { tasks: 2, priority: 'low', saveS: 16, checkpointS: 10 });
-  const held = makeMachine('c', 'small', 'west');
-  held.recordImageUse('img-1', 30);
-  placeRunningTask(held, slowToSave, 0);
-  placeRunningTask(held, slowToSave, 1);
+  const slowSavingMachine = makeMachine('c', 'small', 'west');
+  slowSavingMachine.recordImageUse('img-1', 30);
+  placeRunningTask(slowSavingMachine, slowToSave, 0);
+  placeRunningTask(slowSavingMachine, slowToSave, 1);
   assert.deepEqual(
-    describeDecisions(runTestCycle([cold, held], [gang()])),
-    onCold,
-    'saving takes as long as half of the fetch',
+    describeDecisions(runTestCycle([cold, slowSavingMachine], [gang()])),
+    placedOnCold,
+    'saving the victims takes half as long as the fetch',
   );
 });
 
-test('while the victims of a gang with a cached image stop, it neither takes a machine without the image nor preempts others', () => {
+test('while its victims stop, a gang with a cached image neither uses a machine without the image nor preempts more tasks', () => {
   const cold = makeMachine('a', 'large', 'east');
   const warm = makeMachine('b', 'small', 'west');
   warm.recordImageUse('img-1', 30);
@@ -122,18 +122,18 @@
   assert.equal(gang.waitReason.why, 'waiting for victims');
 });
 
-test('of equal victims, the one whose job has slack is preempted; a job that is late anyway goes first', () => {
-  // Guards against preempting the same jobs again and again near the ends of arrays, until they miss their deadlines.
-  const on = (id: string, deadlineS: number): Machine => {
+test('of equal victims, tasks of jobs that are already late are preempted first, then those of jobs with slack', () => {
+  // Guards against preempting the same array jobs repeatedly shortly before they end, so that they miss their deadlines.
+  const makeFullMachine = (id: string, deadlineS: number): Machine => {
     const machine = makeMachine(`m-${id}`, 'small', 'east');
     const array = makeJob(id, { tasks: 2, priority: 'low', saveS: 2, estimateS: 50, deadlineS });
     placeRunningTask(machine, array, 0);
     placeRunningTask(machine, array, 1);
     return machine;
   };
-  const urgent = on('wk-5', 55);
-  const relaxed = on('wk-6', 500);
-  const late = on('wk-7', 20);
+  const urgent = makeFullMachine('wk-5', 55);
+  const relaxed = makeFullMachine('wk-6', 500);
+  const late = makeFullMachine('wk-7', 20);
   const gang = (): Job => makeJob('wk-1', { kind: 'gang', tasks: 2, priority: 'high' });
   assert.deepEqual(describeDecisions(runTestCycle([urgent, relaxed], [gang()])), [
     'stop wk-6/0',
@@ -145,7 +145,7 @@
   ]);
 });
 
-test('while victims stop, the group waits and nothing behind it takes the capacity', () => {
+test('while its victims stop, a job waits and jobs behind it do not get the capacity', () => {
   const a = makeMachine('a', 'small', 'east');
   const low = makeJob('wk-9', { tasks: 2, priority: 'low' });
   placeRunningTask(a, low, 0).stop = { gracePeriodS: 2, since: now, reason: 'preempted' };
@@ -155,36 +155,36 @@
   assert.deepEqual(
     describeDecisions(runTestCycle([a], [high, behind])),
     ['wk-2/0 -> a'],
-    'no second nomination; other room may be used',
+    'no second nomination; other free capacity may be used',
   );
   assert.equal(high.waitReason.why, 'waiting for victims');
 });
 
-test('a second image is not fetched beside a running fetch when another machine is about to be up', () => {
+test('a machine does not fetch a second image concurrently if another machine has almost finished booting', () => {
   const a = makeMachine('a', 'large', 'east');
   placeRunningTask(a, makeJob('wk-8', { image: 'img-8', imageGb: 30 }), 0).running = false;
   const b = makeMachine('b', 'large', 'east');
   b.contact = 'booting';
   b.provisionedAt = (now - 18_000) as MonotonicTime;
-  const waits = makeJob('wk-1', { image: 'img-1', imageGb: 30 });
-  assert.deepEqual(describeDecisions(runTestCycle([a, b], [waits])), []);
-  assert.equal(waits.waitReason.why, 'machines booting');
-  assert.deepEqual(describeDecisions(runTestCycle([a], [waits])), ['wk-1/0 -> a']);
+  const waitingJob = makeJob('wk-1', { image: 'img-1', imageGb: 30 });
+  assert.deepEqual(describeDecisions(runTestCycle([a, b], [waitingJob])), []);
+  assert.equal(waitingJob.waitReason.why, 'machines booting');
+  assert.deepEqual(describeDecisions(runTestCycle([a], [waitingJob])), ['wk-1/0 -> a']);
 });
 
-test('spread: at most half of the tasks, rounded up, in a zone', () => {
+test('spread: at most half of the tasks, rounded up, are placed in one zone', () => {
   const service = makeJob('wk-1', { kind: 'service', tasks: 3, spread: true });
   const result = runTestCycle([makeMachine('a', 'large', 'east')], [service]);
   assert.deepEqual(describeDecisions(result), ['wk-1/0 -> a', 'wk-1/1 -> a', 'wk-1 waits for 1']);
 });
 
-test('a gang that must be spread has at most half of its members, rounded up, in a zone', () => {
+test('a spread gang has at most half of its members, rounded up, in one zone', () => {
   const east = [makeMachine('a', 'large', 'east'), makeMachine('b', 'large', 'east')];
   const gang = (): Job => makeJob('wk-1', { kind: 'gang', tasks: 4, spread: true, priority: 'high' });
   assert.deepEqual(
     describeDecisions(runTestCycle(east, [gang()])),
     ['wk-1 waits for 4'],
-    'one zone has room for all, but may not take them',
+    'one zone has capacity for all members, but may run only half of them',
   );
   const { placed } = runTestCycle([...east, makeMachine('c', 'large', 'west')], [gang()]);
   assert.deepEqual(placed.map((placed) => placed.machine.info.zone).sort(), ['east', 'east', 'west', 'west']);
@@ -195,11 +195,11 @@
   assert.deepEqual(
     describeDecisions(runTestCycle([...east, full], [gang()])),
     ['stop wk-9/0', 'stop wk-9/1'],
-    'victims too',
+    'victims are nominated for the remaining members in the other zone',
   );
 });
 
-test('the team quota counts every machine where a task still is', () => {
+test('the team quota includes running tasks and tasks that are still stopping', () => {
   const a = makeMachine('a', 'large', 'east');
   const b = makeMachine('b', 'large', 'east');
   const machine = makeMachine('c', 'large', 'west');
@@ -212,62 +212,69 @@
   assert.equal(next.waitReason.why, 'team limit');
 });
 
-test('jobs run only on types, zones and kinds that they allow', () => {
+test('jobs run only on machine types, zones and spot machines that they allow', () => {
   const machines = [
     makeMachine('a', 'small', 'east', true),
     makeMachine('b', 'large', 'east'),
     makeMachine('c', 'small', 'west'),
   ];
-  const only = (over: Partial<JobSpec>): string[] =>
-    describeDecisions(runTestCycle(machines, [makeJob('wk-1', over)]));
-  assert.deepEqual(only({ types: ['large' as MachineTypeName] }), ['wk-1/0 -> b']);
-  assert.deepEqual(only({ zone: 'west' as Zone }), ['wk-1/0 -> c']);
-  assert.deepEqual(only({ types: ['small' as MachineTypeName], spot: true, zone: 'east' as Zone }), [
+  const decisionsFor = (overrides: Partial<JobSpec>): string[] =>
+    describeDecisions(runTestCycle(machines, [makeJob('wk-1', overrides)]));
+  assert.deepEqual(decisionsFor({ types: ['large' as MachineTypeName] }), ['wk-1/0 -> b']);
+  assert.deepEqual(decisionsFor({ zone: 'west' as Zone }), ['wk-1/0 -> c']);
+  assert.deepEqual(decisionsFor({ types: ['small' as MachineTypeName], spot: true, zone: 'east' as Zone }), [
     'wk-1/0 -> a',
   ]);
-  assert.deepEqual(only({ types: ['small' as MachineTypeName], zone: 'east' as Zone }), ['wk-1 waits for 1']);
+  assert.deepEqual(decisionsFor({ types: ['small' as MachineTypeName], zone: 'east' as Zone }), [
+    'wk-1 waits for 1',
+  ]);
 });
 
-test('a machine that holds a task of an unknown job takes nothing else', () => {
+test('no task is placed on a machine that reports a task of an unknown job', () => {
   const a = makeMachine('a', 'small', 'east');
-  const lost = { job: 'wk-7' as JobId, index: 0, attempt: 1 as Attempt, cause: null, saved: false };
-  a.reportedTasks.set('wk-7/0#1' as never, { ...lost, state: 'running' });
+  const unknownTask = { job: 'wk-7' as JobId, index: 0, attempt: 1 as Attempt, cause: null, saved: false };
+  a.reportedTasks.set('wk-7/0#1' as never, { ...unknownTask, state: 'running' });
   assert.deepEqual(describeDecisions(runTestCycle([a], [makeJob('wk-1')])), ['wk-1 waits for 1']);
 });
 
-test('scale-out: cheapest sufficient type, spot only where allowed, refused capacity left alone', () => {
-  const want = (over: Partial<JobSpec>, tasks: number, isForecast = false) => ({
-    spec: jobSpec('wk-1', over),
+test('scale-out: cheapest sufficient type, spot only if allowed, no requests to unavailable pools', () => {
+  const makeDemand = (overrides: Partial<JobSpec>, tasks: number, isForecast = false) => ({
+    spec: jobSpec('wk-1', overrides),
     tasks,
     zones: new Map<Zone, number>(),
     isForecast,
   });
-  const plan = (wants: ReturnType<typeof want>[], refused: string[] = []) =>
+  const planRequests = (demands: ReturnType<typeof makeDemand>[], unavailablePools: string[] = []) =>
     planScaleOut({
       capacities: [],
-      demands: wants,
+      demands,
       types,
-      unavailableUntil: new Map(refused.map((poolKey) => [poolKey, (now + 1) as MonotonicTime])),
+      unavailableUntil: new Map(unavailablePools.map((poolKey) => [poolKey, (now + 1) as MonotonicTime])),
       now,
       maxNewMachines: 10,
     }).requests.map(
       (request) => `${request.count} ${request.type} ${request.zone}${request.spot ? ' spot' : ''}`,
     );
-  assert.deepEqual(plan([want({}, 1)]), ['1 small east']);
-  assert.deepEqual(plan([want({ spot: true }, 1)]), ['1 small east spot']);
-  assert.deepEqual(plan([want({ spot: true }, 1)], ['small|east|true']), ['1 small west spot']);
-  assert.deepEqual(plan([want({ gpus: 8, cpus: 40 }, 2)]), ['2 large east']);
-  assert.deepEqual(plan([want({ kind: 'service', tasks: 2, spread: true }, 2)]), [
+  assert.deepEqual(planRequests([makeDemand({}, 1)]), ['1 small east']);
+  assert.deepEqual(planRequests([makeDemand({ spot: true }, 1)]), ['1 small east spot']);
+  assert.deepEqual(planRequests([makeDemand({ spot: true }, 1)], ['small|east|true']), ['1 small west spot']);
+  assert.deepEqual(planRequests([makeDemand({ gpus: 8, cpus: 40 }, 2)]), ['2 large east']);
+  assert.deepEqual(planRequests([makeDemand({ kind: 'service', tasks: 2, spread: true }, 2)]), [
     '1 small east',
     '1 small west',
   ]);
 });
 
-test('authority ends before the lease can, and a higher term ends it at once', () => {
+test('leader authority ends before the lease can expire, and at once when a higher term is recorded', () => {
   const election = initialElectionState();
-  const held = { leaseId: 1, term: 3 as Term, keyRevision: 9 as Revision, renewedAt: 1000 as MonotonicTime };
-  election.heldLease = held;
-  assert.ok(authorityEndsAt(held, 3000) < 4000 * (1 - 0.0005));
+  const heldLease = {
+    leaseId: 1,
+    term: 3 as Term,
+    keyRevision: 9 as Revision,
+    renewedAt: 1000 as MonotonicTime,
+  };
+  election.heldLease = heldLease;
+  assert.ok(authorityEndsAt(heldLease, 3000) < 4000 * (1 - 0.0005));
   assert.ok(hasAuthority(election, 3000, 3900 as MonotonicTime));
   assert.ok(!hasAuthority(election, 3000, 3960 as MonotonicTime));
   recordLeader(election, 'other' as NodeName, 4 as Term);
@@ -275,18 +282,18 @@
 });
 
 test('an array of 100,000 tasks: completions in segments, requeued tasks first', () => {
-  const big = makeJob('wk-1', { tasks: 100_000 });
-  assert.deepEqual(big.firstPending(2), [0, 1]);
+  const largeArray = makeJob('wk-1', { tasks: 100_000 });
+  assert.deepEqual(largeArray.firstPending(2), [0, 1]);
   const bits = new Uint8Array(2048).fill(255);
-  for (let i = 0; i < 6; i++) big.confirmCompletions(String(i) as SegmentName, i * bits.length, bits);
-  assert.equal(big.completedCount, 98_304);
-  assert.deepEqual(big.firstPending(1), [98_304]);
+  for (let i = 0; i < 6; i++) largeArray.confirmCompletions(String(i) as SegmentName, i * bits.length, bits);
+  assert.equal(largeArray.completedCount, 98_304);
+  assert.deepEqual(largeArray.firstPending(1), [98_304]);
   const machine = makeMachine('a', 'small', 'east');
-  placeRunningTask(machine, big, 98_304);
-  assert.deepEqual(big.firstPending(1), [98_305]);
-  big.removePlacement(98_304);
-  assert.deepEqual(big.firstPending(2), [98_304, 98_305]);
-  big.markCompleted(99_999);
-  assert.deepEqual([...big.progress.unpersisted], [99_999]);
-  assert.ok(!big.isDurable(99_999));
+  placeRunningTask(machine, largeArray, 98_304);
+  assert.deepEqual(largeArray.firstPending(1), [98_305]);
+  largeArray.removePlacement(98_304);
+  assert.deepEqual(largeArray.firstPending(2), [98_304, 98_305]);
+  largeArray.markCompleted(99_999);
+  assert.deepEqual([...largeArray.progress.unpersisted], [99_999]);
+  assert.ok(!largeArray.isDurable(99_999));
 });
--- a/src/test/scheduling-queue.test.ts
+++ b/src/test/scheduling-queue.test.ts
@@ -9,19 +9,19 @@
 import type { Revision, MonotonicTime, Term, WallTime } from '../core/units.js';
 import { jobSpec } from './sim/fixtures.js';
 
-/** The order of the queue at a time when the first job has waited so many seconds. */
-const order = (now: number, jobs: [string, number, Partial<JobSpec>][]): string[] => {
+/** The IDs of the queued jobs in order at `nowS`. Each job is an ID, its time of submission in seconds and its spec. */
+const queueOrder = (nowS: number, jobs: [string, number, Partial<JobSpec>][]): string[] => {
   const settings = { agingS: 90, objectives: [], teams: [] } as unknown as LeaderSettings;
   const leadership = { term: 1 as Term, keyRevision: 1 as Revision };
   const state = new LeaderState(leadership, settings, 0 as MonotonicTime);
-  for (const [id, submittedS, over] of jobs) {
-    const spec = jobSpec(id, over);
+  for (const [id, submittedS, overrides] of jobs) {
+    const spec = jobSpec(id, overrides);
     const record = { spec, submittedAt: (submittedS * 1000) as WallTime, cancelledAt: null };
     state.jobs.set(spec.id, new Job(spec.id, record, 1, false, 0 as MonotonicTime));
   }
   const { queue } = new SchedulingQueue(state).buildQueue(
-    (now * 1000) as MonotonicTime,
-    (now * 1000) as WallTime,
+    (nowS * 1000) as MonotonicTime,
+    (nowS * 1000) as WallTime,
   );
   return queue.map((j) => j.id);
 };
@@ -33,7 +33,7 @@
     ['wk-3', 2, { tasks: 20, priority: 'high' }],
     ['wk-4', 3, { tasks: 10, deadlineS: 70 }],
   ];
-  assert.deepEqual(order(10, jobs), ['wk-3', 'wk-4', 'wk-2', 'wk-1']);
+  assert.deepEqual(queueOrder(10, jobs), ['wk-3', 'wk-4', 'wk-2', 'wk-1']);
 });
 
 test('of each class the oldest and the largest long-pending jobs go first, gangs before arrays', () => {
@@ -44,5 +44,5 @@
     ['wk-4', 3, { class: 'b', kind: 'gang', tasks: 2, priority: 'low' }],
     ['wk-5', 95, { class: 'c', tasks: 1, priority: 'production' }],
   ];
-  assert.deepEqual(order(100, jobs), ['wk-4', 'wk-1', 'wk-3', 'wk-5', 'wk-2']);
+  assert.deepEqual(queueOrder(100, jobs), ['wk-4', 'wk-1', 'wk-3', 'wk-5', 'wk-2']);
 });
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -1,4 +1,4 @@
-/** The user interface of several controllers over one key-value store: acceptance, cancellation, dependencies. */
+/** The user API of several controllers with one key-value store: acceptance, cancellation and dependencies. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { HttpMessage } from '../runtime/http/http-message.js';
@@ -13,8 +13,8 @@
 import type { Transaction } from '../wire/key-value-store.js';
 import { teams, types } from './sim/fixtures.js';
 
-/** Stand-in for the client of the key-value store: transactions with conditions, and responses that get lost. */
-class Store {
+/** Fake client of the key-value store, with conditional transactions and lost responses. */
+class FakeStore {
   readonly items = new Map<string, { data: unknown; revision: number }>();
   revision = 0;
   mode: 'up' | 'down' | 'response lost' | 'late' = 'up';
@@ -73,8 +73,8 @@
   stowS: 0,
 };
 
-/** A feed that has read nothing yet, or one that knows all that it is told. */
-const feed = (fresh = false) => {
+/** A fake cancellation feed, up to date or lagging, whose job index and cancellations the test fills. */
+const createFeed = (fresh = false) => {
   const index = new JobIndex();
   const cancelled = new Set<JobId>();
   return {
@@ -86,11 +86,11 @@
   };
 };
 
-const setup = (machineTypes = types, known: KnownJobs = feed()) => {
-  const store = new Store();
+const setup = (machineTypes = types, known: KnownJobs = createFeed()) => {
+  const store = new FakeStore();
   const confirmed: string[] = [];
   const platform = { teams, keyValueStoreLimits: { valueKb: 8 } } as unknown as PlatformSettings;
-  const make = (): UserApi =>
+  const createApi = (): UserApi =>
     new UserApi({
       platform,
       store: store as unknown as KeyValueStoreClient,
@@ -102,15 +102,15 @@
   const call = async (api: UserApi, method: string, target: string, body?: unknown): Promise<string> => {
     const bytes = body === undefined ? Buffer.alloc(0) : encode(body);
     const reply = await api.handle({ method, target, body: bytes } as HttpMessage);
-    const answer = reply.body ? (decode(reply.body) as { status?: string }) : {};
-    return `${reply.status}${answer.status ? ` ${answer.status}` : ''}${reply.retryAfterS ? ` after ${reply.retryAfterS}` : ''}`;
+    const responseBody = reply.body ? (decode(reply.body) as { status?: string }) : {};
+    return `${reply.status}${responseBody.status ? ` ${responseBody.status}` : ''}${reply.retryAfterS ? ` after ${reply.retryAfterS}` : ''}`;
   };
-  return { store, make, call, confirmed };
+  return { store, createApi, call, confirmed };
 };
 
-test('accepted once, known at every controller, never invented', async () => {
-  const { store, make, call } = setup();
-  const [a, b] = [make(), make()];
+test('a job is accepted once and known at every controller; a job that was never submitted is not found', async () => {
+  const { store, createApi, call } = setup();
+  const [a, b] = [createApi(), createApi()];
   assert.equal(await call(a, 'GET', '/v1/jobs/wk-1'), '404');
   assert.equal(await call(a, 'POST', '/v1/jobs', job), '201 pending');
   assert.equal(await call(b, 'POST', '/v1/jobs', job), '200 pending');
@@ -121,44 +121,53 @@
   assert.equal(await call(a, 'POST', '/v1/jobs', job), '200 done');
   assert.equal(await call(b, 'POST', '/v1/jobs/wk-1/abort'), '200 done');
   store.mode = 'down';
-  assert.equal(await call(b, 'GET', '/v1/jobs/wk-1'), '200 done', 'a final state is safe from memory');
+  assert.equal(
+    await call(b, 'GET', '/v1/jobs/wk-1'),
+    '200 done',
+    'a final state may be reported from memory',
+  );
 });
 
-test('what cannot be accepted is answered at once, with a retry time', async () => {
-  const { store, make, call } = setup();
+test('a request that cannot be served gets a 503 with a retry time at once', async () => {
+  const { store, createApi, call } = setup();
   store.mode = 'down';
-  assert.equal(await call(make(), 'POST', '/v1/jobs', job), '503 after 1');
-  assert.equal(await call(make(), 'GET', '/v1/jobs/wk-1'), '503 after 1');
+  assert.equal(await call(createApi(), 'POST', '/v1/jobs', job), '503 after 1');
+  assert.equal(await call(createApi(), 'GET', '/v1/jobs/wk-1'), '503 after 1');
   const withoutTypes = setup([]);
   assert.equal(
-    await withoutTypes.call(withoutTypes.make(), 'POST', '/v1/jobs', job),
+    await withoutTypes.call(withoutTypes.createApi(), 'POST', '/v1/jobs', job),
     '503 after 1',
-    'types not known yet',
+    'machine types are not known yet',
   );
 });
 
-test('a lost store response is read back before the user is answered', async () => {
-  const { store, make, call } = setup();
+test('after a lost key-value store response the record is read before the response to the user', async () => {
+  const { store, createApi, call } = setup();
   store.mode = 'late';
-  assert.equal(await call(make(), 'POST', '/v1/jobs', job), '503 after 1', 'it may still be carried out');
+  assert.equal(
+    await call(createApi(), 'POST', '/v1/jobs', job),
+    '503 after 1',
+    'the transaction may still be executed',
+  );
   store.mode = 'response lost';
-  assert.equal(await call(make(), 'POST', '/v1/jobs', job), '200 pending');
-  assert.equal(await call(make(), 'POST', '/v1/jobs/wk-1/abort'), '200 withdrawn');
+  assert.equal(await call(createApi(), 'POST', '/v1/jobs', job), '200 pending');
+  assert.equal(await call(createApi(), 'POST', '/v1/jobs/wk-1/abort'), '200 withdrawn');
 });
 
-test('cancelled stays cancelled, at every controller', async () => {
-  const { make, call } = setup();
-  const [a, b] = [make(), make()];
+test('a cancelled job stays cancelled at every controller', async () => {
+  const { createApi, call } = setup();
+  const [a, b] = [createApi(), createApi()];
   await call(a, 'POST', '/v1/jobs', job);
   assert.equal(await call(a, 'POST', '/v1/jobs/wk-1/abort'), '200 withdrawn');
   assert.equal(await call(b, 'GET', '/v1/jobs/wk-1'), '200 withdrawn');
   assert.equal(await call(b, 'POST', '/v1/jobs', job), '200 withdrawn');
 });
 
-test('400, 422, 404 and 405; an accepted job is never refused when it comes again', async () => {
-  const { make, call } = setup();
-  const api = make();
-  const submit = (over: object): Promise<string> => call(api, 'POST', '/v1/jobs', { ...job, ...over });
+test('invalid requests get 400, 422, 404 or 405; an accepted job is not rejected when it is submitted again', async () => {
+  const { createApi, call } = setup();
+  const api = createApi();
+  const submit = (overrides: object): Promise<string> =>
+    call(api, 'POST', '/v1/jobs', { ...job, ...overrides });
   assert.equal(await call(api, 'POST', '/v1/jobs', [1]), '400');
   assert.equal(await submit({ hands: 0 }), '400');
   assert.equal(await submit({ outfit: 'nobody' }), '422');
@@ -167,7 +176,7 @@
   assert.equal(await submit({ gait: 'group', hands: 21 }), '422', 'all tasks of a gang count');
   assert.equal(await submit({ pasture: 'nowhere' }), '422');
   const spread = { gait: 'service', spread: true, hands: 2 };
-  assert.equal(await submit({ ...spread, pasture: 'east' }), '422', 'both would be in one zone');
+  assert.equal(await submit({ ...spread, pasture: 'east' }), '422', 'both tasks would be in one zone');
   assert.equal(await submit({ ...spread, oneZone: true }), '422');
   assert.equal(await call(api, 'GET', '/v1/jobs'), '405');
   assert.equal(await call(api, 'GET', '/v2'), '404');
@@ -176,34 +185,34 @@
   assert.equal(await submit({ hands: 0 }), '200 pending');
 });
 
-test('a damaged record does not count as missing: its job stays known', async () => {
-  const { store, make, call } = setup();
-  const api = make();
+test('a damaged record is not treated as missing: its job stays known', async () => {
+  const { store, createApi, call } = setup();
+  const api = createApi();
   assert.equal(await call(api, 'POST', '/v1/jobs', job), '201 pending');
   store.items.set('j/wk-1', { data: { spec: 'damaged' }, revision: 99 });
   assert.equal(await call(api, 'GET', '/v1/jobs/wk-1'), '200 pending');
   assert.equal(await call(api, 'POST', '/v1/jobs', job), '200 pending');
 });
 
-test('no client is refused repeatedly while others are served', () => {
+test('admission control does not reject a client repeatedly while it admits others', () => {
   const admission = new AdmissionControl(2, 1);
   assert.ok(admission.tryAdmit('a') && admission.tryAdmit('b'));
-  assert.equal(admission.tryAdmit('c'), false, 'full: answered at once');
+  assert.equal(admission.tryAdmit('c'), false, 'full: rejected at once');
   assert.equal(admission.tryAdmit('d'), false);
-  assert.equal(admission.tryAdmit('c'), true, 'the second time it has room that others do not get');
+  assert.equal(admission.tryAdmit('c'), true, 'the second attempt may use the reserve');
   assert.equal(admission.tryAdmit('e'), false);
-  assert.equal(admission.tryAdmit('d'), false, 'the reserve is bounded, too');
+  assert.equal(admission.tryAdmit('d'), false, 'the reserve is bounded');
   admission.release('c', true);
-  assert.equal(admission.tryAdmit('c'), false, 'served: it is one of many again');
+  assert.equal(admission.tryAdmit('c'), false, 'after it was served, the client may not use the reserve');
   assert.equal(admission.tryAdmit('d'), true);
 });
 
-test('a controller that reports a job as cancelled knows it before: on its own cancellation, on a query, on a repeat', async () => {
-  const { store, make, call, confirmed } = setup();
-  const [a, b, third] = [make(), make(), make()];
+test('a controller that reports a job as cancelled has logged it before: on a cancellation, a query or a repeated submission', async () => {
+  const { store, createApi, call, confirmed } = setup();
+  const [a, b, third] = [createApi(), createApi(), createApi()];
   await call(a, 'POST', '/v1/jobs', job);
   store.mode = 'response lost';
-  assert.equal(await call(a, 'POST', '/v1/jobs/wk-1/abort'), '200 withdrawn', 'what is recorded decides');
+  assert.equal(await call(a, 'POST', '/v1/jobs/wk-1/abort'), '200 withdrawn', 'the stored record decides');
   assert.deepEqual(confirmed, ['wk-1']);
   store.mode = 'up';
   assert.equal(await call(b, 'GET', '/v1/jobs/wk-1'), '200 withdrawn');
@@ -211,77 +220,100 @@
   assert.deepEqual(confirmed, ['wk-1', 'wk-1', 'wk-1']);
 });
 
-const after = (...awaits: string[]) => ({ ...job, nameId: 'wk-2', awaits });
+const dependentJob = (...awaits: string[]) => ({ ...job, nameId: 'wk-2', awaits });
 
-test('dependencies: accepted anywhere, or refused; a known job is answered as before', async () => {
-  const { store, make, call } = setup();
-  const [a, b] = [make(), make()];
-  assert.equal(await call(a, 'POST', '/v1/jobs', after('wk-1')), '422', 'never accepted');
-  assert.equal(await call(a, 'POST', '/v1/jobs', after('wk-2')), '422', 'itself');
-  assert.equal(await call(a, 'POST', '/v1/jobs', after('one')), '400');
+test('dependencies accepted at any controller are valid, others are rejected; a known job is not checked again', async () => {
+  const { store, createApi, call } = setup();
+  const [a, b] = [createApi(), createApi()];
+  assert.equal(
+    await call(a, 'POST', '/v1/jobs', dependentJob('wk-1')),
+    '422',
+    'the dependency was never accepted',
+  );
+  assert.equal(await call(a, 'POST', '/v1/jobs', dependentJob('wk-2')), '422', 'the job depends on itself');
+  assert.equal(await call(a, 'POST', '/v1/jobs', dependentJob('one')), '400');
   assert.equal(await call(a, 'POST', '/v1/jobs', { ...job, nameId: 'wk-2', awaits: 'wk-1' }), '400');
   await call(a, 'POST', '/v1/jobs', job);
-  assert.equal(await call(b, 'POST', '/v1/jobs', after('wk-1', 'wk-1')), '201 pending');
+  assert.equal(await call(b, 'POST', '/v1/jobs', dependentJob('wk-1', 'wk-1')), '201 pending');
   const record = store.items.get('j/wk-2')!.data as { spec: { dependsOn: string[] } };
-  assert.deepEqual(record.spec.dependsOn, ['wk-1'], 'named twice, counted once');
-  assert.equal(await call(b, 'POST', '/v1/jobs', after('wk-9')), '200 pending', 'known already');
+  assert.deepEqual(record.spec.dependsOn, ['wk-1'], 'duplicates are removed');
+  assert.equal(
+    await call(b, 'POST', '/v1/jobs', dependentJob('wk-9')),
+    '200 pending',
+    'the job is known already',
+  );
   assert.equal(await call(b, 'POST', '/v1/jobs', { ...job, nameId: 'wk-3', awaits: null }), '201 pending');
   store.finish('wk-1', 'done');
-  assert.equal(await call(a, 'POST', '/v1/jobs', { ...after('wk-1'), nameId: 'wk-4' }), '201 pending');
+  assert.equal(await call(a, 'POST', '/v1/jobs', { ...dependentJob('wk-1'), nameId: 'wk-4' }), '201 pending');
   store.mode = 'down';
-  assert.equal(await call(make(), 'POST', '/v1/jobs', { ...after('wk-1'), nameId: 'wk-5' }), '503 after 1');
+  assert.equal(
+    await call(createApi(), 'POST', '/v1/jobs', { ...dependentJob('wk-1'), nameId: 'wk-5' }),
+    '503 after 1',
+  );
 });
 
-test('a dependent of a cancelled job is recorded as cancelled before any user is told so', async () => {
-  const { store, make, call, confirmed } = setup();
-  const [a, b] = [make(), make()];
+test('a dependent of a cancelled job is recorded as cancelled before this is reported to a user', async () => {
+  const { store, createApi, call, confirmed } = setup();
+  const [a, b] = [createApi(), createApi()];
   await call(a, 'POST', '/v1/jobs', job);
-  await call(a, 'POST', '/v1/jobs', after('wk-1'));
-  await call(a, 'POST', '/v1/jobs', { ...after('wk-2'), nameId: 'wk-3' });
+  await call(a, 'POST', '/v1/jobs', dependentJob('wk-1'));
+  await call(a, 'POST', '/v1/jobs', { ...dependentJob('wk-2'), nameId: 'wk-3' });
   assert.equal(await call(b, 'GET', '/v1/jobs/wk-3'), '200 pending');
   await call(a, 'POST', '/v1/jobs/wk-1/abort');
   assert.equal(
     await call(b, 'GET', '/v1/jobs/wk-3'),
     '200 withdrawn',
-    'through another, also without a feed',
+    'at another controller, also without an up-to-date feed',
   );
   assert.ok((store.items.get('j/wk-3')!.data as { cancelledAt: number | null }).cancelledAt !== null);
   assert.ok(confirmed.includes('wk-3'));
   assert.equal(
-    await call(b, 'POST', '/v1/jobs', { ...after('wk-1'), nameId: 'wk-4' }),
+    await call(b, 'POST', '/v1/jobs', { ...dependentJob('wk-1'), nameId: 'wk-4' }),
     '201 pending',
-    'accepted',
+    'accepted first',
   );
-  assert.equal(await call(b, 'GET', '/v1/jobs/wk-4'), '200 withdrawn', 'and then cancelled');
+  assert.equal(await call(b, 'GET', '/v1/jobs/wk-4'), '200 withdrawn', 'then cancelled');
 });
 
-test('a cancellation answered with done leaves the dependents alone', async () => {
-  const { store, make, call } = setup();
-  const api = make();
+test('the cancellation of a job that is already done does not cancel its dependents', async () => {
+  const { store, createApi, call } = setup();
+  const api = createApi();
   await call(api, 'POST', '/v1/jobs', job);
-  await call(api, 'POST', '/v1/jobs', after('wk-1'));
+  await call(api, 'POST', '/v1/jobs', dependentJob('wk-1'));
   store.finish('wk-1', 'done');
   assert.equal(await call(api, 'POST', '/v1/jobs/wk-1/abort'), '200 done');
   assert.equal(await call(api, 'GET', '/v1/jobs/wk-2'), '200 pending');
 });
 
-test('an up-to-date feed answers for other jobs without a request; one that lags is not used', async () => {
-  const fresh = feed(true);
-  const { store, make, call } = setup(types, fresh);
-  const api = make();
+test('dependencies are looked up in an up-to-date feed without a store request; a lagging feed is not used', async () => {
+  const fresh = createFeed(true);
+  const { store, createApi, call } = setup(types, fresh);
+  const api = createApi();
   await call(api, 'POST', '/v1/jobs', job);
-  await call(api, 'POST', '/v1/jobs', after('wk-1'));
+  await call(api, 'POST', '/v1/jobs', dependentJob('wk-1'));
   fresh.index.put('wk-1' as JobId, [], false);
   store.items.delete('j/wk-1');
-  assert.equal(await call(api, 'GET', '/v1/jobs/wk-2'), '200 pending', 'from the index');
+  assert.equal(
+    await call(api, 'GET', '/v1/jobs/wk-2'),
+    '200 pending',
+    'the dependency is found in the index',
+  );
   fresh.cancelled.add('wk-1' as JobId);
-  assert.equal(await call(api, 'GET', '/v1/jobs/wk-2'), '200 withdrawn', 'from the log of cancellations');
-  const lagging = feed(false);
+  assert.equal(
+    await call(api, 'GET', '/v1/jobs/wk-2'),
+    '200 withdrawn',
+    'the dependency is found in the cancellation log',
+  );
+  const lagging = createFeed(false);
   const other = setup(types, lagging);
-  const late = other.make();
+  const late = other.createApi();
   await other.call(late, 'POST', '/v1/jobs', job);
-  await other.call(late, 'POST', '/v1/jobs', after('wk-1'));
+  await other.call(late, 'POST', '/v1/jobs', dependentJob('wk-1'));
   lagging.index.put('wk-1' as JobId, [], false);
   other.store.finish('wk-1', 'withdrawn');
-  assert.equal(await other.call(late, 'GET', '/v1/jobs/wk-2'), '200 withdrawn', 'read again');
+  assert.equal(
+    await other.call(late, 'GET', '/v1/jobs/wk-2'),
+    '200 withdrawn',
+    'the dependency is read from the store',
+  );
 });
