--- a/src/core/progress-segments.ts
+++ b/src/core/progress-segments.ts
@@ -5,9 +5,8 @@
 export const LARGEST_SEGMENT_BYTES = 2048;
 
 /**
- * The name of a segment in the key-value store. Segments of the largest size, and the only segment of a job, are named
- * by their index. For any other size the name also contains the size; versions that only know the largest size ignore
- * it.
+ * The name of a segment in the key-value store: its index if it has the largest size or is the job's only one,
+ * otherwise its index and size. Versions that only know the largest size ignore names with a size.
  */
 export const segmentName = (index: number, segmentBytes: number, jobBytes: number): SegmentName =>
   (segmentBytes === LARGEST_SEGMENT_BYTES || jobBytes <= segmentBytes
--- a/src/core/resources.ts
+++ b/src/core/resources.ts
@@ -36,7 +36,7 @@
 /** The result for tasks that require no resources. */
 const MAX_TASKS_PER_MACHINE = 100_000;
 
-/** The number of tasks requiring `required` each that fit on an empty machine with this capacity. */
+/** The number of tasks that fit on an empty machine with this capacity if each requires `required`. */
 export const tasksPerMachine = (required: Resources, capacity: Resources): number => {
   let tasks = MAX_TASKS_PER_MACHINE;
   if (required.cpus > 0)
--- a/src/core/scaling/arrival-rates.ts
+++ b/src/core/scaling/arrival-rates.ts
@@ -7,7 +7,7 @@
 const ARRIVAL_WINDOW_S = ARRIVAL_WINDOW_MS / 1000;
 /** Allowance for machines that boot more slowly than their nominal boot time. */
 const BOOT_TIME_FACTOR = 1.2;
-/** Maximum number of tasks per job in the forecast. */
+/** Upper limit of the mean number of tasks per job in the forecast. */
 const MAX_FORECAST_TASKS_PER_JOB = 8;
 
 interface Arrival {
@@ -32,7 +32,7 @@
 export class ArrivalRates {
   private readonly classes = new Map<string, ClassHistory>();
 
-  /** Records a job by its submission time, which may be some time ago. */
+  /** Records the arrival of a job at its submission time, which may be some time ago. */
   recordArrival(record: JobRecord, now: MonotonicTime, wallTime: WallTime): void {
     const at = (now - Math.max(0, wallTime - record.submittedAt)) as MonotonicTime;
     this.recordTasks(record.spec, at);
--- a/src/core/scheduler/guarantee-accounting.ts
+++ b/src/core/scheduler/guarantee-accounting.ts
@@ -9,7 +9,7 @@
 const isNotStopping = (placement: Placement): boolean => placement.stop === null;
 const remainingTasks = (job: Job): number => [...job.placements.values()].filter(isNotStopping).length;
 
-const staysAtGuarantee = (guaranteed: number, used: number, lost: number): boolean =>
+const keepsGuarantee = (guaranteed: number, used: number, lost: number): boolean =>
   guaranteed === 0 || used - lost >= guaranteed - RESOURCE_EPSILON;
 
 /** The remaining usage of each team, without the tasks that are stopping or nominated as victims. */
@@ -39,8 +39,8 @@
     const tasks = this.tasksStoppedWith(job);
     const { cpus, gpus } = effectiveGuarantee(quota);
     return (
-      staysAtGuarantee(cpus, remaining.cpus, job.spec.cpus * tasks) &&
-      staysAtGuarantee(gpus, remaining.gpus, job.spec.gpus * tasks)
+      keepsGuarantee(cpus, remaining.cpus, job.spec.cpus * tasks) &&
+      keepsGuarantee(gpus, remaining.gpus, job.spec.gpus * tasks)
     );
   }
 
--- a/src/core/scheduler/job-feasibility.ts
+++ b/src/core/scheduler/job-feasibility.ts
@@ -8,9 +8,7 @@
 export const fitsSomeType = (spec: JobSpec, types: MachineType[]): boolean =>
   types.some((type) => type.zones.some((zone) => mayRunOn(spec, type.name, zone, false)) && fits(spec, type));
 
-/**
- * Whether the tasks of the job can be spread over zones: two or more tasks that run at the same time need two zones.
- */
+/** Whether the job's tasks can be spread over zones: two or more tasks that run at the same time need two zones. */
 export const canBeSpread = (spec: JobSpec, types: MachineType[]): boolean => {
   if (!spec.spread || spec.kind === 'array' || spec.tasks < 2) return true;
   if (spec.oneZone) return false;
--- a/src/core/scheduler/nomination.ts
+++ b/src/core/scheduler/nomination.ts
@@ -1,7 +1,4 @@
-/**
- * Results of preemption: nominated victims on a machine, and the cost of stopping them. Nominated tasks are still
- * running.
- */
+/** Results of preemption: nominated victims, which are still running, and the cost of stopping them. */
 import type { Job, Placement } from '../job.js';
 import type { Team } from '../units.js';
 import type { CandidateMachine } from './candidate-machine.js';
--- a/src/core/scheduler/placement-constraints.ts
+++ b/src/core/scheduler/placement-constraints.ts
@@ -34,7 +34,7 @@
   );
 };
 
-/** The signature of equivalent tasks. The filter treats them alike, so that a failure is determined once per cycle. */
+/** The signature shared by tasks that the filter treats alike, so that a failure is determined once per cycle. */
 export const constraintSignature = ({ spec, priority }: { spec: JobSpec; priority: Priority }): string => {
   const types = spec.types?.join(',') ?? '';
   return `${spec.cpus}|${spec.gpus}|${spec.memoryGb}|${types}|${spec.zone ?? ''}|${spec.spot}|${priority}`;
--- a/src/core/units.ts
+++ b/src/core/units.ts
@@ -28,12 +28,12 @@
 export type SegmentName = Branded<string, 'SegmentName'>;
 /** Number of an attempt to run a task; the members of a gang have the same one. */
 export type Attempt = Branded<number, 'Attempt'>;
-/** An external counter below 2^64: a number if that is exact, otherwise a bigint. `<` and `>` compare both. */
+/** An external counter below 2^64: a number if it is a safe integer, otherwise a bigint. `<` and `>` compare both. */
 export type Uint64 = number | bigint;
 /** Modification revision of a key in the key-value store, for compare-and-swap. */
 export type Revision = Uint64;
 
-/** Whether two counters are equal, whether they are numbers or bigints. */
+/** Whether two counters are equal, in either representation. */
 export const equalUint64 = (a: Uint64, b: Uint64): boolean => !(a < b) && !(a > b);
 
 /** The id of a job's task with this index. */
