--- a/src/runtime/users/job-lookup.ts
+++ b/src/runtime/users/job-lookup.ts
@@ -26,7 +26,7 @@
   | { kind: 'pending'; dependsOn: readonly JobId[] };
 
 /** The part of the cancellation feed that gives the state of other jobs without a request to the key-value store. */
-export type KnownJobs = Pick<CancellationFeed, 'has' | 'indexed' | 'isFresh'>;
+export type KnownJobs = Pick<CancellationFeed, 'has' | 'indexedJob' | 'isFresh'>;
 
 /** Looks up jobs, and whether their dependencies are accepted or cancelled. */
 export class JobLookup {
@@ -63,7 +63,7 @@
   /** Returns whether each of these jobs was accepted, at any controller. */
   async checkAccepted(ids: readonly JobId[]): Promise<AcceptanceResult> {
     const idsToRead = ids.filter(
-      (id) => !this.finalRecords.has(id) && !this.knownJobs.indexed(id) && !this.knownJobs.has(id),
+      (id) => !this.finalRecords.has(id) && !this.knownJobs.indexedJob(id) && !this.knownJobs.has(id),
     );
     for (const id of idsToRead) {
       const found = await this.find(id);
@@ -97,7 +97,7 @@
 
   private async dependencyState(id: JobId, feedIsFresh: boolean): Promise<DependencyState> {
     if (this.knownJobs.has(id)) return { kind: 'cancelled' };
-    const indexed = feedIsFresh && !this.finalRecords.has(id) ? this.knownJobs.indexed(id) : undefined;
+    const indexed = feedIsFresh && !this.finalRecords.has(id) ? this.knownJobs.indexedJob(id) : undefined;
     if (indexed) {
       if (indexed.cancelled) return { kind: 'cancelled' };
       return { kind: 'pending', dependsOn: indexed.dependsOn };
