--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -17,12 +17,12 @@
 import { replacementDemands } from './replacement-demand.js';
 
 /** Between two plans. */
-const SCALE_INTERVAL_MS = 500;
+const MIN_SCALING_INTERVAL_MS = 500;
 /**
  * The most new machines planned at once: this minimum, or one for this many waiting tasks if that is more. Guards
  * against large clusters that start slowly.
  */
-const MIN_NEW_MACHINES = 60;
+const MIN_NEW_MACHINE_LIMIT = 60;
 const WAITING_TASKS_PER_NEW_MACHINE = 16;
 /** Waiting tasks of one job that are planned for at once. */
 const MAX_PLANNED_TASKS_PER_JOB = 200;
@@ -31,9 +31,9 @@
 /** A refused kind of machine is asked for again after the operators' time, or this many times as long at the most. */
 const MAX_REFUSAL_BACKOFF_FACTOR = 4;
 /** As in scheduling: nothing is placed on a machine without a heartbeat for this many heartbeat intervals. */
-const UNREACHABLE_INTERVALS = 2.5;
+const UNREACHABLE_HEARTBEAT_INTERVALS = 2.5;
 /** A leader that has got no list of machines doesn't scale out for this long. */
-const UNLISTED_MS = 10_000;
+const FIRST_LIST_TIMEOUT_MS = 10_000;
 /** A machine is kept for at least this long after it was provisioned. */
 const MIN_MACHINE_AGE_MS = 60_000;
 
@@ -48,9 +48,9 @@
   readonly arrivalRates = new ArrivalRates();
   private readonly unavailableUntil = new Map<string, MonotonicTime>();
   /** Refusals in a row, by kind of machine. */
-  private readonly refusals = new Map<string, number>();
+  private readonly consecutiveRefusals = new Map<string, number>();
   /** Requests not answered yet. */
-  private readonly openRequests = new Map<string, ScaleOutRequest>();
+  private readonly pendingRequests = new Map<string, ScaleOutRequest>();
   private requestCount = 0;
 
   constructor(
@@ -60,14 +60,14 @@
 
   /** The cloud provider's answer to a request for machines. */
   onScaleOutResult(requestId: string, outcome: ScaleOutOutcome, now: MonotonicTime): void {
-    const request = this.openRequests.get(requestId);
+    const request = this.pendingRequests.get(requestId);
     if (!request) return;
     if (outcome === 'retry') {
       // The name is kept: a repeat of a request that was carried out gives the same machines.
       this.state.effects.push({ kind: 'create-machines', requestId, request });
       return;
     }
-    this.openRequests.delete(requestId);
+    this.pendingRequests.delete(requestId);
     const { type, zone, spot } = request;
     const created = outcome === 'no-capacity' ? [] : outcome.machines;
     for (const id of created)
@@ -75,7 +75,7 @@
         this.state.addMachine({ id, endpoint: '' as Endpoint, type, zone, spot }, now);
     const key = capacityKey(type, zone, spot);
     if (created.length < request.count) this.recordRefusal(key, now);
-    else this.refusals.delete(key);
+    else this.consecutiveRefusals.delete(key);
     this.state.log('info', { request: requestId, ...request, created: created.length }, 'scale-out answered');
     this.state.needsScheduling = true;
   }
@@ -83,8 +83,8 @@
   /** Backs off for longer with each refusal in a row. Requests of one plan are refused together: that counts once. */
   private recordRefusal(key: string, now: MonotonicTime): void {
     if ((this.unavailableUntil.get(key) ?? -Infinity) > now) return;
-    const refusals = (this.refusals.get(key) ?? 0) + 1;
-    this.refusals.set(key, refusals);
+    const refusals = (this.consecutiveRefusals.get(key) ?? 0) + 1;
+    this.consecutiveRefusals.set(key, refusals);
     const { capacityRetryS, random } = this.state.settings;
     const backoffMs = capacityRetryS * 1000 * Math.min(MAX_REFUSAL_BACKOFF_FACTOR, 2 ** (refusals - 1));
     this.unavailableUntil.set(key, (now + backoffMs * narrowJitter(random)) as MonotonicTime);
@@ -93,7 +93,7 @@
   /** Plans for the jobs that wait, scales out by the plan, and in where it needs no machine. */
   scale(waiting: Job[], now: MonotonicTime): void {
     const { machineTypes } = this.state;
-    if (now - this.lastScaledAt < SCALE_INTERVAL_MS || machineTypes.length === 0) return;
+    if (now - this.lastScaledAt < MIN_SCALING_INTERVAL_MS || machineTypes.length === 0) return;
     this.lastScaledAt = now;
     const { capacities, unreachable } = this.usableMachines(now);
     const demands = this.demands(waiting, unreachable, now);
@@ -105,7 +105,7 @@
       now,
       maxNewMachines: maxNewMachines(demands),
     });
-    if (this.openRequests.size === 0 && !this.awaitsFirstList(now))
+    if (this.pendingRequests.size === 0 && !this.isAwaitingFirstList(now))
       for (const request of plan.requests) this.requestMachines(request);
     this.scaleIn(plan.neededMachines, now);
   }
@@ -115,12 +115,12 @@
     const capacities: Capacity[] = [];
     const unreachable: Machine[] = [];
     const { heartbeatIntervalS } = this.state.settings.workers;
-    const unreachableMs = heartbeatIntervalS * UNREACHABLE_INTERVALS * 1000;
+    const unreachableMs = heartbeatIntervalS * UNREACHABLE_HEARTBEAT_INTERVALS * 1000;
     for (const machine of this.state.machines.values()) {
       const { type, lastHeartbeatAt } = machine;
       if (!type || machine.decommissioning || machine.quarantined) continue;
       if (machine.interruptionNoticedAt !== null) continue;
-      if (machine.up && !machine.reconciled && !this.isUnregisteredSurvivor(machine)) continue;
+      if (machine.up && !machine.reconciled && !this.isUnregisteredFromEarlierLeader(machine)) continue;
       if (machine.up && lastHeartbeatAt !== null && now - lastHeartbeatAt > unreachableMs) {
         unreachable.push(machine);
         continue;
@@ -136,7 +136,7 @@
    * Up before this leader and not registered, so nothing is on it: its next heartbeat makes it usable, and scaling out
    * beside a whole cluster of such machines would be for nothing.
    */
-  private isUnregisteredSurvivor(machine: Machine): boolean {
+  private isUnregisteredFromEarlierLeader(machine: Machine): boolean {
     return !this.state.unreconciledMachines.has(machine.id) && machine.provisionedAt < this.state.startedAt;
   }
 
@@ -154,17 +154,17 @@
   }
 
   /** Machines that aren't registered may be up, as at a first leader's start: none is created beside them unseen. */
-  private awaitsFirstList(now: MonotonicTime): boolean {
-    return !this.state.machinesListed && now - this.state.startedAt < UNLISTED_MS;
+  private isAwaitingFirstList(now: MonotonicTime): boolean {
+    return !this.state.machinesListed && now - this.state.startedAt < FIRST_LIST_TIMEOUT_MS;
   }
 
   /** In requests of the size that the cloud provider takes; each has a name of its own, which a repeat keeps. */
   private requestMachines(request: ScaleOutRequest): void {
-    for (let left = request.count; left > 0; left -= MAX_MACHINES_PER_REQUEST) {
+    for (let remaining = request.count; remaining > 0; remaining -= MAX_MACHINES_PER_REQUEST) {
       const requestId = `t${this.state.leadership.term}-${++this.requestCount}`;
-      const part = { ...request, count: Math.min(left, MAX_MACHINES_PER_REQUEST) };
-      this.openRequests.set(requestId, part);
-      this.state.effects.push({ kind: 'create-machines', requestId, request: part });
+      const batch = { ...request, count: Math.min(remaining, MAX_MACHINES_PER_REQUEST) };
+      this.pendingRequests.set(requestId, batch);
+      this.state.effects.push({ kind: 'create-machines', requestId, request: batch });
     }
   }
 
@@ -174,12 +174,12 @@
       if (!machine.reconciled || machine.decommissioning || machine.busy) continue;
       if (needed.has(machine.id) || machine.idleSince === null) continue;
       if (now - machine.idleSince > idleHoldMs && now - machine.provisionedAt > MIN_MACHINE_AGE_MS)
-        this.machinePool.decommission(machine, 'idle', now);
+        this.machinePool.drain(machine, 'idle', now);
     }
   }
 }
 
 const maxNewMachines = (demands: CapacityDemand[]): number => {
   const tasks = demands.reduce((sum, demand) => sum + demand.tasks, 0);
-  return Math.max(MIN_NEW_MACHINES, Math.ceil(tasks / WAITING_TASKS_PER_NEW_MACHINE));
+  return Math.max(MIN_NEW_MACHINE_LIMIT, Math.ceil(tasks / WAITING_TASKS_PER_NEW_MACHINE));
 };
--- a/src/core/leader/deadline-predictor.ts
+++ b/src/core/leader/deadline-predictor.ts
@@ -22,41 +22,41 @@
   constructor(private readonly state: LeaderState) {}
 
   /** Predicts anew, if that is due. */
-  update(now: MonotonicTime, wall: WallTime): void {
+  update(now: MonotonicTime, wallTime: WallTime): void {
     if (now - this.lastUpdatedAt < UPDATE_INTERVAL_MS) return;
     this.lastUpdatedAt = now;
     const ends = new Map<JobId, number>();
     for (const job of this.state.jobs.values()) {
       if (job.spec.deadlineS === null || job.cancelled || job.finalizing) continue;
       const dueAt = job.record.submittedAt + job.spec.deadlineS * 1000;
-      this.recordPrediction(job, (this.predictedEnd(job, ends, now, wall) - dueAt) / 1000);
+      this.recordPrediction(job, (this.predictedEnd(job, ends, now, wallTime) - dueAt) / 1000);
     }
   }
 
   /** The end of the longest path through the jobs that it waits for; a chain needs no recursion. */
-  private predictedEnd(job: Job, ends: Map<JobId, number>, now: MonotonicTime, wall: WallTime): number {
+  private predictedEnd(job: Job, ends: Map<JobId, number>, now: MonotonicTime, wallTime: WallTime): number {
     const stack = [job];
     while (stack.length > 0) {
       const top = stack.at(-1)!;
-      const waitsFor = [...top.unfinishedDependencies].flatMap((id) => this.state.jobs.get(id) ?? []);
-      const unknown = waitsFor.find((other) => !ends.has(other.id));
-      if (unknown) {
-        stack.push(unknown);
+      const dependencies = [...top.unfinishedDependencies].flatMap((id) => this.state.jobs.get(id) ?? []);
+      const unpredicted = dependencies.find((other) => !ends.has(other.id));
+      if (unpredicted) {
+        stack.push(unpredicted);
         continue;
       }
       stack.pop();
-      const readyAt = Math.max(wall, ...waitsFor.map((other) => ends.get(other.id)!));
+      const readyAt = Math.max(wallTime, ...dependencies.map((other) => ends.get(other.id)!));
       ends.set(top.id, readyAt + remainingS(top, now) * 1000);
     }
     return ends.get(job.id)!;
   }
 
   private recordPrediction(job: Job, lateS: number): void {
-    const late = lateS > 0;
-    if (late !== (job.predictedLateS !== null)) {
+    const isLate = lateS > 0;
+    if (isLate !== (job.predictedLateS !== null)) {
       const fields = { job: job.id, class: job.spec.class, lateS: Math.round(lateS), priority: job.priority };
-      this.state.log('info', fields, late ? 'job will miss its deadline' : 'job is in time again');
+      this.state.log('info', fields, isLate ? 'job will miss its deadline' : 'job is in time again');
     }
-    job.predictedLateS = late ? Math.round(lateS) : null;
+    job.predictedLateS = isLate ? Math.round(lateS) : null;
   }
 }
--- a/src/core/leader/decision-log.ts
+++ b/src/core/leader/decision-log.ts
@@ -34,7 +34,7 @@
 
 type Log = (level: LogLevel, fields: Record<string, unknown>, text: string) => void;
 
-const countedAs = { start: 'started', stop: 'stopped', forget: 'forgotten' } as const;
+const counterByOp = { start: 'started', stop: 'stopped', forget: 'forgotten' } as const;
 
 /** Counts and logs decisions. */
 export class DecisionLog {
@@ -57,7 +57,7 @@
     const { term } = this;
     const { incarnation } = machine.lastHeartbeat;
     for (const { op, job, index: task, attempt } of commands) {
-      this.counts[countedAs[op]]++;
+      this.counts[counterByOp[op]]++;
       const fields = { op, job, task, attempt, machine: machine.id, incarnation, term, ...channel };
       this.log('debug', fields, 'command sent');
     }
--- a/src/core/leader/detection-timeouts.ts
+++ b/src/core/leader/detection-timeouts.ts
@@ -2,19 +2,19 @@
 import type { WorkerTimings } from '../worker-timings.js';
 
 /** The longest time between two heartbeats of a worker, in heartbeat intervals: workers spread them. */
-const LONGEST_GAP_INTERVALS = 1.25;
+const MAX_HEARTBEAT_GAP_INTERVALS = 1.25;
 /** How long a heartbeat may take to the leader. */
-const DELIVERY_MARGIN_MS = 750;
+const HEARTBEAT_DELIVERY_MARGIN_MS = 750;
 /** A machine has missed a heartbeat after this many of the longest gaps, and a margin. */
-const MISSED_LONGEST_GAPS = 1.5;
-const MISSED_MARGIN_S = 0.5;
+const MISSED_HEARTBEAT_GAPS = 1.5;
+const MISSED_HEARTBEAT_MARGIN_S = 0.5;
 /** A partition or mass failure counts as going on for this many heartbeat intervals, and a margin, after its last sign. */
-const RECOVERY_INTERVALS = 2.5;
-const RECOVERY_MARGIN_MS = 5000;
+const COOLDOWN_INTERVALS = 2.5;
+const COOLDOWN_MARGIN_MS = 5000;
 /** A single machine has failed after this many of the longest gaps and a margin, or this part of a lease if longer. */
-const FAILED_LONGEST_GAPS = 3;
-const FAILED_MARGIN_S = 1;
-const FAILED_LEASE_FRACTION = 0.6;
+const FAILURE_TIMEOUT_GAPS = 3;
+const FAILURE_TIMEOUT_MARGIN_S = 1;
+const FAILURE_TIMEOUT_LEASE_FRACTION = 0.6;
 /** Machines unreachable with many others are fenced after this part of cancel_s, or this many leases if longer. */
 const MASS_FAILURE_CANCEL_FRACTION = 0.6;
 const MASS_FAILURE_LEASES = 1.6;
@@ -33,34 +33,39 @@
 
   /** Within this time a worker that is up has reported, whenever it did before. */
   get heartbeatRoundMs(): number {
-    return this.workers.heartbeatIntervalS * (LONGEST_GAP_INTERVALS * 1000) + DELIVERY_MARGIN_MS;
+    return (
+      this.workers.heartbeatIntervalS * (MAX_HEARTBEAT_GAP_INTERVALS * 1000) + HEARTBEAT_DELIVERY_MARGIN_MS
+    );
   }
 
   /** A partition cuts off a whole zone at one moment, but each machine is noticed at its own next heartbeat. */
   get missedHeartbeatMs(): number {
-    const longestGapS = this.workers.heartbeatIntervalS * LONGEST_GAP_INTERVALS;
-    return (longestGapS * MISSED_LONGEST_GAPS + MISSED_MARGIN_S) * 1000;
+    const maxGapS = this.workers.heartbeatIntervalS * MAX_HEARTBEAT_GAP_INTERVALS;
+    return (maxGapS * MISSED_HEARTBEAT_GAPS + MISSED_HEARTBEAT_MARGIN_S) * 1000;
   }
 
   /** When a partition heals, the last machines to report again are few: they still get time to find a controller. */
-  get recoveryMs(): number {
-    return this.workers.heartbeatIntervalS * (RECOVERY_INTERVALS * 1000) + RECOVERY_MARGIN_MS;
+  get cooldownMs(): number {
+    return this.workers.heartbeatIntervalS * (COOLDOWN_INTERVALS * 1000) + COOLDOWN_MARGIN_MS;
   }
 
   /** For a machine that is unreachable while most others report. */
-  get failedMs(): number {
+  get failureTimeoutMs(): number {
     const { heartbeatIntervalS, leaseS } = this.workers;
-    const longestGapS = heartbeatIntervalS * LONGEST_GAP_INTERVALS;
+    const maxGapS = heartbeatIntervalS * MAX_HEARTBEAT_GAP_INTERVALS;
     return (
-      Math.max(longestGapS * FAILED_LONGEST_GAPS + FAILED_MARGIN_S, leaseS * FAILED_LEASE_FRACTION) * 1000
+      Math.max(
+        maxGapS * FAILURE_TIMEOUT_GAPS + FAILURE_TIMEOUT_MARGIN_S,
+        leaseS * FAILURE_TIMEOUT_LEASE_FRACTION,
+      ) * 1000
     );
   }
 
   /** For machines that are unreachable together with many others. */
-  get massFailureMs(): number {
+  get massFailureTimeoutMs(): number {
     const { leaseS, cancelS } = this.workers;
     return Math.max(
-      this.failedMs,
+      this.failureTimeoutMs,
       cancelS * MASS_FAILURE_CANCEL_FRACTION * 1000,
       leaseS * MASS_FAILURE_LEASES * 1000,
     );
@@ -71,17 +76,17 @@
    * may not be), and where its image is cached it starts again as soon as the partition heals: a fenced zone has to boot
    * and fetch first.
    */
-  get partitionedMs(): number {
-    return Math.max(this.massFailureMs, this.workers.cancelS * PARTITION_CANCEL_FACTOR * 1000);
+  get partitionTimeoutMs(): number {
+    return Math.max(this.massFailureTimeoutMs, this.workers.cancelS * PARTITION_CANCEL_FACTOR * 1000);
   }
 
   /** A cancelled task must be gone within cancel_s: this much of it is left to waiting, the remainder to the fence. */
-  get overdueCancelMs(): number {
+  get overdueCancellationMs(): number {
     return this.workers.cancelS * 1000 * OVERDUE_CANCEL_FRACTION;
   }
 
   /** The same for jobs whose tasks aren't located: of the machines that may hold one, most are whole. */
-  get unlocatedOverdueCancelMs(): number {
+  get unlocatedOverdueCancellationMs(): number {
     return this.workers.cancelS * 1000 * UNLOCATED_OVERDUE_CANCEL_FRACTION;
   }
 
@@ -90,9 +95,9 @@
    * this leadership. Guards against leaders that change, or lose and regain their authority, faster than each one's
    * timeout: none would ever fence. A missed heartbeat is waited for, and when time is up one round of heartbeats.
    */
-  overdueMs(cancelledForMs: number): number {
+  overdueTimeoutMs(cancelledForMs: number): number {
     const leftMs = this.workers.cancelS * 1000 * LATEST_FENCE_CANCEL_FRACTION - cancelledForMs;
     if (leftMs <= 0) return this.heartbeatRoundMs;
-    return Math.max(this.missedHeartbeatMs, Math.min(this.failedMs, leftMs));
+    return Math.max(this.missedHeartbeatMs, Math.min(this.failureTimeoutMs, leftMs));
   }
 }
--- a/src/core/leader/direct-command-dispatcher.ts
+++ b/src/core/leader/direct-command-dispatcher.ts
@@ -21,7 +21,7 @@
     for (const machine of [...this.state.machinesWithPendingCommands]) {
       if (machine.directCommandInFlight) continue;
       this.state.machinesWithPendingCommands.delete(machine);
-      if (this.isCurrent(machine)) this.dispatchTo(machine, now);
+      if (this.canReceiveCommands(machine)) this.dispatchTo(machine, now);
     }
   }
 
@@ -37,7 +37,7 @@
     }
   }
 
-  private isCurrent(machine: Machine): boolean {
+  private canReceiveCommands(machine: Machine): boolean {
     return machine.reconciled && machine.endpointKnown && this.state.machines.get(machine.id) === machine;
   }
 
--- a/src/core/leader/effects.ts
+++ b/src/core/leader/effects.ts
@@ -78,7 +78,7 @@
   /** Records of progress written a second, at the most. */
   progressWritesPerS: number;
   /** Machines examined in one scheduling cycle, at the most. */
-  cycleWorkLimit: number;
+  maxMachineEvaluationsPerCycle: number;
   /** Uniform in [0, 1). */
   random: () => number;
 }
--- a/src/core/leader/failure-detector.ts
+++ b/src/core/leader/failure-detector.ts
@@ -34,27 +34,27 @@
    * The one fence that needs no authority: of an unreachable machine that holds a cancelled task. It may hang, and then
    * neither a stop nor the end of its lease ends the task. Whoever leads next finds it gone, or fences it once more.
    */
-  fenceOverdue(now: MonotonicTime, wall: WallTime): void {
-    const unlocated = this.unlocatedOverdueJobs(now, wall);
+  fenceOverdueMachines(now: MonotonicTime, wallTime: WallTime): void {
+    const unlocatedJobs = this.unlocatedOverdueJobs(now, wallTime);
     for (const machine of this.state.machines.values())
-      if (machine.up && this.isOverdue(machine, unlocated, now, wall))
+      if (machine.up && this.isOverdue(machine, unlocatedJobs, now, wallTime))
         this.machinePool.fence(machine, 'unreachable with a cancelled task', now, true);
   }
 
   /** Fences the machines that are past their detection timeout. */
-  detectFailures(now: MonotonicTime, wall: WallTime): void {
+  detectFailures(now: MonotonicTime, wallTime: WallTime): void {
     const reachability = this.measureReachability(now);
     this.updatePartitionedZones(reachability, now);
     const isMassFailure = this.updateMassFailure(reachability, now);
     const { suspected } = reachability;
-    const unlocated = suspected.length > 0 ? this.unlocatedOverdueJobs(now, wall) : [];
+    const unlocatedJobs = suspected.length > 0 ? this.unlocatedOverdueJobs(now, wallTime) : [];
     for (const machine of suspected) {
       if (machine.decommissioning?.mayHoldOverdueTask) continue;
       const { zone } = machine.info;
       // Half a zone becomes unreachable at once only in a partition; its workers may be kept alive over there.
       const inPartition = this.state.partitionedZones.has(zone);
-      const wholeZone = inPartition && reachability.isWhollyUnreachable(zone);
-      const overdue = this.isOverdue(machine, wholeZone ? [] : unlocated, now, wall);
+      const isWholeZone = inPartition && reachability.isWholeZoneUnreachable(zone);
+      const overdue = this.isOverdue(machine, isWholeZone ? [] : unlocatedJobs, now, wallTime);
       if (!overdue && !this.isTimedOut(machine, inPartition, isMassFailure, now)) continue;
       this.machinePool.fence(machine, inPartition ? 'zone unreachable' : 'unreachable', now, overdue);
     }
@@ -73,7 +73,7 @@
     const { partitionedZones } = this.state;
     for (const zone of reachability.partitionedZones()) partitionedZones.set(zone, now);
     for (const [zone, at] of partitionedZones)
-      if (now - at > this.timeouts.recoveryMs) partitionedZones.delete(zone);
+      if (now - at > this.timeouts.cooldownMs) partitionedZones.delete(zone);
   }
 
   /**
@@ -82,7 +82,7 @@
    */
   private updateMassFailure(reachability: Reachability, now: MonotonicTime): boolean {
     if (reachability.isMassFailure) this.lastMassFailureAt = now;
-    return now - this.lastMassFailureAt <= this.timeouts.recoveryMs;
+    return now - this.lastMassFailureAt <= this.timeouts.cooldownMs;
   }
 
   private isTimedOut(
@@ -92,9 +92,12 @@
     now: MonotonicTime,
   ): boolean {
     const sinceHeartbeatMs = this.sinceHeartbeatMs(machine, now);
-    if (sinceHeartbeatMs < this.timeouts.failedMs) return false;
+    if (sinceHeartbeatMs < this.timeouts.failureTimeoutMs) return false;
     if ((!inPartition && !isMassFailure) || machine.missingFromList) return true;
-    return sinceHeartbeatMs >= (inPartition ? this.timeouts.partitionedMs : this.timeouts.massFailureMs);
+    return (
+      sinceHeartbeatMs >=
+      (inPartition ? this.timeouts.partitionTimeoutMs : this.timeouts.massFailureTimeoutMs)
+    );
   }
 
   /** For how long the machine could have sent a heartbeat and none has come. */
@@ -102,28 +105,28 @@
     return now - Math.max(machine.lastHeartbeatAt ?? this.state.startedAt, this.timeoutsStartAt);
   }
 
-  private isOverdue(machine: Machine, unlocated: Job[], now: MonotonicTime, wall: WallTime): boolean {
+  private isOverdue(machine: Machine, unlocatedJobs: Job[], now: MonotonicTime, wallTime: WallTime): boolean {
     const sinceHeartbeatMs = this.sinceHeartbeatMs(machine, now);
     if (sinceHeartbeatMs < this.timeouts.heartbeatRoundMs) return false;
-    const cancelledForMs = this.overdueCancelMs(machine, unlocated, now, wall);
-    return cancelledForMs !== null && sinceHeartbeatMs >= this.timeouts.overdueMs(cancelledForMs);
+    const cancelledForMs = this.overdueCancellationAgeMs(machine, unlocatedJobs, now, wallTime);
+    return cancelledForMs !== null && sinceHeartbeatMs >= this.timeouts.overdueTimeoutMs(cancelledForMs);
   }
 
   /** For how long the machine has held an overdue cancelled task, or may have held an unlocated one; null: it doesn't. */
-  private overdueCancelMs(
+  private overdueCancellationAgeMs(
     machine: Machine,
-    unlocated: Job[],
+    unlocatedJobs: Job[],
     now: MonotonicTime,
-    wall: WallTime,
+    wallTime: WallTime,
   ): number | null {
-    const limitMs = this.timeouts.overdueCancelMs;
+    const limitMs = this.timeouts.overdueCancellationMs;
     let longestMs = limitMs;
     for (const { job } of machine.placements.values())
-      longestMs = Math.max(longestMs, job.cancelledForMs(now, wall));
+      longestMs = Math.max(longestMs, job.cancelledForMs(now, wallTime));
     if (this.state.unreconciledMachines.has(machine.id))
-      for (const job of unlocated)
+      for (const job of unlocatedJobs)
         if (this.state.mayHaveBeenStartedOn(job, machine))
-          longestMs = Math.max(longestMs, job.cancelledForMs(now, wall));
+          longestMs = Math.max(longestMs, job.cancelledForMs(now, wallTime));
     return longestMs > limitMs ? longestMs : null;
   }
 
@@ -131,11 +134,11 @@
    * Their tasks may hang on machines not reconciled since this leadership began, where no heartbeat has shown them.
    * They are waited for longer: of many such machines most are whole, and end the tasks or lose their lease themselves.
    */
-  private unlocatedOverdueJobs(now: MonotonicTime, wall: WallTime): Job[] {
+  private unlocatedOverdueJobs(now: MonotonicTime, wallTime: WallTime): Job[] {
     if (this.state.unreconciledMachines.size === 0) return [];
-    const limitMs = this.timeouts.unlocatedOverdueCancelMs;
+    const limitMs = this.timeouts.unlocatedOverdueCancellationMs;
     return [...this.state.jobs.values()].filter(
-      (job) => job.cancelled && job.cancelledForMs(now, wall) > limitMs,
+      (job) => job.cancelled && job.cancelledForMs(now, wallTime) > limitMs,
     );
   }
 }
--- a/src/core/leader/heartbeat-reconciler.ts
+++ b/src/core/leader/heartbeat-reconciler.ts
@@ -9,7 +9,7 @@
 import { commandsForMachine } from './machine-commands.js';
 import type { MachinePool } from './machine-pool.js';
 import { OneWayPartitionDetector } from './one-way-partition-detector.js';
-import { mayBeKnownToWorker } from './placement-lifecycle.js';
+import { mayHaveReachedWorker } from './placement-lifecycle.js';
 import { TaskReconciler, type HeartbeatSource } from './task-reconciler.js';
 
 /** Reconciles what workers report with what the leader wants of them. */
@@ -27,7 +27,7 @@
 
   /** The commands for the reply to a heartbeat. */
   onHeartbeat(heartbeat: Heartbeat, now: MonotonicTime): Command[] {
-    const machine = this.observe(heartbeat, 'heartbeat', now);
+    const machine = this.processHeartbeat(heartbeat, 'heartbeat', now);
     if (!machine) return [];
     this.oneWayPartitions.recordReply(machine, now);
     // Not under our token yet: an earlier leader's command could still arrive, and this reply raises the token.
@@ -60,9 +60,9 @@
     if (!(unchanged.sequence > last.sequence)) return machine.inSync;
     last.receivedAt = now;
     // A direct command's answer may have reported other tasks since: then the machine's base is another one.
-    const isSameBase =
+    const isCurrentBase =
       last.processedSequence !== null && equalUint64(unchanged.baseSequence, last.processedSequence);
-    if (!machine.reconciled || !machine.inSync || !isSameBase) return false;
+    if (!machine.reconciled || !machine.inSync || !isCurrentBase) return false;
     last.sequence = unchanged.sequence;
     this.oneWayPartitions.recordReply(machine, now);
     return true;
@@ -70,7 +70,7 @@
 
   /** A heartbeat that comes while we have no authority to command: only taken in. */
   onHeartbeatWithoutAuthority(heartbeat: Heartbeat, now: MonotonicTime): void {
-    this.observe(heartbeat, 'heartbeat', now);
+    this.processHeartbeat(heartbeat, 'heartbeat', now);
   }
 
   /** The outcome of commands that went straight to a worker. */
@@ -86,7 +86,7 @@
     for (const command of commands)
       if (command.op === 'start') this.recordDirectStartResult(machine, command, result);
     if ((result.kind === 'executed' || result.kind === 'refused') && result.heartbeat)
-      this.observe(result.heartbeat, 'direct command answer', now);
+      this.processHeartbeat(result.heartbeat, 'direct command answer', now);
   }
 
   /**
@@ -108,7 +108,11 @@
   }
 
   /** Takes in a heartbeat; null if it is older than what is known. */
-  private observe(heartbeat: Heartbeat, source: HeartbeatSource, now: MonotonicTime): Machine | null {
+  private processHeartbeat(
+    heartbeat: Heartbeat,
+    source: HeartbeatSource,
+    now: MonotonicTime,
+  ): Machine | null {
     // Held back by the network until after its machine was deleted: there is nothing there any more.
     if (this.state.deletedMachines.has(heartbeat.id)) return null;
     const machine = this.state.machines.get(heartbeat.id) ?? this.state.addMachine(heartbeat, now);
@@ -119,11 +123,11 @@
       return machine;
     }
     this.state.changedSinceTick = true;
-    const previousAt = last.receivedAt;
-    this.recordArrival(machine, heartbeat, now);
-    if (!machine.reconciled && !this.takeUnderToken(machine, heartbeat)) return machine;
+    const previousReceivedAt = last.receivedAt;
+    this.recordHeartbeat(machine, heartbeat, now);
+    if (!machine.reconciled && !this.markReconciledIfTokenMatches(machine, heartbeat)) return machine;
     if (source === 'heartbeat')
-      this.oneWayPartitions.checkStartsAcknowledged(machine, heartbeat, previousAt, now);
+      this.oneWayPartitions.checkStartsAcknowledged(machine, heartbeat, previousReceivedAt, now);
     this.tasks.reconcile(machine, heartbeat, source, now);
     if (machine.busy) machine.idleSince = null;
     else machine.idleSince ??= now;
@@ -131,7 +135,7 @@
   }
 
   /** What every new heartbeat tells, whoever leads by its token. */
-  private recordArrival(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): void {
+  private recordHeartbeat(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): void {
     const last = machine.lastHeartbeat;
     const isFirst = last.receivedAt === null;
     if (isFirst) this.recordFirstHeartbeat(machine, now);
@@ -154,7 +158,7 @@
   private recordFirstHeartbeat(machine: Machine, now: MonotonicTime): void {
     machine.contact = 'reporting';
     this.state.needsScheduling = true;
-    this.state.noteCapacityGained();
+    this.state.recordCapacityGained();
     if (machine.registration.state === 'unregistered') machine.idleSince = now;
     this.state.log(
       'debug',
@@ -164,7 +168,7 @@
   }
 
   /** Whether the worker has reported under our fencing token, as all its later heartbeats then are. */
-  private takeUnderToken(machine: Machine, heartbeat: Heartbeat): boolean {
+  private markReconciledIfTokenMatches(machine: Machine, heartbeat: Heartbeat): boolean {
     if (!equalUint64(heartbeat.fencingToken, this.state.leadership.term)) return false;
     machine.contact = 'reconciled';
     this.state.unreconciledMachines.delete(machine.id);
@@ -182,7 +186,8 @@
       'worker incarnation ended, tasks lost',
     );
     for (const { job, placement } of [...machine.placements.values()])
-      if (mayBeKnownToWorker(placement)) this.state.placements.lose(job, placement, 'incarnation ended', now);
+      if (mayHaveReachedWorker(placement))
+        this.state.placements.markLost(job, placement, 'incarnation ended', now);
   }
 
   /** Tasks that save their progress are told at once to do so; the others run on until the interruption. */
--- a/src/core/leader/job-dependencies.ts
+++ b/src/core/leader/job-dependencies.ts
@@ -9,15 +9,15 @@
 import { propagateUrgency } from './urgency-inheritance.js';
 
 /** Final states kept for jobs that are submitted only after those that they depend on. */
-const FINAL_STATES_KEPT = 20_000;
+const MAX_CACHED_FINAL_STATES = 20_000;
 /** Final records being read at once: a new leader may have many to read, and has other questions too. */
-const MAX_OPEN_LOOKUPS = 16;
+const MAX_CONCURRENT_LOOKUPS = 16;
 /** A final record that was not found is read again after this time. */
 const LOOKUP_RETRY_MS = 500;
 
 /** The reading of a job's final record. */
 interface Lookup {
-  open: boolean;
+  inFlight: boolean;
   retryAt: MonotonicTime;
 }
 
@@ -39,7 +39,7 @@
   /** A job that is new to this leader. */
   addJob(job: Job, now: MonotonicTime): void {
     this.lookups.delete(job.id);
-    for (const id of job.spec.dependsOn) this.dependOn(job, id, now);
+    for (const id of job.spec.dependsOn) this.addDependency(job, id, now);
     if (job.spec.dependsOn.length > 0) this.urgencyChanged = true;
     if (this.dependents.has(job.id)) this.urgencyChanged = true;
     if (job.cancelled) this.cancelDependents(job.id);
@@ -48,7 +48,7 @@
     else this.logWaiting(job);
   }
 
-  private dependOn(job: Job, id: JobId, now: MonotonicTime): void {
+  private addDependency(job: Job, id: JobId, now: MonotonicTime): void {
     const final = this.finalStates.get(id);
     if (final === 'done') return;
     if (final === 'cancelled' || this.state.jobs.get(id)?.cancelled) {
@@ -59,7 +59,7 @@
     const dependents = this.dependents.get(id) ?? new Set<Job>();
     dependents.add(job);
     this.dependents.set(id, dependents);
-    if (!this.state.jobs.has(id)) this.lookups.set(id, { open: false, retryAt: now });
+    if (!this.state.jobs.has(id)) this.lookups.set(id, { inFlight: false, retryAt: now });
   }
 
   private logWaiting(job: Job): void {
@@ -72,16 +72,16 @@
   /** The job is over, as a record in the key-value store says that can't change any more. */
   onJobFinal(id: JobId, final: FinalState, now: MonotonicTime): void {
     this.lookups.delete(id);
-    if (this.finalStates.size >= FINAL_STATES_KEPT)
+    if (this.finalStates.size >= MAX_CACHED_FINAL_STATES)
       this.finalStates.delete(this.finalStates.keys().next().value!);
     this.finalStates.set(id, final);
     if (final === 'cancelled') {
       this.cancelDependents(id);
       return;
     }
-    const waiting = this.dependents.get(id);
+    const dependentJobs = this.dependents.get(id);
     this.dependents.delete(id);
-    for (const job of waiting ?? []) {
+    for (const job of dependentJobs ?? []) {
       job.unfinishedDependencies.delete(id);
       if (!job.ready || job.cancelled) continue;
       this.state.log('debug', { job: job.id, class: job.spec.class }, 'job ready');
@@ -94,9 +94,9 @@
     this.urgencyChanged = true;
     const cancelled = [id];
     for (let current = cancelled.pop(); current !== undefined; current = cancelled.pop()) {
-      const waiting = this.dependents.get(current);
+      const dependentJobs = this.dependents.get(current);
       this.dependents.delete(current);
-      for (const job of waiting ?? []) if (this.markCancelled(job, current)) cancelled.push(job.id);
+      for (const job of dependentJobs ?? []) if (this.markCancelled(job, current)) cancelled.push(job.id);
     }
   }
 
@@ -114,14 +114,14 @@
   }
 
   /** Jobs whose final records are to be read now. */
-  takeDueLookups(now: MonotonicTime): JobId[] {
+  startDueLookups(now: MonotonicTime): JobId[] {
     const due: JobId[] = [];
-    let open = 0;
-    for (const lookup of this.lookups.values()) if (lookup.open) open++;
+    let inFlight = 0;
+    for (const lookup of this.lookups.values()) if (lookup.inFlight) inFlight++;
     for (const [id, lookup] of this.lookups) {
-      if (open + due.length >= MAX_OPEN_LOOKUPS) break;
-      if (lookup.open || now < lookup.retryAt) continue;
-      lookup.open = true;
+      if (inFlight + due.length >= MAX_CONCURRENT_LOOKUPS) break;
+      if (lookup.inFlight || now < lookup.retryAt) continue;
+      lookup.inFlight = true;
       due.push(id);
     }
     return due;
@@ -131,7 +131,7 @@
   onFinalRecordRead(id: JobId, final: FinalState | null, now: MonotonicTime): void {
     const lookup = this.lookups.get(id);
     if (!lookup) return;
-    lookup.open = false;
+    lookup.inFlight = false;
     lookup.retryAt = (now + LOOKUP_RETRY_MS) as MonotonicTime;
     this.state.changedSinceTick = true;
     if (final !== null) this.onJobFinal(id, final, now);
--- a/src/core/leader/job-finalizer.ts
+++ b/src/core/leader/job-finalizer.ts
@@ -10,7 +10,7 @@
 export class JobFinalizer {
   constructor(
     private readonly state: LeaderState,
-    private readonly dependencies: JobDependencies,
+    private readonly jobDependencies: JobDependencies,
   ) {}
 
   /** Asks for the final records of jobs that are over. */
@@ -19,8 +19,8 @@
       if (job.finalizing) continue;
       // Not while a machine that has not reported to this leader may hold its tasks: they count for their team's
       // limit, and that machine must be fenced in time.
-      const isGone = job.placements.size === 0 && !this.state.mayRunOnUnreconciledMachine(job);
-      if (!job.allCompleted && !(job.cancelled && isGone)) continue;
+      const hasNoTaskLeft = job.placements.size === 0 && !this.state.mayRunOnUnreconciledMachine(job);
+      if (!job.allCompleted && !(job.cancelled && hasNoTaskLeft)) continue;
       job.finalizing = true;
       this.state.effects.push({
         kind: 'write-final-record',
@@ -45,7 +45,7 @@
         this.applyChangedRecord(job, outcome, now);
         return;
       case 'ok':
-        this.forget(job, outcome.state, now);
+        this.removeFinished(job, outcome.state, now);
     }
   }
 
@@ -59,18 +59,18 @@
     job.revision = revision;
     if (!isNewlyCancelled) return;
     this.state.placements.stopCancelled(job, now);
-    this.dependencies.cancelDependents(job.id);
+    this.jobDependencies.cancelDependents(job.id);
   }
 
   /** Whatever is still reported of it is stopped and forgotten as a task of no known job. */
-  private forget(job: Job, final: FinalState, now: MonotonicTime): void {
+  private removeFinished(job: Job, final: FinalState, now: MonotonicTime): void {
     for (const placement of [...job.placements.values()]) {
       const machine = this.state.machines.get(placement.machine);
       machine?.unassign(job.id, placement.index);
       if (machine) this.state.machinesWithPendingCommands.add(machine);
     }
     this.state.jobs.delete(job.id);
-    this.dependencies.onJobFinal(job.id, final, now);
+    this.jobDependencies.onJobFinal(job.id, final, now);
     this.state.needsScheduling = true;
     this.state.log('debug', { job: job.id, cancelled: job.cancelled }, 'job finished');
   }
--- a/src/core/leader/job-intake.ts
+++ b/src/core/leader/job-intake.ts
@@ -10,7 +10,7 @@
 /** What new jobs are made known to. */
 export interface JobIntakeDependencies {
   state: LeaderState;
-  dependencies: JobDependencies;
+  jobDependencies: JobDependencies;
   arrivalRates: ArrivalRates;
   typePenalties: TypePenalties;
 }
@@ -27,22 +27,22 @@
 /** Takes in records and cancellations. */
 export class JobIntake {
   private readonly state: LeaderState;
-  private readonly dependencies: JobDependencies;
+  private readonly jobDependencies: JobDependencies;
   private readonly arrivalRates: ArrivalRates;
   private readonly typePenalties: TypePenalties;
 
-  constructor({ state, dependencies, arrivalRates, typePenalties }: JobIntakeDependencies) {
+  constructor({ state, jobDependencies, arrivalRates, typePenalties }: JobIntakeDependencies) {
     this.state = state;
-    this.dependencies = dependencies;
+    this.jobDependencies = jobDependencies;
     this.arrivalRates = arrivalRates;
     this.typePenalties = typePenalties;
   }
 
   /** A job's record as the key-value store has it, from the first load or from the watch. */
-  applyRecord(update: JobRecordUpdate, now: MonotonicTime, wall: WallTime): void {
+  applyRecord(update: JobRecordUpdate, now: MonotonicTime, wallTime: WallTime): void {
     const known = this.state.jobs.get(update.id);
     if (known) this.updateKnown(known, update, now);
-    else this.add(update, now, wall);
+    else this.add(update, now, wallTime);
   }
 
   private updateKnown(job: Job, { record, revision }: JobRecordUpdate, now: MonotonicTime): void {
@@ -57,15 +57,15 @@
   private add(
     { id, record, revision, fromEarlierLeader }: JobRecordUpdate,
     now: MonotonicTime,
-    wall: WallTime,
+    wallTime: WallTime,
   ): void {
     const job = new Job(id, record, revision, fromEarlierLeader, now);
     this.state.jobs.set(id, job);
     this.state.changedSinceTick = true;
     this.typePenalties.recordSpec(record.spec);
     // Jobs that wait for no other were ready when they were submitted.
-    if (record.spec.dependsOn.length === 0) this.arrivalRates.recordArrival(record, now, wall);
-    this.dependencies.addJob(job, now);
+    if (record.spec.dependsOn.length === 0) this.arrivalRates.recordArrival(record, now, wallTime);
+    this.jobDependencies.addJob(job, now);
     const { class: name, tasks, image, estimateS, deadlineS } = record.spec;
     this.state.log('debug', { job: id, class: name, tasks, image, estimateS, deadlineS }, 'job known');
   }
@@ -82,7 +82,7 @@
 
   private cancel(job: Job, now: MonotonicTime): void {
     this.state.placements.stopCancelled(job, now);
-    this.dependencies.cancelDependents(job.id);
+    this.jobDependencies.cancelDependents(job.id);
   }
 
   /** All that the job depends on is done: from now on it waits like any other. */
--- a/src/core/leader/leader-state.ts
+++ b/src/core/leader/leader-state.ts
@@ -32,7 +32,7 @@
   readonly decisionLog: DecisionLog;
   readonly placements: PlacementLifecycle;
   /** One unreconciled machine of each type, zone and purchase kind, and of how many: they only get fewer. */
-  private unreconciledKinds: { machineCount: number; examples: Machine[] } | null = null;
+  private unreconciledRepresentatives: { machineCount: number; machines: Machine[] } | null = null;
 
   constructor(
     readonly leadership: Leadership,
@@ -55,7 +55,9 @@
   mayRunOnUnreconciledMachine(job: Job): boolean {
     if (!job.fromEarlierLeader || this.unreconciledMachines.size === 0 || this.neverStarted(job))
       return false;
-    return this.examplesOfUnreconciledKinds().some((machine) => this.mayHaveBeenStartedOn(job, machine));
+    return this.representativeUnreconciledMachines().some((machine) =>
+      this.mayHaveBeenStartedOn(job, machine),
+    );
   }
 
   /** Whether an earlier leader may have started a task of the job on this machine, which is not yet reconciled. */
@@ -73,16 +75,17 @@
     return false;
   }
 
-  private examplesOfUnreconciledKinds(): Machine[] {
+  private representativeUnreconciledMachines(): Machine[] {
     const machineCount = this.unreconciledMachines.size;
-    if (this.unreconciledKinds?.machineCount === machineCount) return this.unreconciledKinds.examples;
+    if (this.unreconciledRepresentatives?.machineCount === machineCount)
+      return this.unreconciledRepresentatives.machines;
     const byKind = new Map<string, Machine>();
     for (const id of this.unreconciledMachines) {
       const machine = this.machines.get(id);
       if (machine) byKind.set(`${machine.info.type}|${machine.info.zone}|${machine.info.spot}`, machine);
     }
-    this.unreconciledKinds = { machineCount, examples: [...byKind.values()] };
-    return this.unreconciledKinds.examples;
+    this.unreconciledRepresentatives = { machineCount, machines: [...byKind.values()] };
+    return this.unreconciledRepresentatives.machines;
   }
 
   /** The effects since the last call. */
@@ -101,7 +104,7 @@
   }
 
   /** Anything that could let a rejected job fit ends its back-off early. */
-  noteCapacityGained(): void {
+  recordCapacityGained(): void {
     this.capacityVersion++;
   }
 
--- a/src/core/leader/leader.ts
+++ b/src/core/leader/leader.ts
@@ -49,7 +49,7 @@
   private readonly failureDetector: FailureDetector;
   private readonly heartbeats: HeartbeatReconciler;
   private readonly autoscaler: Autoscaler;
-  private readonly dependencies: JobDependencies;
+  private readonly jobDependencies: JobDependencies;
   private readonly jobIntake: JobIntake;
   private readonly progressWriter: ProgressWriter;
   private readonly jobFinalizer: JobFinalizer;
@@ -71,15 +71,15 @@
     this.failureDetector = new FailureDetector(state, this.machinePool);
     this.heartbeats = new HeartbeatReconciler(state, this.machinePool);
     this.autoscaler = new Autoscaler(state, this.machinePool);
-    this.dependencies = new JobDependencies(state, (job, now) => this.jobIntake.onReady(job, now));
-    const { autoscaler, dependencies, typePenalties } = this;
+    this.jobDependencies = new JobDependencies(state, (job, now) => this.jobIntake.onReady(job, now));
+    const { autoscaler, jobDependencies, typePenalties } = this;
     const { arrivalRates } = autoscaler;
-    this.jobIntake = new JobIntake({ state, dependencies, arrivalRates, typePenalties });
+    this.jobIntake = new JobIntake({ state, jobDependencies, arrivalRates, typePenalties });
     this.progressWriter = new ProgressWriter(state);
-    this.jobFinalizer = new JobFinalizer(state, dependencies);
+    this.jobFinalizer = new JobFinalizer(state, jobDependencies);
     this.recovery = new Recovery(state);
     const queue = new SchedulingQueue(state);
-    this.scheduling = new SchedulingRound({ state, queue, dependencies, autoscaler, typePenalties });
+    this.scheduling = new SchedulingRound({ state, queue, jobDependencies, autoscaler, typePenalties });
     this.deadlinePredictor = new DeadlinePredictor(state);
     this.directCommands = new DirectCommandDispatcher(state);
     this.summary = new LeaderSummary(state);
@@ -94,8 +94,8 @@
   }
 
   /** Machines that the last scheduling cycle examined: its cost. */
-  get lastCycleWork(): number {
-    return this.scheduling.lastCycleWork;
+  get lastCycleMachineEvaluations(): number {
+    return this.scheduling.lastCycleMachineEvaluations;
   }
 
   /** Enough machines are known to be up that it means something when no heartbeat arrives. */
@@ -117,19 +117,19 @@
   }
 
   /** Decides whatever is due. */
-  tick(now: MonotonicTime, wall: WallTime): void {
+  tick(now: MonotonicTime, wallTime: WallTime): void {
     this.state.changedSinceTick = false;
     if (this.lackedAuthority) this.failureDetector.restartTimeouts(now);
     this.lackedAuthority = false;
     this.machinePool.registerMachines(now);
-    this.failureDetector.detectFailures(now, wall);
+    this.failureDetector.detectFailures(now, wallTime);
     this.machinePool.fenceFailedBoots(now);
     this.jobFinalizer.finishJobs();
     this.progressWriter.writeIfDue(now);
-    for (const job of this.dependencies.takeDueLookups(now))
+    for (const job of this.jobDependencies.startDueLookups(now))
       this.state.effects.push({ kind: 'read-final-record', job });
-    if (this.recovery.isComplete(now)) this.scheduling.runIfDue(now, wall);
-    this.deadlinePredictor.update(now, wall);
+    if (this.recovery.isComplete(now)) this.scheduling.runIfDue(now, wallTime);
+    this.deadlinePredictor.update(now, wallTime);
     this.machinePool.deleteDecommissioned(now);
     this.directCommands.dispatch(now);
     this.summary.logMachineUsage(now);
@@ -139,10 +139,10 @@
    * While the lease is held but can't be renewed, nothing is decided. What users were told is cancelled ends all the
    * same: that is final, whoever leads next, and in an outage of the key-value store nobody has authority to wait for.
    */
-  tickWithoutAuthority(now: MonotonicTime, wall: WallTime): void {
+  tickWithoutAuthority(now: MonotonicTime, wallTime: WallTime): void {
     this.state.changedSinceTick = false;
     this.lackedAuthority = true;
-    this.failureDetector.fenceOverdue(now, wall);
+    this.failureDetector.fenceOverdueMachines(now, wallTime);
     this.machinePool.deleteOverdue(now);
     this.directCommands.dispatchCancellations(now);
   }
@@ -219,7 +219,7 @@
 
   /** The final record of a job that others depend on was read; null: there is none, or no answer came. */
   onFinalRecordRead(id: JobId, final: FinalState | null, now: MonotonicTime): void {
-    this.dependencies.onFinalRecordRead(id, final, now);
+    this.jobDependencies.onFinalRecordRead(id, final, now);
   }
 
   /** Which machine caches what: told to the other controllers, since heartbeats don't say it. */
@@ -246,8 +246,8 @@
   }
 
   /** A job's record as the key-value store has it, from the first load or from the watch. */
-  applyJobRecord(update: JobRecordUpdate, now: MonotonicTime, wall: WallTime): void {
-    this.jobIntake.applyRecord(update, now, wall);
+  applyJobRecord(update: JobRecordUpdate, now: MonotonicTime, wallTime: WallTime): void {
+    this.jobIntake.applyRecord(update, now, wallTime);
   }
 
   /** A controller has told its user that the job is cancelled; its record may reach us much later. */
--- a/src/core/leader/machine-commands.ts
+++ b/src/core/leader/machine-commands.ts
@@ -6,13 +6,14 @@
 import { taskId, type JobId, type MonotonicTime } from '../units.js';
 
 /** Grace ends after this multiple of what was granted, and a margin for the command's way to the worker. */
-const GRACE_FACTOR = 1.5;
-const GRACE_MARGIN_MS = 4000;
+const GRACE_PERIOD_TIMEOUT_FACTOR = 1.5;
+const GRACE_PERIOD_TIMEOUT_MARGIN_MS = 4000;
 
 /** A task that was told to stop with time to save, and whose time is well over, is ended without. */
 const remainingGracePeriodS = ({ stop }: Placement, now: MonotonicTime): number => {
   if (!stop || stop.gracePeriodS === 0) return 0;
-  return now - stop.since > stop.gracePeriodS * (GRACE_FACTOR * 1000) + GRACE_MARGIN_MS
+  return now - stop.since >
+    stop.gracePeriodS * (GRACE_PERIOD_TIMEOUT_FACTOR * 1000) + GRACE_PERIOD_TIMEOUT_MARGIN_MS
     ? 0
     : stop.gracePeriodS;
 };
@@ -50,8 +51,8 @@
   const commands: Command[] = [];
   for (const task of machine.reportedTasks.values()) {
     const placed = machine.placements.get(taskId(task.job, task.index));
-    const own = placed && placed.placement.attempt === task.attempt ? placed.placement : undefined;
-    const command = commandForReported(machine, task, jobs.get(task.job), own, now);
+    const current = placed && placed.placement.attempt === task.attempt ? placed.placement : undefined;
+    const command = commandForReported(machine, task, jobs.get(task.job), current, now);
     if (command) commands.push(command);
   }
   for (const { job, placement } of machine.placements.values()) {
--- a/src/core/leader/machine-pool.ts
+++ b/src/core/leader/machine-pool.ts
@@ -6,20 +6,20 @@
 import { MachineRegistration } from './machine-registration.js';
 
 /** Between two requests to delete machines. */
-const DELETE_INTERVAL_MS = 1500;
+const MIN_DELETION_INTERVAL_MS = 1500;
 /** Machines named in one request (PROTOCOL, cloud). */
 const MAX_DELETIONS_PER_REQUEST = 100;
 /** A deleted machine is remembered for this long: lists and heartbeats that name it may still arrive. */
-const DELETED_KEPT_MS = 1_800_000;
+const DELETED_MACHINE_RETENTION_MS = 1_800_000;
 /** A machine first listed more than this many list lags ago, and missing from the list, is most likely gone. */
-const MISSING_LIST_LAGS = 2.5;
+const MISSING_AFTER_LIST_LAGS = 2.5;
 /** A machine that isn't up after this multiple of its type's boot time, or this minimum if longer, has failed. */
-const FAILED_BOOT_FACTOR = 4;
-const FAILED_BOOT_MIN_MS = 90_000;
+const BOOT_TIMEOUT_FACTOR = 4;
+const MIN_BOOT_TIMEOUT_MS = 90_000;
 const DEFAULT_BOOT_S = 60;
 /** Within this many leases and heartbeat intervals a worker that is up has reported to a new leader. */
-const FIRST_HEARTBEAT_LEASES = 2;
-const FIRST_HEARTBEAT_INTERVALS = 2;
+const FIRST_HEARTBEAT_TIMEOUT_LEASES = 2;
+const FIRST_HEARTBEAT_TIMEOUT_INTERVALS = 2;
 
 /** Keeps track of the machines that there are, and gives up those that fail or aren't needed. */
 export class MachinePool {
@@ -45,8 +45,8 @@
     for (const machine of this.state.machines.values())
       machine.missingFromList = !ids.has(machine.id) && this.shouldBeListed(machine, now);
     for (const [id, at] of this.state.deletedMachines)
-      if (now - at > DELETED_KEPT_MS) this.state.deletedMachines.delete(id);
-    for (const each of listed) this.onListed(each, now);
+      if (now - at > DELETED_MACHINE_RETENTION_MS) this.state.deletedMachines.delete(id);
+    for (const listedMachine of listed) this.onListed(listedMachine, now);
   }
 
   /**
@@ -55,7 +55,7 @@
    */
   private shouldBeListed(machine: Machine, now: MonotonicTime): boolean {
     if (machine.firstListedAt === null) return machine.fromEarlierLeader;
-    return now - machine.firstListedAt > this.state.settings.listLagS * (MISSING_LIST_LAGS * 1000);
+    return now - machine.firstListedAt > this.state.settings.listLagS * (MISSING_AFTER_LIST_LAGS * 1000);
   }
 
   private onListed(listed: ListedMachine, now: MonotonicTime): void {
@@ -83,7 +83,7 @@
   private remove(machine: Machine, now: MonotonicTime): void {
     const { id } = machine;
     for (const { job, placement } of [...machine.placements.values()])
-      this.state.placements.lose(job, placement, 'machine gone', now);
+      this.state.placements.markLost(job, placement, 'machine gone', now);
     this.state.machines.delete(id);
     this.state.deletedMachines.set(id, now);
     this.state.unreconciledMachines.delete(id);
@@ -93,7 +93,7 @@
   }
 
   /** Deletes a machine once its tasks have left. */
-  decommission(machine: Machine, reason: string, now: MonotonicTime): void {
+  drain(machine: Machine, reason: string, now: MonotonicTime): void {
     if (machine.decommissioning) return;
     machine.startDrain(now);
     for (const { job, placement } of [...machine.placements.values()])
@@ -112,9 +112,12 @@
   }
 
   /** Within this time a worker that is up has reported to a new leader, whichever controllers it tries before. */
-  private get firstHeartbeatMs(): number {
+  private get firstHeartbeatTimeoutMs(): number {
     const { leaseS, heartbeatIntervalS } = this.state.settings.workers;
-    return (leaseS * FIRST_HEARTBEAT_LEASES + heartbeatIntervalS * FIRST_HEARTBEAT_INTERVALS) * 1000;
+    return (
+      (leaseS * FIRST_HEARTBEAT_TIMEOUT_LEASES + heartbeatIntervalS * FIRST_HEARTBEAT_TIMEOUT_INTERVALS) *
+      1000
+    );
   }
 
   /** Fences machines that should be up by now. */
@@ -122,10 +125,11 @@
     for (const machine of this.state.machines.values()) {
       if (machine.up || machine.decommissioning) continue;
       const bootMs = (machine.type?.bootS ?? DEFAULT_BOOT_S) * 1000;
-      if (now - machine.provisionedAt <= Math.max(FAILED_BOOT_FACTOR * bootMs, FAILED_BOOT_MIN_MS)) continue;
+      if (now - machine.provisionedAt <= Math.max(BOOT_TIMEOUT_FACTOR * bootMs, MIN_BOOT_TIMEOUT_MS))
+        continue;
       // Listed for long, and not registered: it may be up all the same, as at a first leader's start. Its worker has had
       // no time yet to report to us.
-      if (now - this.state.startedAt <= this.firstHeartbeatMs) continue;
+      if (now - this.state.startedAt <= this.firstHeartbeatTimeoutMs) continue;
       this.fence(machine, 'never came up', now);
     }
   }
@@ -150,12 +154,12 @@
   }
 
   /** Machines that can be deleted now, if a request is due. */
-  private deletableMachines(now: MonotonicTime, isWanted: (machine: Machine) => boolean): Machine[] {
-    if (now - this.lastDeletionAt < DELETE_INTERVAL_MS) return [];
+  private deletableMachines(now: MonotonicTime, isIncluded: (machine: Machine) => boolean): Machine[] {
+    if (now - this.lastDeletionAt < MIN_DELETION_INTERVAL_MS) return [];
     const deletable: Machine[] = [];
     for (const machine of this.state.machines.values()) {
       const { decommissioning } = machine;
-      if (!decommissioning || decommissioning.deletionRequested || !isWanted(machine)) continue;
+      if (!decommissioning || decommissioning.deletionRequested || !isIncluded(machine)) continue;
       if (decommissioning.mode === 'fence' || !machine.busy) deletable.push(machine);
     }
     return deletable;
--- a/src/core/leader/machine-registration.ts
+++ b/src/core/leader/machine-registration.ts
@@ -6,17 +6,17 @@
 import { MachineRegistry } from './machine-registry.js';
 
 /** Between two pages with new machines: machines that come up together share a page. */
-const REGISTER_INTERVAL_MS = 300;
+const REGISTRATION_INTERVAL_MS = 300;
 /** Between two rounds of tidying, and the most pages rewritten in one. */
-const TIDY_INTERVAL_MS = 500;
-const TIDY_PAGES_PER_ROUND = 3;
+const COMPACTION_INTERVAL_MS = 500;
+const MAX_PAGES_PER_COMPACTION = 3;
 
 /** Decides which pages of the registry are written, and when. */
 export class MachineRegistration {
   private readonly registry = new MachineRegistry();
   private pageCount = 0;
   private lastRegisteredAt = -Infinity;
-  private lastTidiedAt = -Infinity;
+  private lastCompactedAt = -Infinity;
   /** The page to which machines of one that is too large are being moved. */
   private splitTarget: string | null = null;
 
@@ -34,7 +34,7 @@
 
   /** Writes are few: one write for up to a page of machines that come up together. */
   registerMachines(now: MonotonicTime): void {
-    if (now - this.lastRegisteredAt < REGISTER_INTERVAL_MS) return;
+    if (now - this.lastRegisteredAt < REGISTRATION_INTERVAL_MS) return;
     const failed = this.registry.nextPageToWrite('failed', this.state.settings.fitsRegistryPage);
     if (failed) {
       this.lastRegisteredAt = now;
@@ -47,9 +47,9 @@
       const page = this.openPage(unregistered.map(({ info }) => info));
       for (const machine of unregistered) machine.registration = { state: 'writing', page };
     }
-    if (now - this.lastTidiedAt < TIDY_INTERVAL_MS) return;
-    this.lastTidiedAt = now;
-    this.tidyPages();
+    if (now - this.lastCompactedAt < COMPACTION_INTERVAL_MS) return;
+    this.lastCompactedAt = now;
+    this.compactPages();
   }
 
   /** Machines that report and aren't registered yet, as many as fit on a page. */
@@ -96,9 +96,9 @@
   }
 
   /** A machine left on a page costs the next leader some waiting, nothing else: pages are tidied without haste. */
-  private tidyPages(): void {
+  private compactPages(): void {
     const { fitsRegistryPage } = this.state.settings;
-    for (let i = 0; i < TIDY_PAGES_PER_ROUND; i++) {
+    for (let i = 0; i < MAX_PAGES_PER_COMPACTION; i++) {
       const stale = this.registry.nextPageToWrite('stale', fitsRegistryPage);
       if (!stale) break;
       this.state.effects.push({ kind: 'write-registry-page', ...stale });
--- a/src/core/leader/machine-registry.ts
+++ b/src/core/leader/machine-registry.ts
@@ -71,9 +71,9 @@
   }
 
   /** A page to be written again without the machines that are gone; an empty one is deleted. */
-  nextPageToWrite(which: 'failed' | 'stale', fits: FitsPage): RegistryPage | null {
+  nextPageToWrite(condition: 'failed' | 'stale', fits: FitsPage): RegistryPage | null {
     for (const [name, page] of this.pages) {
-      if (!page[which] || page.writing || !fits([...page.machines.values()])) continue;
+      if (!page[condition] || page.writing || !fits([...page.machines.values()])) continue;
       page.stale = false;
       page.writing = true;
       return { page: name, machines: [...page.machines.values()] };
--- a/src/core/leader/one-way-partition-detector.ts
+++ b/src/core/leader/one-way-partition-detector.ts
@@ -26,7 +26,7 @@
 
 /** Watches whether the replies given to workers with authority have their effect. */
 export class OneWayPartitionDetector {
-  private fencedAt: MonotonicTime[] = [];
+  private fenceTimes: MonotonicTime[] = [];
 
   constructor(
     private readonly state: LeaderState,
@@ -57,7 +57,7 @@
   checkStartsAcknowledged(
     machine: Machine,
     heartbeat: Heartbeat,
-    previousAt: MonotonicTime | null,
+    previousReceivedAt: MonotonicTime | null,
     now: MonotonicTime,
   ): void {
     const { replies } = machine;
@@ -69,8 +69,8 @@
     if (result === 'unacknowledged') {
       if (replies.recordUnacknowledged())
         this.state.log('info', { machine: machine.id }, 'worker acknowledges no command');
-    } else if (previousAt !== null) {
-      replies.recordHeartbeatAfter(now - previousAt);
+    } else if (previousReceivedAt !== null) {
+      replies.recordHeartbeatAfter(now - previousReceivedAt);
     }
     if (replies.isUnacknowledged) this.releaseUnstarted(machine, now);
   }
@@ -96,14 +96,14 @@
   private fence(machine: Machine, reason: string, now: MonotonicTime): void {
     if (machine.decommissioning?.mode === 'fence') return;
     const windowMs = this.state.settings.workers.leaseS * (FENCE_WINDOW_LEASES * 1000);
-    this.fencedAt = this.fencedAt.filter((at) => now - at < windowMs);
+    this.fenceTimes = this.fenceTimes.filter((at) => now - at < windowMs);
     // Many at once: it is our replies that are late, not a partition of single machines.
     const limit = Math.max(
       FENCE_WINDOW_MIN_MACHINES,
       this.state.machines.size * FENCE_WINDOW_MACHINE_FRACTION,
     );
-    if (this.fencedAt.length >= limit) return;
-    this.fencedAt.push(now);
+    if (this.fenceTimes.length >= limit) return;
+    this.fenceTimes.push(now);
     this.machinePool.fence(machine, `one-way partition: ${reason}`, now);
   }
 
@@ -118,14 +118,14 @@
   machine: Machine,
   heartbeat: Heartbeat,
 ): 'acknowledged' | 'unacknowledged' | 'none-due' => {
-  let isMissing = false;
+  let hasOverdueStart = false;
   for (const { job, placement } of machine.placements.values()) {
     if (placement.startSentInReplyTo === null || placement.observed || placement.stop) continue;
     if (machine.reportedTasks.has(attemptKey(job.id, placement.index, placement.attempt)))
       return 'acknowledged';
-    if (isStartOverdue(placement, heartbeat)) isMissing = true;
+    if (isStartOverdue(placement, heartbeat)) hasOverdueStart = true;
   }
-  return isMissing ? 'unacknowledged' : 'none-due';
+  return hasOverdueStart ? 'unacknowledged' : 'none-due';
 };
 
 const isStartOverdue = ({ startSentInReplyTo }: Placement, { incarnation, sequence }: Heartbeat): boolean =>
--- a/src/core/leader/placement-lifecycle.ts
+++ b/src/core/leader/placement-lifecycle.ts
@@ -15,19 +15,19 @@
     job.removePlacement(placement.index);
     job.waitingSince = now;
     this.state.needsScheduling = true;
-    this.state.noteCapacityGained();
+    this.state.recordCapacityGained();
   }
 
   /** The task is gone without having been told to stop; a gang can't go on without it. */
-  lose(job: Job, placement: Placement, cause: ReleaseCause, now: MonotonicTime): void {
+  markLost(job: Job, placement: Placement, cause: ReleaseCause, now: MonotonicTime): void {
     const fields = { job: job.id, task: placement.index, machine: placement.machine, why: cause };
     this.state.log('info', fields, 'task lost');
     this.release(job, placement, cause, now);
-    if (job.spec.kind === 'gang') this.stopBrokenGang(job, cause, now);
+    if (job.spec.kind === 'gang') this.stopGang(job, cause, now);
   }
 
   /** A gang below its minimum is stopped; once its members are gone it requeues from its checkpoint. */
-  stopBrokenGang(job: Job, cause: string, now: MonotonicTime): void {
+  stopGang(job: Job, cause: string, now: MonotonicTime): void {
     for (const placement of [...job.placements.values()])
       this.stop(job, placement, 0, `gang broken: ${cause}`, now);
   }
@@ -43,7 +43,7 @@
     placement.stop = { gracePeriodS, since: now, reason };
     this.state.changedSinceTick = true;
     machine?.invalidate();
-    if (!mayBeKnownToWorker(placement)) {
+    if (!mayHaveReachedWorker(placement)) {
       this.release(job, placement, 'start never sent', now);
       return;
     }
@@ -54,7 +54,7 @@
   evict(job: Job, placement: Placement, reason: string, now: MonotonicTime): void {
     const gracePeriodS = job.spec.checkpointS > 0 ? job.spec.saveS : 0;
     const evicted = job.spec.kind === 'gang' ? [...job.placements.values()] : [placement];
-    for (const each of evicted) this.stop(job, each, gracePeriodS, reason, now);
+    for (const evictedPlacement of evicted) this.stop(job, evictedPlacement, gracePeriodS, reason, now);
   }
 
   /** The job is cancelled: its tasks end at once. */
@@ -66,7 +66,7 @@
 }
 
 /** Whether a start of the task was sent, or the task was reported. */
-export const mayBeKnownToWorker = (placement: Placement): boolean =>
+export const mayHaveReachedWorker = (placement: Placement): boolean =>
   placement.observed ||
   placement.startSentInReplyTo !== null ||
   placement.directStartInFlight ||
--- a/src/core/leader/progress-writer.ts
+++ b/src/core/leader/progress-writer.ts
@@ -20,13 +20,13 @@
   writeIfDue(now: MonotonicTime): void {
     if (now - this.lastWrittenAt < WRITE_INTERVAL_MS) return;
     this.lastWrittenAt = now;
-    const unsaved = [...this.state.jobs.values()].filter(
+    const unpersistedJobs = [...this.state.jobs.values()].filter(
       (job) => job.progress.unpersisted.size > 0 && !job.finalizing && !job.cancelled,
     );
-    unsaved.sort((a, b) => a.progress.lastPersistedAt - b.progress.lastPersistedAt);
+    unpersistedJobs.sort((a, b) => a.progress.lastPersistedAt - b.progress.lastPersistedAt);
     const { progressWritesPerS } = this.state.settings;
     let writesLeft = Math.max(1, Math.floor((progressWritesPerS * WRITE_INTERVAL_MS) / 1000));
-    for (const job of unsaved) {
+    for (const job of unpersistedJobs) {
       if (writesLeft <= 0) break;
       job.progress.lastPersistedAt = now;
       writesLeft -= this.writeSegments(job, writesLeft);
--- a/src/core/leader/reachability.ts
+++ b/src/core/leader/reachability.ts
@@ -19,19 +19,19 @@
 export class Reachability {
   /** Those that may have missed a heartbeat. */
   readonly suspected: Machine[] = [];
-  private up = 0;
-  private unreachable = 0;
+  private upCount = 0;
+  private unreachableCount = 0;
   private readonly upByZone = new Map<Zone, number>();
   private readonly unreachableByZone = new Map<Zone, number>();
 
   /** Counts a machine that is up, and whose last heartbeat is `sinceHeartbeatMs` old. */
   add(machine: Machine, sinceHeartbeatMs: number, heartbeatRoundMs: number, missedHeartbeatMs: number): void {
-    this.up++;
+    this.upCount++;
     increment(this.upByZone, machine.info.zone);
     if (sinceHeartbeatMs < heartbeatRoundMs) return;
     this.suspected.push(machine);
     if (sinceHeartbeatMs < missedHeartbeatMs) return;
-    this.unreachable++;
+    this.unreachableCount++;
     increment(this.unreachableByZone, machine.info.zone);
   }
 
@@ -46,7 +46,7 @@
    * As in a partition, which spares no machine. Where some of a zone are reachable, the others may as well hang, and a
    * cancelled task on them is not ended by anybody there.
    */
-  isWhollyUnreachable(zone: Zone): boolean {
+  isWholeZoneUnreachable(zone: Zone): boolean {
     return (this.unreachableByZone.get(zone) ?? 0) >= WHOLE_ZONE_FRACTION * (this.upByZone.get(zone) ?? 0);
   }
 
@@ -55,6 +55,9 @@
    * be fenced.
    */
   get isMassFailure(): boolean {
-    return this.unreachable > Math.max(MASS_FAILURE_MIN_MACHINES, this.up * MASS_FAILURE_MACHINE_FRACTION);
+    return (
+      this.unreachableCount >
+      Math.max(MASS_FAILURE_MIN_MACHINES, this.upCount * MASS_FAILURE_MACHINE_FRACTION)
+    );
   }
 }
--- a/src/core/leader/recovery.ts
+++ b/src/core/leader/recovery.ts
@@ -3,8 +3,8 @@
 import type { LeaderState } from './leader-state.js';
 
 /** One round of heartbeats, and a margin, is awaited. */
-const ROUND_INTERVALS = 1.25;
-const ROUND_MARGIN_MS = 1500;
+const RECOVERY_HEARTBEAT_INTERVALS = 1.25;
+const RECOVERY_MARGIN_MS = 1500;
 
 /** Whether the leader knows enough to place tasks. */
 export class Recovery {
@@ -18,7 +18,10 @@
     const waitedMs = now - this.state.startedAt;
     const unreconciled = this.state.unreconciledMachines.size;
     const { heartbeatIntervalS } = this.state.settings.workers;
-    if (unreconciled > 0 && waitedMs < heartbeatIntervalS * (ROUND_INTERVALS * 1000) + ROUND_MARGIN_MS)
+    if (
+      unreconciled > 0 &&
+      waitedMs < heartbeatIntervalS * (RECOVERY_HEARTBEAT_INTERVALS * 1000) + RECOVERY_MARGIN_MS
+    )
       return false;
     this.complete = true;
     const fields = { afterMs: Math.round(waitedMs), unreconciled, jobs: this.state.jobs.size };
--- a/src/core/leader/replacement-demand.ts
+++ b/src/core/leader/replacement-demand.ts
@@ -14,7 +14,7 @@
  * partition heals.
  */
 export const replacementDemands = (unreachable: Machine[], state: LeaderState): CapacityDemand[] => {
-  const lost = lostTasksByZone(unreachable, state);
+  const lost = unreachableTasksByZone(unreachable, state);
   return [...lost]
     .map(([job, lostByZone]) => ({
       rank: priorityRank[job.priority],
@@ -24,7 +24,7 @@
     .map(({ demand }) => demand);
 };
 
-const lostTasksByZone = (unreachable: Machine[], state: LeaderState): Map<Job, Map<Zone, number>> => {
+const unreachableTasksByZone = (unreachable: Machine[], state: LeaderState): Map<Job, Map<Zone, number>> => {
   const lost = new Map<Job, Map<Zone, number>>();
   for (const machine of unreachable) {
     const { zone } = machine.info;
--- a/src/core/leader/scheduling-round.ts
+++ b/src/core/leader/scheduling-round.ts
@@ -26,19 +26,19 @@
 /** Tasks of one job considered in a cycle. */
 const MAX_TASKS_PER_JOB = 40;
 /** Back-off of a job that could not be placed; doubled with each further rejection, up to the maximum. */
-const BACKOFF_MS = 400;
-const BACKOFF_MAX_MS = 5000;
-const BACKOFF_MAX_DOUBLINGS = 10;
+const PLACEMENT_BACKOFF_MS = 400;
+const PLACEMENT_BACKOFF_MAX_MS = 5000;
+const PLACEMENT_BACKOFF_MAX_DOUBLINGS = 10;
 /** Nothing is placed on a machine whose last heartbeat is older than this many heartbeat intervals. */
-const UNREACHABLE_INTERVALS = 2.5;
+const UNREACHABLE_HEARTBEAT_INTERVALS = 2.5;
 /** Without any change, the autoscaler runs again after this time. */
-const RESCALE_MS = 1000;
+const MAX_SCALING_INTERVAL_MS = 1000;
 
 /** The parts of the leader that a round works with. */
 export interface SchedulingRoundDependencies {
   state: LeaderState;
   queue: SchedulingQueue;
-  dependencies: JobDependencies;
+  jobDependencies: JobDependencies;
   autoscaler: Autoscaler;
   typePenalties: TypePenalties;
 }
@@ -46,39 +46,42 @@
 /** Runs a round whenever one is due. */
 export class SchedulingRound {
   /** Machines that the last cycle examined: its cost. */
-  lastCycleWork = 0;
+  lastCycleMachineEvaluations = 0;
   private readonly state: LeaderState;
   private readonly queue: SchedulingQueue;
-  private readonly dependencies: JobDependencies;
+  private readonly jobDependencies: JobDependencies;
   private readonly autoscaler: Autoscaler;
   private readonly typePenalties: TypePenalties;
   private readonly quotas: Map<Team, TeamQuota>;
-  private attempts = 0;
+  private attemptCount = 0;
 
-  constructor({ state, queue, dependencies, autoscaler, typePenalties }: SchedulingRoundDependencies) {
+  constructor({ state, queue, jobDependencies, autoscaler, typePenalties }: SchedulingRoundDependencies) {
     this.state = state;
     this.queue = queue;
-    this.dependencies = dependencies;
+    this.jobDependencies = jobDependencies;
     this.autoscaler = autoscaler;
     this.typePenalties = typePenalties;
     this.quotas = new Map(state.settings.teams.map((team) => [team.name, team]));
   }
 
   /** Places what can be placed, and scales. */
-  runIfDue(now: MonotonicTime, wall: WallTime): void {
+  runIfDue(now: MonotonicTime, wallTime: WallTime): void {
     if (!this.state.needsScheduling && !this.isDue(now)) return;
     this.state.needsScheduling = false;
-    this.dependencies.propagateUrgency();
+    this.jobDependencies.propagateUrgency();
     markWithinGuarantee(this.state.jobs.values(), this.quotas);
-    const { queue, blocked } = this.queue.buildQueue(now, wall);
-    const result = this.runCycle(queue, now, wall);
-    this.lastCycleWork = result.machineEvaluations;
+    const { queue, backedOff } = this.queue.buildQueue(now, wallTime);
+    const result = this.runCycle(queue, now, wallTime);
+    this.lastCycleMachineEvaluations = result.machineEvaluations;
     this.applyPlacements(result.placed, now);
     this.preemptVictims(result, now);
     for (const { job } of result.unplaced) this.backOff(job, now);
     if (result.unprocessed.length > 0) this.state.needsScheduling = true;
     this.logWaitReasons(queue);
-    this.autoscaler.scale([...result.unplaced.map(({ job }) => job), ...result.unprocessed, ...blocked], now);
+    this.autoscaler.scale(
+      [...result.unplaced.map(({ job }) => job), ...result.unprocessed, ...backedOff],
+      now,
+    );
   }
 
   private isDue(now: MonotonicTime): boolean {
@@ -87,10 +90,10 @@
       if (job.pendingCount > 0 && !this.queue.inBackoff(job, now) && now >= job.errorBackoffUntil)
         return true;
     }
-    return now - this.autoscaler.lastScaledAt > RESCALE_MS;
+    return now - this.autoscaler.lastScaledAt > MAX_SCALING_INTERVAL_MS;
   }
 
-  private runCycle(queue: Job[], now: MonotonicTime, wall: WallTime): CycleResult {
+  private runCycle(queue: Job[], now: MonotonicTime, wallTime: WallTime): CycleResult {
     const { machines, jobs, resourcesOf, settings } = this.state;
     return runSchedulingCycle({
       machines,
@@ -100,10 +103,10 @@
       usage: this.queue.teamUsage(),
       quotas: this.quotas,
       now,
-      wallTime: wall,
-      unreachableAfterMs: settings.workers.heartbeatIntervalS * (UNREACHABLE_INTERVALS * 1000),
+      wallTime,
+      unreachableAfterMs: settings.workers.heartbeatIntervalS * (UNREACHABLE_HEARTBEAT_INTERVALS * 1000),
       maxTasksPerJob: MAX_TASKS_PER_JOB,
-      maxMachineEvaluations: settings.cycleWorkLimit,
+      maxMachineEvaluations: settings.maxMachineEvaluationsPerCycle,
       typePenalty: (spec, type) => this.typePenalties.penaltyOf(spec, type),
     });
   }
@@ -112,7 +115,8 @@
   private applyPlacements(placed: readonly AssumedPlacement[], now: MonotonicTime): void {
     const gangAttempts = new Map<JobId, Attempt>();
     for (const { job, index, machine } of placed) {
-      const attempt = gangAttempts.get(job.id) ?? attemptNumber(this.state.leadership.term, ++this.attempts);
+      const attempt =
+        gangAttempts.get(job.id) ?? attemptNumber(this.state.leadership.term, ++this.attemptCount);
       if (job.spec.kind === 'gang') gangAttempts.set(job.id, attempt);
       this.place(job, newPlacement(index, machine.id, attempt, now), machine, now);
     }
@@ -143,8 +147,8 @@
   private backOff(job: Job, now: MonotonicTime): void {
     job.placementRejections++;
     job.rejectedAtCapacityVersion = this.state.capacityVersion;
-    const doublings = Math.min(job.placementRejections, BACKOFF_MAX_DOUBLINGS);
-    const delayMs = Math.min(BACKOFF_MAX_MS, BACKOFF_MS * 2 ** doublings);
+    const doublings = Math.min(job.placementRejections, PLACEMENT_BACKOFF_MAX_DOUBLINGS);
+    const delayMs = Math.min(PLACEMENT_BACKOFF_MAX_MS, PLACEMENT_BACKOFF_MS * 2 ** doublings);
     job.backoffUntil = now + delayMs * wideJitter(this.state.settings.random);
   }
 
--- a/src/core/leader/task-failure-handler.ts
+++ b/src/core/leader/task-failure-handler.ts
@@ -34,7 +34,7 @@
     machine.quarantined = true;
     const fields = { machine: machine.id, jobs: machine.failedJobs.size };
     this.state.log('info', fields, 'machine quarantined: fails tasks of several jobs');
-    this.machinePool.decommission(machine, 'fails tasks', now);
+    this.machinePool.drain(machine, 'fails tasks', now);
   }
 
   private backOff(job: Job, now: MonotonicTime): void {
--- a/src/core/leader/task-reconciler.ts
+++ b/src/core/leader/task-reconciler.ts
@@ -20,13 +20,13 @@
 
 /** Updates placements by what heartbeats say of tasks. */
 export class TaskReconciler {
-  private readonly failures: TaskFailureHandler;
+  private readonly failureHandler: TaskFailureHandler;
 
   constructor(
     private readonly state: LeaderState,
     machinePool: MachinePool,
   ) {
-    this.failures = new TaskFailureHandler(state, machinePool);
+    this.failureHandler = new TaskFailureHandler(state, machinePool);
   }
 
   /** The heartbeat lists all tasks of the machine: what is placed there and not listed has vanished, or never began. */
@@ -35,8 +35,8 @@
     for (const { job, placement } of [...machine.placements.values()]) {
       if (machine.reportedTasks.has(attemptKey(job.id, placement.index, placement.attempt))) continue;
       if (placement.directStartInFlight || placement.directStartOutcomeUnknown) continue;
-      if (placement.observed) this.state.placements.lose(job, placement, 'task vanished', now);
-      else if (placement.stop && settlesStart(heartbeat, source, placement))
+      if (placement.observed) this.state.placements.markLost(job, placement, 'task vanished', now);
+      else if (placement.stop && isStartResolved(heartbeat, source, placement))
         this.state.placements.release(job, placement, 'stopped, and not started by a later heartbeat', now);
     }
   }
@@ -45,16 +45,16 @@
     const job = this.state.jobs.get(task.job);
     if (!job || task.index >= job.spec.tasks) return;
     if (hasUsedImage(task)) machine.recordImageUse(job.spec.image, job.spec.imageGb);
-    const placement = job.placements.get(task.index) ?? this.adoptIfWanted(machine, job, task, now);
-    const own =
+    const placement = job.placements.get(task.index) ?? this.adoptIfNeeded(machine, job, task, now);
+    const current =
       placement && placement.machine === machine.id && placement.attempt === task.attempt
         ? placement
         : undefined;
-    if (task.state === 'exited') this.reconcileExit(machine, job, task, own, now);
-    else if (own) this.recordProgress(machine, job, own, task, now);
+    if (task.state === 'exited') this.reconcileExit(machine, job, task, current, now);
+    else if (current) this.updatePlacement(machine, job, current, task, now);
   }
 
-  private recordProgress(
+  private updatePlacement(
     machine: Machine,
     job: Job,
     placement: Placement,
@@ -77,16 +77,16 @@
     machine: Machine,
     job: Job,
     task: TaskStatus,
-    own: Placement | undefined,
+    current: Placement | undefined,
     now: MonotonicTime,
   ): void {
-    if (task.cause === 'done') this.recordCompletion(machine, job, task, own);
-    if (!own) return;
-    if (task.cause === 'error') this.failures.onTaskError(machine, job, now);
+    if (task.cause === 'done') this.recordCompletion(machine, job, task, current);
+    if (!current) return;
+    if (task.cause === 'error') this.failureHandler.onTaskError(machine, job, now);
     else if (task.cause === 'no_room')
       job.backoffUntil = now + NO_ROOM_BACKOFF_MS * wideJitter(this.state.settings.random);
-    const { stop } = own;
-    this.state.placements.release(job, own, 'exited', now);
+    const { stop } = current;
+    this.state.placements.release(job, current, 'exited', now);
     if (task.cause === 'done') return;
     const { index, cause, saved } = task;
     this.state.log(
@@ -95,19 +95,24 @@
       'task ended without completing',
     );
     if (job.spec.kind === 'gang')
-      this.state.placements.stopBrokenGang(job, `member ${index}: ${cause ?? 'no cause reported'}`, now);
+      this.state.placements.stopGang(job, `member ${index}: ${cause ?? 'no cause reported'}`, now);
   }
 
   /** The tasks of a gang complete together. */
-  private recordCompletion(machine: Machine, job: Job, task: TaskStatus, own: Placement | undefined): void {
+  private recordCompletion(
+    machine: Machine,
+    job: Job,
+    task: TaskStatus,
+    current: Placement | undefined,
+  ): void {
     if (job.spec.kind === 'gang') for (let i = 0; i < job.spec.tasks; i++) job.markCompleted(i);
     else job.markCompleted(task.index);
     machine.failedJobs.clear();
-    if (own) this.state.decisionLog.recordCompleted(machine, task);
+    if (current) this.state.decisionLog.recordCompleted(machine, task);
   }
 
   /** A task of an earlier leader is counted as placed where it runs, unless its job needs it no more. */
-  private adoptIfWanted(
+  private adoptIfNeeded(
     machine: Machine,
     job: Job,
     task: TaskStatus,
@@ -132,7 +137,7 @@
   cause === 'no_room' || cause === 'in_use' || cause === 'no_such';
 
 /** Whether the heartbeat shows that a start sent in reply to an earlier one was executed, or never will be. */
-const settlesStart = (
+const isStartResolved = (
   heartbeat: Heartbeat,
   source: HeartbeatSource,
   { startSentInReplyTo }: Placement,
--- a/src/core/leader/urgency-inheritance.ts
+++ b/src/core/leader/urgency-inheritance.ts
@@ -29,8 +29,8 @@
   const stack = [job];
   while (stack.length > 0) {
     const top = stack.at(-1)!;
-    const waiting = [...(dependents.get(top.id) ?? [])];
-    const unvisited = waiting.find((dependent) => !visited.has(dependent.id));
+    const dependentJobs = [...(dependents.get(top.id) ?? [])];
+    const unvisited = dependentJobs.find((dependent) => !visited.has(dependent.id));
     if (unvisited) {
       stack.push(unvisited);
       continue;
@@ -38,9 +38,9 @@
     stack.pop();
     if (visited.has(top.id)) continue;
     visited.add(top.id);
-    const before = top.priority;
-    top.inheritedUrgency = urgencyOf(waiting);
-    if (top.priority !== before) onPriorityChanged(top);
+    const previousPriority = top.priority;
+    top.inheritedUrgency = urgencyOf(dependentJobs);
+    if (top.priority !== previousPriority) onPriorityChanged(top);
   }
 };
 
--- a/src/runtime/leadership/leader-settings.ts
+++ b/src/runtime/leadership/leader-settings.ts
@@ -29,7 +29,7 @@
     fitsRegistryPage: (machines) => fitsRegistryPage(machines, valueKb),
     segmentBytes: segmentBytes(valueKb),
     progressWritesPerS: writeRps * PROGRESS_WRITES_FRACTION,
-    cycleWorkLimit: Math.max(MIN_CYCLE_WORK, platform.limits.cpu * CYCLE_WORK_PER_CORE),
+    maxMachineEvaluationsPerCycle: Math.max(MIN_CYCLE_WORK, platform.limits.cpu * CYCLE_WORK_PER_CORE),
     random,
   };
 };
--- a/src/test/dependencies.test.ts
+++ b/src/test/dependencies.test.ts
@@ -51,13 +51,13 @@
   const { state, ready, dependencies, learn } = setup();
   const after = learn(idOf(3), { dependsOn: [idOf(1)] });
   const other = learn(idOf(4), { dependsOn: [idOf(2)] });
-  assert.deepEqual(dependencies.takeDueLookups(now), [idOf(1), idOf(2)]);
-  assert.deepEqual(dependencies.takeDueLookups(now), [], 'asked for once');
+  assert.deepEqual(dependencies.startDueLookups(now), [idOf(1), idOf(2)]);
+  assert.deepEqual(dependencies.startDueLookups(now), [], 'asked for once');
   dependencies.onFinalRecordRead(idOf(1), null, now);
   dependencies.onFinalRecordRead(idOf(2), 'cancelled', now);
   assert.ok(!after.ready && !after.cancelled && other.cancelled);
-  assert.deepEqual(dependencies.takeDueLookups(499 as MonotonicTime), []);
-  assert.deepEqual(dependencies.takeDueLookups(500 as MonotonicTime), [idOf(1)]);
+  assert.deepEqual(dependencies.startDueLookups(499 as MonotonicTime), []);
+  assert.deepEqual(dependencies.startDueLookups(500 as MonotonicTime), [idOf(1)]);
   dependencies.onFinalRecordRead(idOf(1), 'done', 500 as MonotonicTime);
   assert.deepEqual(ready, [idOf(3)]);
   assert.ok(state.jobs.get(idOf(3))!.ready);
@@ -66,10 +66,10 @@
 test('many final records are read a few at a time', () => {
   const { dependencies, learn } = setup();
   learn(idOf(0), { dependsOn: Array.from({ length: 100 }, (_item, index) => idOf(index + 1)) });
-  const asked = dependencies.takeDueLookups(now);
+  const asked = dependencies.startDueLookups(now);
   assert.ok(asked.length > 1 && asked.length < 50);
   dependencies.onFinalRecordRead(asked[0], 'done', now);
-  assert.equal(dependencies.takeDueLookups(now).length, 1);
+  assert.equal(dependencies.startDueLookups(now).length, 1);
 });
 
 test('priority and deadline are inherited from dependents; own ones are never lowered', () => {
--- a/src/test/mutations-safeguards.test.ts
+++ b/src/test/mutations-safeguards.test.ts
@@ -94,8 +94,8 @@
     SchedulingQueue.prototype,
     'buildQueue',
     function (this: SchedulingQueue, ...now: Parameters<SchedulingQueue['buildQueue']>) {
-      const { queue, blocked } = waiting.apply(this, now);
-      return { queue: queue.filter((job) => job.id !== 'wk-1'), blocked };
+      const { queue, backedOff } = waiting.apply(this, now);
+      return { queue: queue.filter((job) => job.id !== 'wk-1'), backedOff };
     },
   );
   await assertViolates('left_waiting', startMixedWork);
--- a/src/test/sim/heartbeat-handler-fixtures.ts
+++ b/src/test/sim/heartbeat-handler-fixtures.ts
@@ -104,7 +104,7 @@
     fitsRegistryPage: () => true,
     segmentBytes: 2048,
     progressWritesPerS: 20,
-    cycleWorkLimit: 100_000,
+    maxMachineEvaluationsPerCycle: 100_000,
     random: () => 0.5,
   };
   return new Leader({ term: TERM, keyRevision: 1 }, settings, 0 as MonotonicTime);
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -83,7 +83,7 @@
         fitsRegistryPage: () => true,
         segmentBytes: 1500,
         progressWritesPerS: 10,
-        cycleWorkLimit: 100_000,
+        maxMachineEvaluationsPerCycle: 100_000,
         random: () => 0.5,
       },
       this.now,
--- a/src/test/sim/leader-simulation.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -134,7 +134,7 @@
         fitsRegistryPage: (machines) => machines.length <= 16,
         segmentBytes: 2048,
         progressWritesPerS: 20,
-        cycleWorkLimit: 200_000,
+        maxMachineEvaluationsPerCycle: 200_000,
         random: () => this.random(),
       },
       this.monotonicNow,
@@ -195,7 +195,7 @@
     const { leader } = this;
     if (!leader || this.keyValueStoreUnavailable) return;
     leader.tick(this.monotonicNow, this.wallClockNow);
-    this.maxCycleWork = Math.max(this.maxCycleWork, leader.lastCycleWork);
+    this.maxCycleWork = Math.max(this.maxCycleWork, leader.lastCycleMachineEvaluations);
     leader.takeEffects().forEach((effect) => this.execute(leader, effect));
   }
 
