--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -1,4 +1,4 @@
-/** Scales out for the waiting and the expected work, and in where nothing needs a machine. */
+/** Scales out for pending and forecast work, and scales in machines that are not needed. */
 import { ArrivalRates } from '../scaling/arrival-rates.js';
 import type { Machine } from '../machine.js';
 import { addResources, type Resources } from '../resources.js';
@@ -16,25 +16,27 @@
 import type { MachinePool } from './machine-pool.js';
 import { replacementDemands } from './replacement-demand.js';
 
-/** Between two plans. */
+/** Minimum interval between two plans. */
 const MIN_SCALING_INTERVAL_MS = 500;
 /**
- * The most new machines planned at once: this minimum, or one for this many waiting tasks if that is more. Guards
- * against large clusters that start slowly.
+ * One plan creates at most this many machines, or one for this many pending tasks if that is more, so that large
+ * clusters start quickly too.
  */
 const MIN_NEW_MACHINE_LIMIT = 60;
 const WAITING_TASKS_PER_NEW_MACHINE = 16;
-/** Waiting tasks of one job that are planned for at once. */
+/** Maximum number of pending tasks of one job in one plan. */
 const MAX_PLANNED_TASKS_PER_JOB = 200;
-/** Machines in one request (PROTOCOL, cloud). */
+/** Maximum number of machines in one request, set by the cloud provider's protocol. */
 const MAX_MACHINES_PER_REQUEST = 50;
-/** A refused kind of machine is asked for again after the operators' time, or this many times as long at the most. */
+/** Upper bound of the back-off after refused requests, as a multiple of the capacity_retry_s setting. */
 const MAX_REFUSAL_BACKOFF_FACTOR = 4;
-/** As in scheduling: nothing is placed on a machine without a heartbeat for this many heartbeat intervals. */
+/**
+ * As in scheduling, no task is placed on a machine whose last heartbeat is older than this many heartbeat intervals.
+ */
 const UNREACHABLE_HEARTBEAT_INTERVALS = 2.5;
-/** A leader that has got no list of machines doesn't scale out for this long. */
+/** Without a list of machines from the cloud provider, a new leader waits this long before it scales out. */
 const FIRST_LIST_TIMEOUT_MS = 10_000;
-/** A machine is kept for at least this long after it was provisioned. */
+/** A machine is not scaled in before this time after it was provisioned. */
 const MIN_MACHINE_AGE_MS = 60_000;
 
 interface Capacity {
@@ -42,14 +44,14 @@
   free: Resources;
 }
 
-/** Decides how many machines of which types there are to be. */
+/** Decides how many machines of each type to create, and which machines to delete. */
 export class Autoscaler {
   lastScaledAt = -Infinity;
   readonly arrivalRates = new ArrivalRates();
   private readonly unavailableUntil = new Map<string, MonotonicTime>();
-  /** Refusals in a row, by kind of machine. */
+  /** Number of consecutive refusals for lack of capacity, by `capacityKey`. */
   private readonly consecutiveRefusals = new Map<string, number>();
-  /** Requests not answered yet. */
+  /** Requests without a response, by request id. */
   private readonly pendingRequests = new Map<string, ScaleOutRequest>();
   private requestCount = 0;
 
@@ -58,12 +60,13 @@
     private readonly machinePool: MachinePool,
   ) {}
 
-  /** The cloud provider's answer to a request for machines. */
+  /** Handles the cloud provider's response to a scale-out request. */
   onScaleOutResult(requestId: string, outcome: ScaleOutOutcome, now: MonotonicTime): void {
     const request = this.pendingRequests.get(requestId);
     if (!request) return;
     if (outcome === 'retry') {
-      // The name is kept: a repeat of a request that was carried out gives the same machines.
+      // The request id stays the same: if the request was executed after all, the cloud provider returns the same
+      // machines.
       this.state.effects.push({ kind: 'create-machines', requestId, request });
       return;
     }
@@ -80,7 +83,10 @@
     this.state.needsScheduling = true;
   }
 
-  /** Backs off for longer with each refusal in a row. Requests of one plan are refused together: that counts once. */
+  /**
+   * Increases the back-off with each consecutive refusal. Requests of the same plan are refused together and count
+   * once.
+   */
   private recordRefusal(key: string, now: MonotonicTime): void {
     if ((this.unavailableUntil.get(key) ?? -Infinity) > now) return;
     const refusals = (this.consecutiveRefusals.get(key) ?? 0) + 1;
@@ -90,7 +96,10 @@
     this.unavailableUntil.set(key, (now + backoffMs * narrowJitter(random)) as MonotonicTime);
   }
 
-  /** Plans for the jobs that wait, scales out by the plan, and in where it needs no machine. */
+  /**
+   * Plans capacity for the waiting jobs, requests the missing machines, and scales in machines that the plan does not
+   * use.
+   */
   scale(waiting: Job[], now: MonotonicTime): void {
     const { machineTypes } = this.state;
     if (now - this.lastScaledAt < MIN_SCALING_INTERVAL_MS || machineTypes.length === 0) return;
@@ -110,7 +119,7 @@
     this.scaleIn(plan.neededMachines, now);
   }
 
-  /** Machines that tasks can be planned for, and those that can't be because no heartbeat comes from them. */
+  /** Machines that a plan can place tasks on, and machines that it cannot use because their heartbeats are missing. */
   private usableMachines(now: MonotonicTime): { capacities: Capacity[]; unreachable: Machine[] } {
     const capacities: Capacity[] = [];
     const unreachable: Machine[] = [];
@@ -133,14 +142,15 @@
   }
 
   /**
-   * Up before this leader and not registered, so nothing is on it: its next heartbeat makes it usable, and scaling out
-   * beside a whole cluster of such machines would be for nothing.
+   * Whether the machine was up before this leadership began but is not registered, so it holds no tasks. Its next
+   * heartbeat makes it usable. If it did not count as capacity, a new leader would scale out although a whole cluster
+   * is up.
    */
   private isUnregisteredFromEarlierLeader(machine: Machine): boolean {
     return !this.state.unreconciledMachines.has(machine.id) && machine.provisionedAt < this.state.startedAt;
   }
 
-  /** Replacements first, then what waits, then what is expected. */
+  /** Demands in order of priority: replacements of unreachable machines, waiting jobs, forecast work. */
   private demands(waiting: Job[], unreachable: Machine[], now: MonotonicTime): CapacityDemand[] {
     const demands = replacementDemands(unreachable, this.state);
     for (const job of waiting) {
@@ -153,12 +163,15 @@
     return demands;
   }
 
-  /** Machines that aren't registered may be up, as at a first leader's start: none is created beside them unseen. */
+  /**
+   * Whether to wait for the first list of machines, since unregistered machines may be up, as at the first leader's
+   * start.
+   */
   private isAwaitingFirstList(now: MonotonicTime): boolean {
     return !this.state.machinesListed && now - this.state.startedAt < FIRST_LIST_TIMEOUT_MS;
   }
 
-  /** In requests of the size that the cloud provider takes; each has a name of its own, which a repeat keeps. */
+  /** Splits the request into batches that the cloud provider accepts. Each batch has its own id, which retries keep. */
   private requestMachines(request: ScaleOutRequest): void {
     for (let remaining = request.count; remaining > 0; remaining -= MAX_MACHINES_PER_REQUEST) {
       const requestId = `t${this.state.leadership.term}-${++this.requestCount}`;
--- a/src/core/leader/deadline-predictor.ts
+++ b/src/core/leader/deadline-predictor.ts
@@ -1,11 +1,13 @@
-/** Predicts which jobs will miss their deadlines, as far as their owners' estimates tell, through DAG dependencies too. */
+/**
+ * Predicts from the owners' run-time estimates which jobs will miss their deadlines, including their DAG dependencies.
+ */
 import type { Job } from '../job.js';
 import type { JobId, MonotonicTime, WallTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
 const UPDATE_INTERVAL_MS = 2000;
 
-/** Seconds that a job still takes from the moment at which it is ready, if nothing holds it up. */
+/** Remaining run time of a job once its dependencies are done, assuming that its tasks are placed without delay. */
 const remainingS = (job: Job, now: MonotonicTime): number => {
   let longest = job.pendingCount > 0 ? job.spec.estimateS : 0;
   for (const { running, runningSince } of job.placements.values()) {
@@ -15,13 +17,13 @@
   return longest;
 };
 
-/** Predicts when jobs with a deadline end, and logs when a prediction turns. */
+/** Predicts the end of each job with a deadline, and logs each change between late and in time. */
 export class DeadlinePredictor {
   private lastUpdatedAt = -Infinity;
 
   constructor(private readonly state: LeaderState) {}
 
-  /** Predicts anew, if that is due. */
+  /** Updates all predictions, if an update is due. */
   update(now: MonotonicTime, wallTime: WallTime): void {
     if (now - this.lastUpdatedAt < UPDATE_INTERVAL_MS) return;
     this.lastUpdatedAt = now;
@@ -33,7 +35,7 @@
     }
   }
 
-  /** The end of the longest path through the jobs that it waits for; a chain needs no recursion. */
+  /** Predicted end along the longest path through the job's dependencies. Iterative, because chains can be long. */
   private predictedEnd(job: Job, ends: Map<JobId, number>, now: MonotonicTime, wallTime: WallTime): number {
     const stack = [job];
     while (stack.length > 0) {
--- a/src/core/leader/decision-log.ts
+++ b/src/core/leader/decision-log.ts
@@ -1,6 +1,6 @@
 /**
- * Log events and counters of what the leader decides about single tasks. The lines of all controllers, merged by job,
- * task, attempt and machine, tell why a task was started, stopped, released or forgotten, and under which term.
+ * Log events and counters of the leader's decisions about single tasks. The log lines of all controllers, merged by
+ * job, task, attempt and machine, show why and under which term a task was started, stopped, released or forgotten.
  */
 import type { Machine } from '../machine.js';
 import type { Job, Placement } from '../job.js';
@@ -9,10 +9,12 @@
 import type { Uint64, Term } from '../units.js';
 import type { LogLevel } from './effects.js';
 
-/** How commands reach a worker: in reply to the heartbeat of that sequence number, or straight to its endpoint. */
+/**
+ * How commands reach a worker: in the reply to the heartbeat with this sequence number, or directly at its endpoint.
+ */
 export type CommandChannel = { via: 'heartbeat'; sequence: Uint64 } | { via: 'direct' };
 
-/** Why the leader no longer counts a task as being on a machine. */
+/** Why a placement was released, i.e. why the machine no longer holds the task. */
 export type ReleaseCause =
   | 'start never sent'
   | 'stopped, and not started by a later heartbeat'
@@ -22,7 +24,7 @@
   | 'incarnation ended'
   | 'machine gone';
 
-/** Counts since this leadership began, for the status page. */
+/** Counts of decisions since this leadership began, shown on the status page. */
 export interface DecisionCounts {
   started: number;
   stopped: number;
@@ -52,7 +54,7 @@
     private readonly log: Log,
   ) {}
 
-  /** Commands go to the machine's worker. */
+  /** Records commands sent to the machine's worker. */
   recordCommandsSent(machine: Machine, commands: readonly Command[], channel: CommandChannel): void {
     const { term } = this;
     const { incarnation } = machine.lastHeartbeat;
@@ -63,20 +65,20 @@
     }
   }
 
-  /** The task no longer counts as being on its machine. */
+  /** Records the release of a placement. */
   recordReleased(job: Job, placement: Placement, cause: ReleaseCause): void {
     this.counts.released++;
     const { index: task, attempt, machine } = placement;
     this.log('debug', { job: job.id, task, attempt, machine, term: this.term, cause }, 'task released');
   }
 
-  /** A task of an earlier leader counts as being on the machine. */
+  /** Records the adoption of a task that an earlier leader started on the machine. */
   recordAdopted(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
     this.counts.adopted++;
     this.log('debug', { job, task, attempt, machine: machine.id, term: this.term }, 'task adopted');
   }
 
-  /** The task is done. */
+  /** Records the completion of a task. */
   recordCompleted(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
     this.counts.completed++;
     this.log('debug', { job, task, attempt, machine: machine.id, term: this.term }, 'task completed');
--- a/src/core/leader/direct-command-dispatcher.ts
+++ b/src/core/leader/direct-command-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Sends new starts and stops straight to workers, without waiting for their next heartbeat. */
+/** Sends new start and stop commands directly to workers, without waiting for their next heartbeat. */
 import { attemptKey } from '../task-status.js';
 import type { Machine } from '../machine.js';
 import { commandsForMachine } from './machine-commands.js';
@@ -7,8 +7,9 @@
 import type { LeaderState } from './leader-state.js';
 
 /**
- * Attempts kept on a worker only because a copy of their start may still arrive; beyond, starts go in replies. Keeps
- * heartbeats short on a machine that runs many tasks under one leader.
+ * Maximum number of attempts that a worker must keep in its heartbeats because a copy of their start may still arrive.
+ * Above it, starts are only sent in replies to heartbeats. This bounds the size of heartbeats on a machine that runs
+ * many tasks under one leader.
  */
 const MAX_IN_FLIGHT_STARTS = 16;
 
@@ -16,7 +17,7 @@
 export class DirectCommandDispatcher {
   constructor(private readonly state: LeaderState) {}
 
-  /** All starts and stops that are pending. */
+  /** Sends all pending start and stop commands. */
   dispatch(now: MonotonicTime): void {
     for (const machine of [...this.state.machinesWithPendingCommands]) {
       if (machine.directCommandInFlight) continue;
@@ -25,14 +26,17 @@
     }
   }
 
-  /** Only the stops of cancelled jobs: they are final, whoever leads next. */
+  /**
+   * Sends only the stop commands of cancelled jobs, which need no authority because a cancellation is final under
+   * every leader.
+   */
   dispatchCancellations(now: MonotonicTime): void {
     for (const machine of [...this.state.machinesWithPendingCommands]) {
       if (machine.directCommandInFlight || !machine.reconciled || !machine.endpointKnown) continue;
       const stops = commandsForMachine(machine, this.state.jobs, now).filter(
         ({ op, job }) => op === 'stop' && this.state.jobs.get(job)?.cancelled,
       );
-      // The machine stays pending: its other commands wait for authority.
+      // The machine stays in the set of pending ones, because its other commands need authority.
       if (stops.length > 0) this.send(machine, stops);
     }
   }
--- a/src/core/leader/effects.ts
+++ b/src/core/leader/effects.ts
@@ -1,4 +1,4 @@
-/** What the leader asks the runtime to do, the results that it gets, and its settings. */
+/** The effects that the leader requests from the runtime, the results that it receives, and its settings. */
 import type { ScaleOutRequest } from '../scaling/scale-out-plan.js';
 import type { Heartbeat } from '../heartbeat.js';
 import type { FinalState, JobRecord } from '../job-spec.js';
@@ -11,7 +11,7 @@
 /** Levels of the leader's log events. */
 export type LogLevel = 'info' | 'debug';
 
-/** One thing that the runtime is to do. */
+/** An action that the runtime must execute for the leader. */
 export type Effect =
   | {
       kind: 'write-final-record';
@@ -21,11 +21,11 @@
       tasks: number;
       segments: SegmentName[];
     }
-  /** The final record of a job that others depend on is to be read. */
+  /** Reads the final record of a job that other jobs depend on. */
   | { kind: 'read-final-record'; job: JobId }
   | { kind: 'write-progress'; job: JobId; segment: SegmentName; bytes: Uint8Array }
   | { kind: 'write-registry-page'; page: string; machines: MachineInfo[] }
-  /** `request` names the order: a repeat under the same name creates no further machines. */
+  /** The request is idempotent: another one with the same `requestId` creates no further machines. */
   | { kind: 'create-machines'; requestId: string; request: ScaleOutRequest }
   | { kind: 'delete-machines'; machines: MachineId[] }
   | {
@@ -37,18 +37,18 @@
     }
   | { kind: 'log'; level: LogLevel; fields: Record<string, unknown>; text: string };
 
-/** The outcome of writing a job's final record. */
+/** The result of writing a job's final record; `changed` if its active record had another revision. */
 export type FinalRecordOutcome =
   | { kind: 'ok'; state: FinalState }
   | { kind: 'retry' }
   | { kind: 'changed'; record: JobRecord; revision: Revision };
 
-/** The outcome of a request for machines; after `retry` the same request is to be made again. */
+/** The result of a scale-out request; after `retry` the same request must be sent again. */
 export type ScaleOutOutcome = { machines: MachineId[] } | 'no-capacity' | 'retry';
 
 /**
- * The outcome of commands that went straight to a worker. The worker's answer holds a heartbeat, unless that could not be
- * read; `unsent` commands certainly didn't reach it.
+ * The result of commands sent directly to a worker. The response contains a heartbeat, which is null if it could not be
+ * parsed. `unsent` commands certainly did not reach the worker; `unknown` ones may have.
  */
 export type DirectCommandResult =
   { kind: 'executed' | 'refused'; heartbeat: Heartbeat | null } | { kind: 'unsent' } | { kind: 'unknown' };
@@ -56,29 +56,32 @@
 /** The images in each machine's cache, with their sizes. */
 export type ImageLocations = Record<string, [string, number][]>;
 
-/** The settings of a leader, the same as long as it leads. */
+/** The settings of a leader. They do not change during a leadership. */
 export interface LeaderSettings {
   workers: WorkerTimings;
   teams: TeamQuota[];
   objectives: { kind: string; class?: string; withinS?: number }[];
-  /** How long an idle machine is kept. */
+  /** How long a machine stays idle before it is scaled in. */
   idleHoldS: number;
-  /** How long the operators want the cloud provider left alone after it had no capacity. */
+  /** Initial back-off of scale-out requests after the cloud provider had no capacity. */
   capacityRetryS: number;
-  /** After this long without a start, a job goes before the others and capacity is reserved for it. */
+  /** After waiting this long, a job can be placed ahead of the others, with capacity reserved for it. */
   agingS: number;
-  /** By how much the cloud provider's list of machines lags. */
+  /** Maximum lag of the cloud provider's list of machines. */
   listLagS: number;
-  /** Capacity kept for work still to come, in standard deviations of its arrivals. */
+  /** Spare capacity for forecast work, in standard deviations of the job arrivals. */
   headroom: number;
-  /** Whether one page of the machine registry can name all of these machines within the limit on a value. */
+  /**
+   * Whether all of these machines fit on one page of the machine registry, given the key-value store's limit on a
+   * value.
+   */
   fitsRegistryPage: (machines: MachineInfo[]) => boolean;
-  /** Bytes of completions in one record. */
+  /** Size of one segment of a job's progress. */
   segmentBytes: number;
-  /** Records of progress written a second, at the most. */
+  /** Maximum number of progress records written per second. */
   progressWritesPerS: number;
-  /** Machines examined in one scheduling cycle, at the most. */
+  /** Maximum number of machine evaluations in one scheduling cycle. */
   maxMachineEvaluationsPerCycle: number;
-  /** Uniform in [0, 1). */
+  /** Returns a random number, uniform in [0, 1). */
   random: () => number;
 }
--- a/src/core/leader/failure-detector.ts
+++ b/src/core/leader/failure-detector.ts
@@ -1,7 +1,7 @@
 /**
- * Failure detector: fences machines whose heartbeats stay away. A machine that is unreachable alone is fenced soon; many
- * at once, or a zone, are most likely whole behind a partition and get more time, but never beyond what a cancelled task
- * on them may take.
+ * Failure detector: fences machines from which no heartbeats arrive. A single unreachable machine is fenced soon. Many
+ * machines or a zone that become unreachable together are most likely intact behind a network partition and get more
+ * time, but a machine that may hold a cancelled task is always fenced within the time allowed for a cancellation.
  */
 import type { Job } from '../job.js';
 import type { Machine } from '../machine.js';
@@ -11,11 +11,13 @@
 import type { MachinePool } from './machine-pool.js';
 import { Reachability } from './reachability.js';
 
-/** Watches the machines that are up. */
+/** Monitors the heartbeats of the machines that are up. */
 export class FailureDetector {
   private readonly timeouts: DetectionTimeouts;
   private lastMassFailureAt = -Infinity;
-  /** Before this time heartbeats could not arrive here. */
+  /**
+   * When this leader last regained authority; timeouts do not count time before it, when no heartbeats could arrive.
+   */
   private timeoutsStartAt = -Infinity;
 
   constructor(
@@ -25,14 +27,17 @@
     this.timeouts = new DetectionTimeouts(state.settings.workers);
   }
 
-  /** Authority is back: machines that could not report meanwhile have their time to do so. */
+  /**
+   * Restarts all timeouts after authority is regained, since machines could not send heartbeats to this leader before.
+   */
   restartTimeouts(now: MonotonicTime): void {
     this.timeoutsStartAt = now;
   }
 
   /**
-   * The one fence that needs no authority: of an unreachable machine that holds a cancelled task. It may hang, and then
-   * neither a stop nor the end of its lease ends the task. Whoever leads next finds it gone, or fences it once more.
+   * Fences unreachable machines that hold a cancelled task, the only fencing that needs no authority. On a machine that
+   * hangs, neither a stop command nor the expiry of its lease ends the task. If another leader follows, it finds the
+   * machine deleted or fences it again.
    */
   fenceOverdueMachines(now: MonotonicTime, wallTime: WallTime): void {
     const unlocatedJobs = this.unlocatedOverdueJobs(now, wallTime);
@@ -41,7 +46,7 @@
         this.machinePool.fence(machine, 'unreachable with a cancelled task', now, true);
   }
 
-  /** Fences the machines that are past their detection timeout. */
+  /** Fences the machines whose detection timeout has expired. */
   detectFailures(now: MonotonicTime, wallTime: WallTime): void {
     const reachability = this.measureReachability(now);
     this.updatePartitionedZones(reachability, now);
@@ -51,7 +56,8 @@
     for (const machine of suspected) {
       if (machine.decommissioning?.mayHoldOverdueTask) continue;
       const { zone } = machine.info;
-      // Half a zone becomes unreachable at once only in a partition; its workers may be kept alive over there.
+      // Half of a zone becomes unreachable at once only in a partition; a controller on the other side may still be
+      // renewing the leases of its workers.
       const inPartition = this.state.partitionedZones.has(zone);
       const isWholeZone = inPartition && reachability.isWholeZoneUnreachable(zone);
       const overdue = this.isOverdue(machine, isWholeZone ? [] : unlocatedJobs, now, wallTime);
@@ -77,8 +83,9 @@
   }
 
   /**
-   * Returns whether there is a mass failure, or was a moment ago: many machines unreachable at once, as after a failover: it is the network or we that keep their heartbeats away.
-   * Fencing them all would destroy a healthy cluster; those that are really gone are soon missing from the cloud's list.
+   * Returns whether there is, or recently was, a mass failure: many machines unreachable at once, as after a failover.
+   * The cause is then most likely the network or this controller, and fencing all of them would destroy a healthy
+   * cluster. Machines that no longer exist are soon missing from the cloud provider's list.
    */
   private updateMassFailure(reachability: Reachability, now: MonotonicTime): boolean {
     if (reachability.isMassFailure) this.lastMassFailureAt = now;
@@ -100,7 +107,7 @@
     );
   }
 
-  /** For how long the machine could have sent a heartbeat and none has come. */
+  /** Time since the last heartbeat, without the time before this leader could receive heartbeats. */
   private sinceHeartbeatMs(machine: Machine, now: MonotonicTime): number {
     return now - Math.max(machine.lastHeartbeatAt ?? this.state.startedAt, this.timeoutsStartAt);
   }
@@ -112,7 +119,10 @@
     return cancelledForMs !== null && sinceHeartbeatMs >= this.timeouts.overdueTimeoutMs(cancelledForMs);
   }
 
-  /** For how long the machine has held an overdue cancelled task, or may have held an unlocated one; null: it doesn't. */
+  /**
+   * The age of the longest overdue cancellation whose task the machine holds or, if the machine is not reconciled, may
+   * hold; null if there is none.
+   */
   private overdueCancellationAgeMs(
     machine: Machine,
     unlocatedJobs: Job[],
@@ -131,8 +141,9 @@
   }
 
   /**
-   * Their tasks may hang on machines not reconciled since this leadership began, where no heartbeat has shown them.
-   * They are waited for longer: of many such machines most are whole, and end the tasks or lose their lease themselves.
+   * Overdue cancelled jobs whose tasks may be on machines that are not reconciled since this leadership began, so no
+   * heartbeat has shown where the tasks are. Their timeout is longer: most of these machines are healthy, and either
+   * stop the tasks or lose their lease.
    */
   private unlocatedOverdueJobs(now: MonotonicTime, wallTime: WallTime): Job[] {
     if (this.state.unreconciledMachines.size === 0) return [];
--- a/src/core/leader/heartbeat-reconciler.ts
+++ b/src/core/leader/heartbeat-reconciler.ts
@@ -1,4 +1,4 @@
-/** Takes in workers' heartbeats and the results of direct commands: which are new, and what follows from them. */
+/** Processes workers' heartbeats and the results of direct commands, and updates the leader's state by them. */
 import type { Machine } from '../machine.js';
 import { attemptKey, sameTaskStatuses } from '../task-status.js';
 import type { Heartbeat, UnchangedHeartbeat } from '../heartbeat.js';
@@ -12,7 +12,7 @@
 import { mayHaveReachedWorker } from './placement-lifecycle.js';
 import { TaskReconciler, type HeartbeatSource } from './task-reconciler.js';
 
-/** Reconciles what workers report with what the leader wants of them. */
+/** Reconciles the state that workers report with the state that the leader wants. */
 export class HeartbeatReconciler {
   private readonly tasks: TaskReconciler;
   private readonly oneWayPartitions: OneWayPartitionDetector;
@@ -25,12 +25,13 @@
     this.oneWayPartitions = new OneWayPartitionDetector(state, machinePool);
   }
 
-  /** The commands for the reply to a heartbeat. */
+  /** Processes a heartbeat and returns the commands for the reply. */
   onHeartbeat(heartbeat: Heartbeat, now: MonotonicTime): Command[] {
     const machine = this.processHeartbeat(heartbeat, 'heartbeat', now);
     if (!machine) return [];
     this.oneWayPartitions.recordReply(machine, now);
-    // Not under our token yet: an earlier leader's command could still arrive, and this reply raises the token.
+    // The worker has not adopted this leader's fencing token yet, so an earlier leader's command could still be
+    // executed. This reply carries the new token.
     if (!machine.reconciled || machine.inSync) return [];
     const commands = commandsForMachine(machine, this.state.jobs, now);
     machine.inSync = commands.length === 0 && hasNothingPending(machine);
@@ -48,18 +49,18 @@
   }
 
   /**
-   * A heartbeat that said the same as one that was processed in full and replied to without commands. False: the next
-   * one is needed in full, as for every machine that awaits something.
+   * Processes a heartbeat with the same content as one that was processed in full and replied to without commands.
+   * Returns false if the next heartbeat must be sent in full, as for every machine that is not in sync.
    */
   onUnchangedHeartbeat(unchanged: UnchangedHeartbeat, now: MonotonicTime): boolean {
     const machine = this.state.machines.get(unchanged.machine);
     if (!machine) return false;
     const last = machine.lastHeartbeat;
     if (last.receivedAt === null || !equalUint64(unchanged.incarnation, last.incarnation)) return false;
-    // Overtaken by a newer one: it says nothing, not even that the machine is alive now.
+    // A newer heartbeat arrived first, so this one does not show that the machine is alive now.
     if (!(unchanged.sequence > last.sequence)) return machine.inSync;
     last.receivedAt = now;
-    // A direct command's answer may have reported other tasks since: then the machine's base is another one.
+    // The response to a direct command may have reported other tasks since; then the base heartbeat is out of date.
     const isCurrentBase =
       last.processedSequence !== null && equalUint64(unchanged.baseSequence, last.processedSequence);
     if (!machine.reconciled || !machine.inSync || !isCurrentBase) return false;
@@ -68,12 +69,12 @@
     return true;
   }
 
-  /** A heartbeat that comes while we have no authority to command: only taken in. */
+  /** Records a heartbeat without replying with commands, for a leader without authority. */
   onHeartbeatWithoutAuthority(heartbeat: Heartbeat, now: MonotonicTime): void {
     this.processHeartbeat(heartbeat, 'heartbeat', now);
   }
 
-  /** The outcome of commands that went straight to a worker. */
+  /** Handles the result of commands sent directly to a worker's endpoint. */
   onDirectCommandResult(
     id: MachineId,
     commands: Command[],
@@ -90,9 +91,9 @@
   }
 
   /**
-   * A refused start can't be executed later either, nor can an earlier copy, since token and incarnation only rise. One
-   * that was never sent says nothing of an earlier copy. In every other case a copy may arrive late, even of a start that
-   * was answered: the attempt must stay known there.
+   * After a refused start the worker will refuse all earlier copies too, since token and incarnation only increase. An
+   * unsent start proves nothing about earlier copies. In all other cases a copy may arrive late, even if the worker has
+   * responded to the start, so the worker must keep the attempt.
    */
   private recordDirectStartResult(
     machine: Machine,
@@ -107,13 +108,13 @@
     else if (kind === 'unknown' && isCurrent) placement.directStartOutcomeUnknown = true;
   }
 
-  /** Takes in a heartbeat; null if it is older than what is known. */
+  /** Updates the machine's state by a heartbeat. Returns null if the heartbeat is out of date. */
   private processHeartbeat(
     heartbeat: Heartbeat,
     source: HeartbeatSource,
     now: MonotonicTime,
   ): Machine | null {
-    // Held back by the network until after its machine was deleted: there is nothing there any more.
+    // The network delayed the heartbeat until after the machine was deleted.
     if (this.state.deletedMachines.has(heartbeat.id)) return null;
     const machine = this.state.machines.get(heartbeat.id) ?? this.state.addMachine(heartbeat, now);
     const last = machine.lastHeartbeat;
@@ -134,7 +135,7 @@
     return machine;
   }
 
-  /** What every new heartbeat tells, whoever leads by its token. */
+  /** Records the parts of a heartbeat that are valid under any leader's fencing token. */
   private recordHeartbeat(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): void {
     const last = machine.lastHeartbeat;
     const isFirst = last.receivedAt === null;
@@ -167,7 +168,10 @@
     );
   }
 
-  /** Whether the worker has reported under our fencing token, as all its later heartbeats then are. */
+  /**
+   * Marks the machine as reconciled if the heartbeat carries this leader's fencing token; later heartbeats carry it
+   * too.
+   */
   private markReconciledIfTokenMatches(machine: Machine, heartbeat: Heartbeat): boolean {
     if (!equalUint64(heartbeat.fencingToken, this.state.leadership.term)) return false;
     machine.contact = 'reconciled';
@@ -176,7 +180,7 @@
     return true;
   }
 
-  /** The worker's lease has expired: every task that it held is gone, and replies to older heartbeats are dropped. */
+  /** The worker's lease has expired: all of its tasks have ended, and it ignores replies to older heartbeats. */
   private onIncarnationEnded(machine: Machine, now: MonotonicTime): void {
     machine.inFlightStarts.clear();
     this.oneWayPartitions.onLeaseExpired(machine, now);
@@ -190,7 +194,10 @@
         this.state.placements.markLost(job, placement, 'incarnation ended', now);
   }
 
-  /** Tasks that save their progress are told at once to do so; the others run on until the interruption. */
+  /**
+   * Evicts at once the tasks that save checkpoints, and those not yet running. Other running tasks continue until the
+   * interruption.
+   */
   private onInterruptionNotice(machine: Machine, noticeS: number, now: MonotonicTime): void {
     if (machine.interruptionNoticedAt !== null) return;
     machine.interruptionNoticedAt = now;
@@ -205,7 +212,7 @@
   }
 }
 
-/** Most heartbeats of a large cluster: nothing has changed. */
+/** Whether the heartbeat changes nothing, as most heartbeats in a large cluster do. */
 const isUnchanged = (machine: Machine, heartbeat: Heartbeat): boolean =>
   heartbeat.incarnation <= machine.lastHeartbeat.incarnation &&
   machine.inSync &&
@@ -213,7 +220,7 @@
   heartbeat.interruptionNoticeS === null &&
   sameTaskStatuses(machine.lastHeartbeat.tasks, heartbeat.tasks);
 
-/** Every task that should be there is reported, and none is about to leave or be forgotten. */
+/** Whether every placed task is reported, and no task is stopping, saving or still to be forgotten. */
 const hasNothingPending = (machine: Machine): boolean => {
   for (const [key, task] of machine.reportedTasks)
     if (task.state === 'exited' ? !machine.inFlightStarts.has(key) : task.state === 'saving') return false;
--- a/src/core/leader/job-dependencies.ts
+++ b/src/core/leader/job-dependencies.ts
@@ -1,6 +1,6 @@
 /**
- * DAG dependencies: jobs are held until all that they depend on is done, cancelled with what they depend on, and treated
- * as urgent as the most urgent job that depends on them.
+ * DAG dependencies between jobs. A job waits until all of its dependencies are done, is cancelled if one of them is
+ * cancelled, and inherits the priorities and due times of the jobs that depend on it.
  */
 import type { Job } from '../job.js';
 import type { FinalState } from '../job-spec.js';
@@ -8,35 +8,37 @@
 import type { LeaderState } from './leader-state.js';
 import { propagateUrgency } from './urgency-inheritance.js';
 
-/** Final states kept for jobs that are submitted only after those that they depend on. */
+/** Number of final states kept, for jobs that are submitted after their dependencies have ended. */
 const MAX_CACHED_FINAL_STATES = 20_000;
-/** Final records being read at once: a new leader may have many to read, and has other questions too. */
+/**
+ * Maximum number of final records read concurrently. A new leader may have many to read and sends other requests too.
+ */
 const MAX_CONCURRENT_LOOKUPS = 16;
-/** A final record that was not found is read again after this time. */
+/** Delay before a final record that was not found is read again. */
 const LOOKUP_RETRY_MS = 500;
 
-/** The reading of a job's final record. */
+/** State of a lookup of a job's final record. */
 interface Lookup {
   inFlight: boolean;
   retryAt: MonotonicTime;
 }
 
-/** The unfinished jobs that depend on others, by what they depend on. */
+/** Tracks the unfinished jobs that depend on other jobs. */
 export class JobDependencies {
   private readonly dependents = new Map<JobId, Set<Job>>();
-  /** Only what the key-value store's final records say. */
+  /** Final states, only as recorded in the key-value store. */
   private readonly finalStates = new Map<JobId, FinalState>();
-  /** Jobs that others depend on and that are neither known as unfinished nor known to be final. */
+  /** Lookups of dependencies that are neither known to be unfinished nor known to be final. */
   private readonly lookups = new Map<JobId, Lookup>();
   private urgencyChanged = false;
 
   constructor(
     private readonly state: LeaderState,
-    /** All that the job depends on is done: from now on it waits like any other. */
+    /** Called when all dependencies of a job are done. */
     private readonly onReady: (job: Job, now: MonotonicTime) => void,
   ) {}
 
-  /** A job that is new to this leader. */
+  /** Adds a job that is new to this leader. */
   addJob(job: Job, now: MonotonicTime): void {
     this.lookups.delete(job.id);
     for (const id of job.spec.dependsOn) this.addDependency(job, id, now);
@@ -69,7 +71,7 @@
     this.state.log('info', { job: job.id, class: name, dependsOn, ...job.waitReason }, 'job waits');
   }
 
-  /** The job is over, as a record in the key-value store says that can't change any more. */
+  /** Handles the end of a job. Its final record in the key-value store never changes. */
   onJobFinal(id: JobId, final: FinalState, now: MonotonicTime): void {
     this.lookups.delete(id);
     if (this.finalStates.size >= MAX_CACHED_FINAL_STATES)
@@ -89,7 +91,7 @@
     }
   }
 
-  /** The job is cancelled: so is all that depends on it, directly or through others. */
+  /** Cancels all jobs that depend on the cancelled job, directly or indirectly. */
   cancelDependents(id: JobId): void {
     this.urgencyChanged = true;
     const cancelled = [id];
@@ -100,7 +102,7 @@
     }
   }
 
-  /** Returns false if it was marked before. */
+  /** Returns false if the job was already marked. */
   private markCancelled(job: Job, dependency: JobId): boolean {
     if (job.dependencyCancelled) return false;
     job.dependencyCancelled = true;
@@ -113,7 +115,7 @@
     return true;
   }
 
-  /** Jobs whose final records are to be read now. */
+  /** Starts the lookups that are due, and returns the jobs whose final records must be read. */
   startDueLookups(now: MonotonicTime): JobId[] {
     const due: JobId[] = [];
     let inFlight = 0;
@@ -127,7 +129,10 @@
     return due;
   }
 
-  /** Null: no final record, or no answer. One that has just been accepted becomes known by the watch. */
+  /**
+   * Handles the result of a lookup. `final` is null if there is no final record, as for a job that was just accepted
+   * and is about to arrive through the watch, or if the key-value store did not respond.
+   */
   onFinalRecordRead(id: JobId, final: FinalState | null, now: MonotonicTime): void {
     const lookup = this.lookups.get(id);
     if (!lookup) return;
@@ -138,7 +143,7 @@
     else if (!this.dependents.has(id)) this.lookups.delete(id);
   }
 
-  /** Passes priorities and due times back, from the jobs that depend on others to those others. */
+  /** Passes priorities and due times from dependent jobs to their dependencies, if any of them have changed. */
   propagateUrgency(): void {
     if (!this.urgencyChanged) return;
     this.urgencyChanged = false;
--- a/src/core/leader/job-finalizer.ts
+++ b/src/core/leader/job-finalizer.ts
@@ -1,4 +1,4 @@
-/** Ends jobs that are done or cancelled: writes their final records, and forgets them once these are durable. */
+/** Ends jobs that are done or cancelled: writes their final records, and removes the jobs once these are durable. */
 import type { Job } from '../job.js';
 import type { FinalState } from '../job-spec.js';
 import type { JobId, MonotonicTime } from '../units.js';
@@ -6,19 +6,19 @@
 import type { JobDependencies } from './job-dependencies.js';
 import type { LeaderState } from './leader-state.js';
 
-/** Decides which jobs end. */
+/** Finalizes jobs. */
 export class JobFinalizer {
   constructor(
     private readonly state: LeaderState,
     private readonly jobDependencies: JobDependencies,
   ) {}
 
-  /** Asks for the final records of jobs that are over. */
+  /** Requests the final records of completed jobs, and of cancelled jobs without remaining tasks. */
   finishJobs(): void {
     for (const job of this.state.jobs.values()) {
       if (job.finalizing) continue;
-      // Not while a machine that has not reported to this leader may hold its tasks: they count for their team's
-      // limit, and that machine must be fenced in time.
+      // A cancelled job must stay while an unreconciled machine may hold its tasks: they count against the team's
+      // limit, and the machine must be fenced in time.
       const hasNoTaskLeft = job.placements.size === 0 && !this.state.mayRunOnUnreconciledMachine(job);
       if (!job.allCompleted && !(job.cancelled && hasNoTaskLeft)) continue;
       job.finalizing = true;
@@ -33,7 +33,7 @@
     }
   }
 
-  /** The outcome of writing a final record. */
+  /** Handles the result of writing a final record. */
   onFinalRecordWritten(id: JobId, outcome: FinalRecordOutcome, now: MonotonicTime): void {
     const job = this.state.jobs.get(id);
     if (!job) return;
@@ -62,7 +62,9 @@
     this.jobDependencies.cancelDependents(job.id);
   }
 
-  /** Whatever is still reported of it is stopped and forgotten as a task of no known job. */
+  /**
+   * Removes the job. Tasks of it that are still reported are then stopped and forgotten like those of any unknown job.
+   */
   private removeFinished(job: Job, final: FinalState, now: MonotonicTime): void {
     for (const placement of [...job.placements.values()]) {
       const machine = this.state.machines.get(placement.machine);
--- a/src/core/leader/job-intake.ts
+++ b/src/core/leader/job-intake.ts
@@ -1,4 +1,4 @@
-/** Jobs as they become known to the leader: from their records in the key-value store, and from other controllers. */
+/** Adds and updates jobs by their records in the key-value store and by cancellations from other controllers. */
 import { Job } from '../job.js';
 import type { ArrivalRates } from '../scaling/arrival-rates.js';
 import type { TypePenalties } from '../scheduler/type-penalties.js';
@@ -7,7 +7,7 @@
 import type { JobDependencies } from './job-dependencies.js';
 import type { LeaderState } from './leader-state.js';
 
-/** What new jobs are made known to. */
+/** The components that are notified of new jobs. */
 export interface JobIntakeDependencies {
   state: LeaderState;
   jobDependencies: JobDependencies;
@@ -15,16 +15,18 @@
   typePenalties: TypePenalties;
 }
 
-/** A job's record, and when and from where it came. */
+/** A job's record with its revision and origin. */
 export interface JobRecordUpdate {
   id: JobId;
   record: JobRecord;
   revision: Revision;
-  /** Known before this leadership began: an earlier leader may have started its tasks. */
+  /**
+   * Whether the record was written before this leadership began, so that an earlier leader may have started its tasks.
+   */
   fromEarlierLeader: boolean;
 }
 
-/** Takes in records and cancellations. */
+/** Applies job records and cancellations. */
 export class JobIntake {
   private readonly state: LeaderState;
   private readonly jobDependencies: JobDependencies;
@@ -38,7 +40,7 @@
     this.typePenalties = typePenalties;
   }
 
-  /** A job's record as the key-value store has it, from the first load or from the watch. */
+  /** Applies a job's record from the key-value store, received at the initial load or through the watch. */
   applyRecord(update: JobRecordUpdate, now: MonotonicTime, wallTime: WallTime): void {
     const known = this.state.jobs.get(update.id);
     if (known) this.updateKnown(known, update, now);
@@ -46,7 +48,7 @@
   }
 
   private updateKnown(job: Job, { record, revision }: JobRecordUpdate, now: MonotonicTime): void {
-    // An older event than what we hold.
+    // The event is older than the known record.
     if (revision < job.revision) return;
     const isNewlyCancelled = !job.cancelled && record.cancelledAt !== null;
     job.record = record;
@@ -63,14 +65,14 @@
     this.state.jobs.set(id, job);
     this.state.changedSinceTick = true;
     this.typePenalties.recordSpec(record.spec);
-    // Jobs that wait for no other were ready when they were submitted.
+    // Jobs without dependencies were ready when they were submitted.
     if (record.spec.dependsOn.length === 0) this.arrivalRates.recordArrival(record, now, wallTime);
     this.jobDependencies.addJob(job, now);
     const { class: name, tasks, image, estimateS, deadlineS } = record.spec;
     this.state.log('debug', { job: id, class: name, tasks, image, estimateS, deadlineS }, 'job known');
   }
 
-  /** A controller has told its user that the job is cancelled; its record may reach us much later. */
+  /** Applies a cancellation that a controller has confirmed to its user. The job's record may arrive much later. */
   applyCancellation(id: JobId, now: MonotonicTime): void {
     const job = this.state.jobs.get(id);
     if (!job || job.cancellationConfirmedAt !== null) return;
@@ -85,7 +87,7 @@
     this.jobDependencies.cancelDependents(job.id);
   }
 
-  /** All that the job depends on is done: from now on it waits like any other. */
+  /** Handles the completion of the job's dependencies: the job is queued from now on. */
   onReady(job: Job, now: MonotonicTime): void {
     job.waitingSince = now;
     job.waitReason = { why: 'queued' };
--- a/src/core/leader/leader-state.ts
+++ b/src/core/leader/leader-state.ts
@@ -1,4 +1,4 @@
-/** What the parts of the leader share: the machines and jobs it knows, and the effects to be carried out. */
+/** The state that the leader's components share: machines, jobs, and the effects to be executed. */
 import { Machine } from '../machine.js';
 import { fits, type Resources } from '../resources.js';
 import { mayRunOn } from '../scheduler/placement-constraints.js';
@@ -15,23 +15,26 @@
   readonly machines = new Map<MachineId, Machine>();
   readonly jobs = new Map<JobId, Job>();
   machineTypes: MachineType[] = [];
-  /** Machines that may hold tasks of an earlier leader and have not reported under our token. */
+  /** Machines that may hold tasks of an earlier leader and have sent no heartbeat with this leader's fencing token. */
   readonly unreconciledMachines = new Set<MachineId>();
-  /** Machines that were deleted, and when: lists lag and go on showing them for a while. */
+  /** Deletion times of deleted machines. The cloud provider's list lags and still contains them for a while. */
   readonly deletedMachines = new Map<MachineId, MonotonicTime>();
   readonly machinesWithPendingCommands = new Set<Machine>();
-  /** Zones that were partitioned a moment ago, and when. */
+  /** Zones that are or recently were partitioned, with the time at which the partition was last detected. */
   readonly partitionedZones = new Map<Zone, MonotonicTime>();
-  /** The cloud provider has listed its machines to this leader. */
+  /** Whether this leader has received a list of machines from the cloud provider. */
   machinesListed = false;
   effects: Effect[] = [];
   needsScheduling = true;
   changedSinceTick = true;
-  /** Rises with every change that could let a job fit that was rejected before. */
+  /** Incremented by each change that may allow a previously rejected job to be placed. */
   capacityVersion = 0;
   readonly decisionLog: DecisionLog;
   readonly placements: PlacementLifecycle;
-  /** One unreconciled machine of each type, zone and purchase kind, and of how many: they only get fewer. */
+  /**
+   * One unreconciled machine for each combination of type, zone and spot or on-demand. Valid while the number of
+   * unreconciled machines is `machineCount`, since that number only decreases after the leader is loaded.
+   */
   private unreconciledRepresentatives: { machineCount: number; machines: Machine[] } | null = null;
 
   constructor(
@@ -45,12 +48,12 @@
     this.placements = new PlacementLifecycle(this);
   }
 
-  /** What a task of the job takes; null where the job is unknown. */
+  /** Resources of one task of the job; null if the job is unknown. */
   resourcesOf = (id: JobId): Resources | null => this.jobs.get(id)?.spec ?? null;
 
   /**
-   * Whether a task of the job may be on a machine that has not reported under our token: an earlier leader has started
-   * it only where the job's types, zones and kinds of machine allow, and a record's description never changes.
+   * Whether an unreconciled machine may hold a task of the job. An earlier leader can only have started it on a machine
+   * that satisfies the job's placement constraints, because a job's spec never changes.
    */
   mayRunOnUnreconciledMachine(job: Job): boolean {
     if (!job.fromEarlierLeader || this.unreconciledMachines.size === 0 || this.neverStarted(job))
@@ -60,7 +63,7 @@
     );
   }
 
-  /** Whether an earlier leader may have started a task of the job on this machine, which is not yet reconciled. */
+  /** Whether an earlier leader may have started a task of the job on this unreconciled machine. */
   mayHaveBeenStartedOn(job: Job, { info, type }: Machine): boolean {
     if (!job.fromEarlierLeader || this.neverStarted(job)) return false;
     return (
@@ -68,7 +71,9 @@
     );
   }
 
-  /** A job that it depends on is not over, or was cancelled: no leader has started anything of it. */
+  /**
+   * Whether no leader has started a task of the job, because a job that it depends on is unfinished or was cancelled.
+   */
   private neverStarted(job: Job): boolean {
     if (job.dependencyCancelled) return true;
     for (const id of job.unfinishedDependencies) if (this.jobs.has(id)) return true;
@@ -88,14 +93,14 @@
     return this.unreconciledRepresentatives.machines;
   }
 
-  /** The effects since the last call. */
+  /** Returns and clears the effects since the last call. */
   takeEffects(): Effect[] {
     const { effects } = this;
     this.effects = [];
     return effects;
   }
 
-  /** A machine that becomes known. */
+  /** Adds a machine that was not known before. */
   addMachine({ id, endpoint, type, zone, spot }: MachineInfo, now: MonotonicTime): Machine {
     const machineType = this.machineTypes.find(({ name }) => name === type);
     const machine = new Machine({ id, endpoint, type, zone, spot }, machineType, now);
@@ -103,12 +108,12 @@
     return machine;
   }
 
-  /** Anything that could let a rejected job fit ends its back-off early. */
+  /** Records a change that may allow rejected jobs to be placed, which ends their back-off early. */
   recordCapacityGained(): void {
     this.capacityVersion++;
   }
 
-  /** How many of the job's tasks are placed in each zone. */
+  /** Number of the job's placed tasks in each zone. */
   placementsByZone(job: Job): Map<Zone, number> {
     const counts = new Map<Zone, number>();
     for (const placement of job.placements.values()) {
@@ -118,7 +123,7 @@
     return counts;
   }
 
-  /** Logs an event by an effect, in order with the others. */
+  /** Adds a log event to the effects, in order with the other effects. */
   log(level: LogLevel, fields: Record<string, unknown>, text: string): void {
     this.effects.push({ kind: 'log', level, fields, text });
   }
--- a/src/core/leader/leader-summary.ts
+++ b/src/core/leader/leader-summary.ts
@@ -1,22 +1,22 @@
-/** What an operator sees of the leader: machine usage in the log, jobs and their wait reasons on the status page. */
+/** Summaries for operators: machine usage in the log, and jobs with their wait reasons on the status page. */
 import type { Job } from '../job.js';
 import type { MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
 const USAGE_LOG_INTERVAL_MS = 10_000;
 
-/** Sums over the machines of one type and purchase kind. */
+/** Sums over the machines of one type, separately for spot and on-demand machines. */
 interface MachineUsage {
   up: number;
   booting: number;
   empty: number;
   gpus: number;
   used: number;
-  /** GPUs held by tasks that wait for their image or their gang. */
+  /** GPUs allocated to tasks that wait for their image or for the other members of their gang. */
   idle: number;
 }
 
-/** A job as the status page shows it. */
+/** A job's entry on the status page. */
 const jobStatus = (job: Job) => ({
   id: job.id,
   class: job.spec.class,
@@ -33,13 +33,13 @@
   withinGuarantee: job.withinGuarantee,
 });
 
-/** Sums over the leader's state for operators. */
+/** Summarizes the leader's state for operators. */
 export class LeaderSummary {
   private lastLoggedAt = -Infinity;
 
   constructor(private readonly state: LeaderState) {}
 
-  /** Regularly, what the money goes to: machines by type and kind, and how much of them is used. */
+  /** Logs at regular intervals how many machines of each type are paid for, and how much of them is used. */
   logMachineUsage(now: MonotonicTime): void {
     if (now - this.lastLoggedAt < USAGE_LOG_INTERVAL_MS) return;
     this.lastLoggedAt = now;
@@ -61,7 +61,7 @@
     this.state.log('info', { machines, waiting, jobs: this.state.jobs.size }, 'machine usage');
   }
 
-  /** The status page: its keys are what operators' tools read. */
+  /** Returns the leader's part of the status page. Operators' tools depend on its keys. */
   status(): Record<string, unknown> {
     return {
       term: this.state.leadership.term,
--- a/src/core/leader/leader.ts
+++ b/src/core/leader/leader.ts
@@ -1,6 +1,7 @@
 /**
- * The leader: what it knows of machines and jobs, and what it wants of them. Events go in, effects come out; it does no
- * I/O and has no clock and no randomness of its own. This is its interface and the order in which its parts work.
+ * The leader: keeps the state of all machines and jobs, and decides which task runs where. Its input is events, its
+ * output is effects: it performs no I/O and receives the time and random numbers from its caller. This module defines
+ * its interface and the order in which its parts run.
  */
 import type { Machine } from '../machine.js';
 import type { Job } from '../job.js';
@@ -37,12 +38,12 @@
 
 export type { Effect, FinalRecordOutcome, ImageLocations, LeaderSettings } from './effects.js';
 
-/** From this many machines on, it means something when no heartbeat arrives from any of them. */
+/** With at least this many machines up, the absence of all heartbeats indicates a fault, and the leader resigns. */
 const MIN_MACHINES_TO_EXPECT_HEARTBEATS = 3;
 
-/** One controller's leadership. */
+/** The leader of one term. */
 export class Leader {
-  /** The last tick had no authority. */
+  /** Whether the previous tick ran without authority, i.e. without a lease that is certainly valid. */
   private lackedAuthority = false;
   private readonly state: LeaderState;
   private readonly machinePool: MachinePool;
@@ -93,12 +94,12 @@
     return this.state.jobs;
   }
 
-  /** Machines that the last scheduling cycle examined: its cost. */
+  /** Number of machine evaluations in the last scheduling cycle, a measure of its cost. */
   get lastCycleMachineEvaluations(): number {
     return this.scheduling.lastCycleMachineEvaluations;
   }
 
-  /** Enough machines are known to be up that it means something when no heartbeat arrives. */
+  /** Whether enough machines are up that the absence of all heartbeats indicates a fault. */
   get expectsHeartbeats(): boolean {
     let up = 0;
     for (const machine of this.state.machines.values())
@@ -106,7 +107,7 @@
     return false;
   }
 
-  /** Whether anything has come in since the last tick that a tick could act on. */
+  /** Whether an event since the last tick may call for a decision. */
   get hasChanges(): boolean {
     return (
       this.state.changedSinceTick ||
@@ -116,7 +117,7 @@
     );
   }
 
-  /** Decides whatever is due. */
+  /** Makes all decisions that are due; their effects are returned by `takeEffects`. */
   tick(now: MonotonicTime, wallTime: WallTime): void {
     this.state.changedSinceTick = false;
     if (this.lackedAuthority) this.failureDetector.restartTimeouts(now);
@@ -136,8 +137,8 @@
   }
 
   /**
-   * While the lease is held but can't be renewed, nothing is decided. What users were told is cancelled ends all the
-   * same: that is final, whoever leads next, and in an outage of the key-value store nobody has authority to wait for.
+   * Tick of a leader whose lease may have expired. It makes no decisions, but still ends cancelled jobs: a confirmed
+   * cancellation is final under every leader, and during an outage of the key-value store no controller has authority.
    */
   tickWithoutAuthority(now: MonotonicTime, wallTime: WallTime): void {
     this.state.changedSinceTick = false;
@@ -147,37 +148,40 @@
     this.directCommands.dispatchCancellations(now);
   }
 
-  /** What the runtime is to do, in order. */
+  /** Returns and clears the effects that the runtime must execute, in order. */
   takeEffects(): Effect[] {
     return this.state.takeEffects();
   }
 
-  /** A machine that an earlier leader registered on that page. */
+  /** Loads a machine that an earlier leader registered on this page of the machine registry. */
   loadMachine(info: MachineInfo, page: string, now: MonotonicTime): void {
     this.machinePool.loadMachine(info, page, now);
   }
 
-  /** A worker's heartbeat; returns the commands for its reply. */
+  /** Processes a worker's heartbeat and returns the commands for the reply. */
   onHeartbeat(heartbeat: Heartbeat, now: MonotonicTime): Command[] {
     return this.heartbeats.onHeartbeat(heartbeat, now);
   }
 
-  /** A heartbeat that says the same as an earlier one; false: the next one is needed in full. */
+  /**
+   * Processes a heartbeat with the same content as an earlier one. Returns false if the next heartbeat must be sent in
+   * full.
+   */
   onUnchangedHeartbeat(unchanged: UnchangedHeartbeat, now: MonotonicTime): boolean {
     return this.heartbeats.onUnchangedHeartbeat(unchanged, now);
   }
 
-  /** Needs no command and awaits nothing: its unchanged heartbeats need not be processed. */
+  /** Whether the machine has no pending command or change, so that its unchanged heartbeats need no processing. */
   isInSync(id: MachineId): boolean {
     return this.state.machines.get(id)?.inSync ?? false;
   }
 
-  /** A heartbeat that comes while we have no authority to command. */
+  /** Records a heartbeat without replying with commands, for a leader without authority. */
   onHeartbeatWithoutAuthority(heartbeat: Heartbeat, now: MonotonicTime): void {
     this.heartbeats.onHeartbeatWithoutAuthority(heartbeat, now);
   }
 
-  /** The outcome of commands that went straight to a worker. */
+  /** Handles the result of commands sent directly to a worker's endpoint. */
   onDirectCommandResult(
     id: MachineId,
     commands: Command[],
@@ -187,42 +191,44 @@
     this.heartbeats.onDirectCommandResult(id, commands, result, now);
   }
 
-  /** The cloud provider's answer to a request for machines. */
+  /** Handles the cloud provider's response to a scale-out request. */
   onScaleOutResult(requestId: string, outcome: ScaleOutOutcome, now: MonotonicTime): void {
     this.autoscaler.onScaleOutResult(requestId, outcome, now);
   }
 
-  /** The cloud provider's list of machines. */
+  /** Handles the cloud provider's list of machines. */
   onMachineList(listed: ListedMachine[], now: MonotonicTime): void {
     this.machinePool.onMachineList(listed, now);
   }
 
-  /** Whether the cloud provider has deleted the machines. */
+  /** Handles the result of a deletion request; `ok` if the cloud provider has deleted the machines. */
   onDeletionResult(ids: MachineId[], ok: boolean, now: MonotonicTime): void {
     this.machinePool.onDeletionResult(ids, ok, now);
   }
 
-  /** Whether the page of the machine registry was written. */
+  /** Handles the result of writing a page of the machine registry. */
   onRegistryPageWritten(page: string, ok: boolean): void {
     this.machinePool.onRegistryPageWritten(page, ok);
   }
 
-  /** Whether the job's progress was written. */
+  /** Handles the result of writing a segment of a job's progress. */
   onProgressWritten(id: JobId, segment: SegmentName, bytes: Uint8Array, ok: boolean): void {
     this.progressWriter.onProgressWritten(id, segment, bytes, ok);
   }
 
-  /** The outcome of writing the job's final record. */
+  /** Handles the result of writing a job's final record. */
   onFinalRecordWritten(id: JobId, outcome: FinalRecordOutcome, now: MonotonicTime): void {
     this.jobFinalizer.onFinalRecordWritten(id, outcome, now);
   }
 
-  /** The final record of a job that others depend on was read; null: there is none, or no answer came. */
+  /** Handles the final record of a dependency; null if there is none or the key-value store did not respond. */
   onFinalRecordRead(id: JobId, final: FinalState | null, now: MonotonicTime): void {
     this.jobDependencies.onFinalRecordRead(id, final, now);
   }
 
-  /** Which machine caches what: told to the other controllers, since heartbeats don't say it. */
+  /**
+   * Images cached on each machine. Sent to the other controllers, because heartbeats do not contain the cached images.
+   */
   imageLocations(): ImageLocations {
     const locations: ImageLocations = {};
     for (const machine of this.state.machines.values())
@@ -230,14 +236,14 @@
     return locations;
   }
 
-  /** What the leader before us knew of the machines' caches. A wrong hint costs a fetch, nothing else. */
+  /** Loads the previous leader's image locations. A wrong location only costs an image fetch. */
   loadImageLocations(locations: ImageLocations): void {
     for (const [id, images] of Object.entries(locations))
       for (const [image, imageGb] of images)
         this.state.machines.get(id as MachineId)?.recordImageUse(image, imageGb);
   }
 
-  /** The types of machine that there are, at the start or when they change. */
+  /** Sets the available machine types, at the start and whenever they change. */
   setMachineTypes(types: MachineType[]): void {
     this.state.machineTypes = types;
     this.typePenalties.setTypes(types);
@@ -245,22 +251,22 @@
       machine.type = types.find(({ name }) => name === machine.info.type) ?? machine.type;
   }
 
-  /** A job's record as the key-value store has it, from the first load or from the watch. */
+  /** Applies a job's record from the key-value store, received at the initial load or through the watch. */
   applyJobRecord(update: JobRecordUpdate, now: MonotonicTime, wallTime: WallTime): void {
     this.jobIntake.applyRecord(update, now, wallTime);
   }
 
-  /** A controller has told its user that the job is cancelled; its record may reach us much later. */
+  /** Applies a cancellation that a controller has confirmed to its user. The job's record may arrive much later. */
   applyCancellation(id: JobId, now: MonotonicTime): void {
     this.jobIntake.applyCancellation(id, now);
   }
 
-  /** Completions that the key-value store holds, read at the start or in place of a refused write. */
+  /** Loads completions stored in the key-value store, read at the start or after a write conflict. */
   loadProgress(id: JobId, segment: SegmentName, bytes: Uint8Array): void {
     this.progressWriter.loadProgress(id, segment, bytes);
   }
 
-  /** For the status page. */
+  /** Returns the leader's part of the status page. */
   status(): Record<string, unknown> {
     return this.summary.status();
   }
--- a/src/core/leader/machine-commands.ts
+++ b/src/core/leader/machine-commands.ts
@@ -1,15 +1,17 @@
-/** Compares the wanted tasks of a machine with those reported: which commands its worker must be sent now. */
+/**
+ * Derives the commands for a worker from the difference between the tasks placed on its machine and those it reports.
+ */
 import { attemptKey, type TaskStatus } from '../task-status.js';
 import type { Machine } from '../machine.js';
 import type { Job, Placement } from '../job.js';
 import type { Command } from '../worker-command.js';
 import { taskId, type JobId, type MonotonicTime } from '../units.js';
 
-/** Grace ends after this multiple of what was granted, and a margin for the command's way to the worker. */
+/** A grace period times out after this multiple of its length, plus a margin for the delivery of the command. */
 const GRACE_PERIOD_TIMEOUT_FACTOR = 1.5;
 const GRACE_PERIOD_TIMEOUT_MARGIN_MS = 4000;
 
-/** A task that was told to stop with time to save, and whose time is well over, is ended without. */
+/** The grace period for stopping a task; 0 once the granted grace period has timed out, which ends the task at once. */
 const remainingGracePeriodS = ({ stop }: Placement, now: MonotonicTime): number => {
   if (!stop || stop.gracePeriodS === 0) return 0;
   return now - stop.since >
@@ -18,7 +20,7 @@
     : stop.gracePeriodS;
 };
 
-/** The command for a reported task, if any: to stop it, or to forget it once it has exited. */
+/** The command for a reported task, if any: stop it, or forget it once it has exited. */
 const commandForReported = (
   machine: Machine,
   task: TaskStatus,
@@ -28,7 +30,7 @@
 ): Command | null => {
   const ref = { job: task.job, index: task.index, attempt: task.attempt };
   if (task.state === 'exited') {
-    // A completion is forgotten only once it is durable: until then this heartbeat is the only proof of it.
+    // A completion must not be forgotten before it is durable: until then the worker's heartbeats are its only record.
     if (job && task.cause === 'done' && !job.isDurable(task.index) && !job.finalizing && !job.cancelled)
       return null;
     if (job?.finalizing && task.cause === 'done') return null;
@@ -42,7 +44,7 @@
   return { op: 'stop', ...ref, gracePeriodS };
 };
 
-/** Commands for the reply to a heartbeat, or for a direct command. */
+/** The commands for a machine's worker, to be sent in the reply to a heartbeat or as direct commands. */
 export const commandsForMachine = (
   machine: Machine,
   jobs: Map<JobId, Job>,
@@ -59,8 +61,8 @@
     if (machine.reportedTasks.has(attemptKey(job.id, placement.index, placement.attempt))) continue;
     const ref = { job: job.id, index: placement.index, attempt: placement.attempt };
     if (placement.stop) {
-      // A lost start could arrive at any time. Starting and stopping the attempt here and now leaves it behind
-      // as exited and never forgotten, and then the late start does nothing.
+      // A start without a response could still arrive. Starting and stopping the attempt now leaves it on the worker as
+      // exited; it is not forgotten, so a late start has no effect.
       if (placement.directStartOutcomeUnknown)
         commands.push({ op: 'start', ...ref }, { op: 'stop', ...ref, gracePeriodS: 0 });
     } else if (machine.registration.state === 'durable' && machine.decommissioning === null) {
--- a/src/core/leader/machine-pool.ts
+++ b/src/core/leader/machine-pool.ts
@@ -1,27 +1,33 @@
-/** The machines from the registry, the cloud provider's list and scale-out: registered, drained, fenced and deleted. */
+/** Adds machines from the machine registry and the cloud provider's list, and drains, fences and deletes them. */
 import type { Machine } from '../machine.js';
 import type { ListedMachine, MachineInfo } from '../machine-info.js';
 import type { MachineId, MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 import { MachineRegistration } from './machine-registration.js';
 
-/** Between two requests to delete machines. */
+/** Minimum interval between deletion requests. */
 const MIN_DELETION_INTERVAL_MS = 1500;
-/** Machines named in one request (PROTOCOL, cloud). */
+/** Maximum number of machines in one deletion request, set by the cloud provider's protocol. */
 const MAX_DELETIONS_PER_REQUEST = 100;
-/** A deleted machine is remembered for this long: lists and heartbeats that name it may still arrive. */
+/** How long the id of a deleted machine is kept, because lists and heartbeats that contain it may still arrive. */
 const DELETED_MACHINE_RETENTION_MS = 1_800_000;
-/** A machine first listed more than this many list lags ago, and missing from the list, is most likely gone. */
+/**
+ * A machine that was first listed more than this many list lags ago and is missing from the list is most likely
+ * deleted.
+ */
 const MISSING_AFTER_LIST_LAGS = 2.5;
-/** A machine that isn't up after this multiple of its type's boot time, or this minimum if longer, has failed. */
+/**
+ * A boot has failed if the machine is not up after this multiple of its type's boot time, or this minimum if that is
+ * longer.
+ */
 const BOOT_TIMEOUT_FACTOR = 4;
 const MIN_BOOT_TIMEOUT_MS = 90_000;
 const DEFAULT_BOOT_S = 60;
-/** Within this many leases and heartbeat intervals a worker that is up has reported to a new leader. */
+/** A worker that is up sends its first heartbeat to a new leader within this many leases plus heartbeat intervals. */
 const FIRST_HEARTBEAT_TIMEOUT_LEASES = 2;
 const FIRST_HEARTBEAT_TIMEOUT_INTERVALS = 2;
 
-/** Keeps track of the machines that there are, and gives up those that fail or aren't needed. */
+/** Tracks the existing machines, and removes those that fail or are not needed. */
 export class MachinePool {
   private readonly registration: MachineRegistration;
   private lastDeletionAt = -Infinity;
@@ -30,7 +36,7 @@
     this.registration = new MachineRegistration(state);
   }
 
-  /** A machine that an earlier leader registered on that page: it had tasks or was about to. */
+  /** Loads a machine that an earlier leader registered on this page. It may hold tasks of that leader. */
   loadMachine(info: MachineInfo, page: string, now: MonotonicTime): void {
     const machine = this.state.addMachine(info, now);
     machine.recordRegisteredEarlier(page);
@@ -38,7 +44,7 @@
     this.state.unreconciledMachines.add(info.id);
   }
 
-  /** The cloud provider's list of machines, which may be older than the one before it. */
+  /** Handles the cloud provider's list of machines, which may be older than the previous list. */
   onMachineList(listed: ListedMachine[], now: MonotonicTime): void {
     this.state.machinesListed = true;
     const ids = new Set(listed.map(({ id }) => id));
@@ -50,8 +56,8 @@
   }
 
   /**
-   * Once listed, a machine stays listed until it is gone. One that an earlier leader registered and that no list since has
-   * named is most likely gone, too.
+   * Whether a list without the machine means that it is most likely deleted: a listed machine stays on the list until
+   * its deletion, and a machine registered by an earlier leader should be on every list.
    */
   private shouldBeListed(machine: Machine, now: MonotonicTime): boolean {
     if (machine.firstListedAt === null) return machine.fromEarlierLeader;
@@ -62,7 +68,7 @@
     let machine = this.state.machines.get(listed.id);
     if (!machine) {
       if (this.state.deletedMachines.has(listed.id)) return;
-      // Provisioned by an earlier leader, or by a request carried out late: to be used or deleted.
+      // Provisioned by an earlier leader, or by a request that was executed late. It is used or scaled in.
       machine = this.state.addMachine(listed, now);
       machine.provisionedAt = (now - listed.ageS * 1000) as MonotonicTime;
     }
@@ -70,7 +76,7 @@
     if (listed.status === 'failed') this.fence(machine, 'failed', now);
   }
 
-  /** Whether the cloud provider has deleted the machines: then they are gone with all that was on them. */
+  /** Handles the result of a deletion request. Deleted machines are removed together with the tasks on them. */
   onDeletionResult(ids: MachineId[], ok: boolean, now: MonotonicTime): void {
     for (const id of ids) {
       const machine = this.state.machines.get(id);
@@ -92,7 +98,7 @@
     this.state.needsScheduling = true;
   }
 
-  /** Deletes a machine once its tasks have left. */
+  /** Evicts the machine's tasks; the machine is deleted once they have ended. */
   drain(machine: Machine, reason: string, now: MonotonicTime): void {
     if (machine.decommissioning) return;
     machine.startDrain(now);
@@ -100,7 +106,7 @@
       this.state.placements.evict(job, placement, reason, now);
   }
 
-  /** Deletes a machine with whatever it holds: the sure way to end what can't be reached. */
+  /** Deletes the machine without stopping its tasks first, the only safe way to end tasks on an unreachable machine. */
   fence(machine: Machine, reason: string, now: MonotonicTime, mayHoldOverdueTask = false): void {
     if (machine.decommissioning?.mode === 'fence') {
       if (mayHoldOverdueTask) machine.decommissioning.mayHoldOverdueTask = true;
@@ -111,7 +117,9 @@
     this.state.log('info', fields, 'machine fenced');
   }
 
-  /** Within this time a worker that is up has reported to a new leader, whichever controllers it tries before. */
+  /**
+   * Time within which a worker that is up sends a heartbeat to a new leader, even if it tries other controllers first.
+   */
   private get firstHeartbeatTimeoutMs(): number {
     const { leaseS, heartbeatIntervalS } = this.state.settings.workers;
     return (
@@ -120,23 +128,25 @@
     );
   }
 
-  /** Fences machines that should be up by now. */
+  /** Fences machines whose boot timeout has expired. */
   fenceFailedBoots(now: MonotonicTime): void {
     for (const machine of this.state.machines.values()) {
       if (machine.up || machine.decommissioning) continue;
       const bootMs = (machine.type?.bootS ?? DEFAULT_BOOT_S) * 1000;
       if (now - machine.provisionedAt <= Math.max(BOOT_TIMEOUT_FACTOR * bootMs, MIN_BOOT_TIMEOUT_MS))
         continue;
-      // Listed for long, and not registered: it may be up all the same, as at a first leader's start. Its worker has had
-      // no time yet to report to us.
+      // The boot timeout counts from provisioning, so it may expire before the worker of a running machine had time to
+      // send a heartbeat to this leader, as at the start of the first leader.
       if (now - this.state.startedAt <= this.firstHeartbeatTimeoutMs) continue;
       this.fence(machine, 'never came up', now);
     }
   }
 
   /**
-   * Requests the deletion of machines that can go. Those that may hold an overdue cancelled task go first, and all at
-   * once, since their deadline can't wait for one request after the other; the others leave the cloud's budget to scale-out.
+   * Requests the deletion of fenced machines and of drained machines without tasks. Machines that may hold an overdue
+   * cancelled task come first, all at the same time, because consecutive requests could miss the cancellation's
+   * deadline. The others are deleted with one request at a time, which leaves the cloud provider's rate limit to
+   * scale-out.
    */
   deleteDecommissioned(now: MonotonicTime): void {
     const deletable = this.deletableMachines(now, () => true);
@@ -145,7 +155,7 @@
     else if (deletable.length > 0) this.requestDeletion(deletable.slice(0, MAX_DELETIONS_PER_REQUEST), now);
   }
 
-  /** Requests only the deletion of machines that may hold an overdue cancelled task: that needs no authority. */
+  /** Requests only the deletion of machines that may hold an overdue cancelled task, which needs no authority. */
   deleteOverdue(now: MonotonicTime): void {
     this.requestAllDeletions(
       this.deletableMachines(now, (machine) => machine.decommissioning?.mayHoldOverdueTask === true),
@@ -153,7 +163,7 @@
     );
   }
 
-  /** Machines that can be deleted now, if a request is due. */
+  /** The machines that can be deleted now; empty if no request is due yet. */
   private deletableMachines(now: MonotonicTime, isIncluded: (machine: Machine) => boolean): Machine[] {
     if (now - this.lastDeletionAt < MIN_DELETION_INTERVAL_MS) return [];
     const deletable: Machine[] = [];
@@ -176,12 +186,12 @@
     this.state.effects.push({ kind: 'delete-machines', machines: machines.map(({ id }) => id) });
   }
 
-  /** Registers new machines, so that tasks can start on them. */
+  /** Registers new machines in the durable machine registry, which must precede the start of tasks on them. */
   registerMachines(now: MonotonicTime): void {
     this.registration.registerMachines(now);
   }
 
-  /** Whether the page of the machine registry was written. */
+  /** Handles the result of writing a page of the machine registry. */
   onRegistryPageWritten(page: string, ok: boolean): void {
     this.registration.onPageWritten(page, ok);
   }
--- a/src/core/leader/machine-registration.ts
+++ b/src/core/leader/machine-registration.ts
@@ -1,13 +1,16 @@
-/** Registers machines in the durable machine registry before tasks start on them, and keeps its pages small. */
+/**
+ * Registers machines in the durable machine registry before tasks start on them, and removes deleted ones from its
+ * pages.
+ */
 import type { Machine } from '../machine.js';
 import type { MachineInfo } from '../machine-info.js';
 import type { MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 import { MachineRegistry } from './machine-registry.js';
 
-/** Between two pages with new machines: machines that come up together share a page. */
+/** Minimum interval between writes of new pages, so that machines that come up together share a page. */
 const REGISTRATION_INTERVAL_MS = 300;
-/** Between two rounds of tidying, and the most pages rewritten in one. */
+/** Interval between compactions of the registry, and the maximum number of pages rewritten in one compaction. */
 const COMPACTION_INTERVAL_MS = 500;
 const MAX_PAGES_PER_COMPACTION = 3;
 
@@ -17,22 +20,22 @@
   private pageCount = 0;
   private lastRegisteredAt = -Infinity;
   private lastCompactedAt = -Infinity;
-  /** The page to which machines of one that is too large are being moved. */
+  /** The new page to which machines of an oversized page are being moved. */
   private splitTarget: string | null = null;
 
   constructor(private readonly state: LeaderState) {}
 
-  /** An earlier leader registered the machine on that page. */
+  /** Loads a machine that an earlier leader registered on this page. */
   load(page: string, info: MachineInfo): void {
     this.registry.load(page, info);
   }
 
-  /** The machine is gone. */
+  /** Removes a deleted machine from its page. */
   remove({ id, registryPage }: Machine): void {
     if (registryPage !== null) this.registry.remove(registryPage, id);
   }
 
-  /** Writes are few: one write for up to a page of machines that come up together. */
+  /** Registers new machines, if that is due. All machines that fit on one page are registered with one write. */
   registerMachines(now: MonotonicTime): void {
     if (now - this.lastRegisteredAt < REGISTRATION_INTERVAL_MS) return;
     const failed = this.registry.nextPageToWrite('failed', this.state.settings.fitsRegistryPage);
@@ -52,7 +55,7 @@
     this.compactPages();
   }
 
-  /** Machines that report and aren't registered yet, as many as fit on a page. */
+  /** Machines that send heartbeats and are not registered yet, as many as fit on one page. */
   private unregisteredMachines(): Machine[] {
     const found: Machine[] = [];
     const infos: MachineInfo[] = [];
@@ -66,12 +69,12 @@
     return found;
   }
 
-  /** The outcome of writing a page: the machines on it are registered by it. */
+  /** Handles the result of writing a page. A written page makes the registration of its machines durable. */
   onPageWritten(page: string, ok: boolean): void {
     if (ok && page === this.splitTarget) this.splitTarget = null;
     for (const id of this.registry.onPageWritten(page, ok)) {
       const machine = this.state.machines.get(id);
-      // Gone while the page was being written.
+      // The machine was deleted while the page was being written.
       if (!machine) this.registry.remove(page, id);
       else this.recordRegistered(machine, page);
     }
@@ -79,7 +82,7 @@
 
   private recordRegistered(machine: Machine, page: string): void {
     const { registration } = machine;
-    // On another page before: a durable one names it now, so that one need not any more.
+    // The machine is now on a durable page, so its earlier page no longer needs to contain it.
     if (registration.state !== 'unregistered' && registration.page !== page)
       this.registry.remove(registration.page, machine.id);
     machine.registration = { state: 'durable', page };
@@ -95,7 +98,10 @@
     return page;
   }
 
-  /** A machine left on a page costs the next leader some waiting, nothing else: pages are tidied without haste. */
+  /**
+   * Rewrites pages without their deleted machines. This is not urgent: a deleted machine on a page only makes the next
+   * leader wait for its heartbeat.
+   */
   private compactPages(): void {
     const { fitsRegistryPage } = this.state.settings;
     for (let i = 0; i < MAX_PAGES_PER_COMPACTION; i++) {
--- a/src/core/leader/machine-registry.ts
+++ b/src/core/leader/machine-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The pages of the durable machine registry, which says which machines may hold tasks. A page is one record in the state
- * service.
+ * The pages of the durable machine registry, which lists the machines that may hold tasks. Each page is one record in
+ * the key-value store.
  */
 import type { MachineInfo } from '../machine-info.js';
 import type { MachineId } from '../units.js';
@@ -8,39 +8,39 @@
 interface Page {
   machines: Map<MachineId, MachineInfo>;
   writing: boolean;
-  /** Names machines that are gone. */
+  /** Whether the stored page contains machines that were removed. */
   stale: boolean;
-  /** Its last write was not confirmed: machines wait for it. */
+  /** Whether the last write was not confirmed. The registration of its machines waits for a successful write. */
   failed: boolean;
 }
 
-/** A page as it is to be written. */
+/** The content of a page to be written. */
 export interface RegistryPage {
   page: string;
   machines: MachineInfo[];
 }
 
-/** Whether one page can name all of these machines. */
+/** Whether all of these machines fit on one page. */
 export type FitsPage = (machines: MachineInfo[]) => boolean;
 
-/** Bookkeeping of the pages' content, and of the writes under way. */
+/** Tracks the content of the pages and their writes in flight. */
 export class MachineRegistry {
   private readonly pages = new Map<string, Page>();
 
-  /** The page names the machine. */
+  /** Adds a machine that the page contains. */
   load(name: string, info: MachineInfo): void {
     const page = this.pages.get(name) ?? { machines: new Map(), writing: false, stale: false, failed: false };
     page.machines.set(info.id, info);
     this.pages.set(name, page);
   }
 
-  /** A new page with these machines is being written. */
+  /** Adds a new page with these machines, whose write is in flight. */
   openPage(name: string, machines: MachineInfo[]): void {
     for (const info of machines) this.load(name, info);
     this.pages.get(name)!.writing = true;
   }
 
-  /** The outcome of writing a page; returns the machines that are durable by it. */
+  /** Handles the result of writing a page, and returns the machines whose registration is now durable. */
   onPageWritten(name: string, ok: boolean): MachineId[] {
     const page = this.pages.get(name);
     if (!page) return [];
@@ -51,15 +51,15 @@
     return [...page.machines.keys()];
   }
 
-  /** The page need not name the machine any more. */
+  /** Removes the machine from the page; the page is written without it later. */
   remove(name: string, id: MachineId): void {
     const page = this.pages.get(name);
     if (page?.machines.delete(id)) page.stale = true;
   }
 
   /**
-   * Machines on a page that has grown too large to be written again, as after the service's limit on a value was
-   * lowered: they are to be registered on a page of their own, and leave this one only when that is durable.
+   * Machines to move off a page that is too large to be rewritten, as after the key-value store's limit on a value was
+   * lowered. They must be registered on a new page, and are removed from the old page only when the new one is durable.
    */
   splitOversizedPage(fits: FitsPage): MachineInfo[] {
     for (const page of this.pages.values()) {
@@ -70,7 +70,7 @@
     return [];
   }
 
-  /** A page to be written again without the machines that are gone; an empty one is deleted. */
+  /** The next page to be rewritten, without its removed machines; an empty page is to be deleted from the store. */
   nextPageToWrite(condition: 'failed' | 'stale', fits: FitsPage): RegistryPage | null {
     for (const [name, page] of this.pages) {
       if (!page[condition] || page.writing || !fits([...page.machines.values()])) continue;
--- a/src/core/leader/one-way-partition-detector.ts
+++ b/src/core/leader/one-way-partition-detector.ts
@@ -1,6 +1,7 @@
 /**
- * Detects one-way partitions: workers whose heartbeats arrive while the replies to them don't. Heartbeats alone are no
- * proof of contact, so such a machine is fenced; its tasks start elsewhere once the cloud provider says that it is gone.
+ * Detects one-way partitions, in which a worker's heartbeats arrive but the replies to them are lost. Heartbeats alone
+ * do not prove that a worker is reachable, so such a machine is fenced. Its tasks start elsewhere once the cloud
+ * provider confirms the deletion.
  */
 import type { Machine } from '../machine.js';
 import type { Placement } from '../job.js';
@@ -11,20 +12,25 @@
 import type { LeaderState } from './leader-state.js';
 import type { MachinePool } from './machine-pool.js';
 
-/** Leases of gapless replies after which a worker must have taken over the fencing token that they carry. */
+/** After replies without a gap for this many leases, a worker must have adopted the fencing token in the replies. */
 const TOKEN_ADOPTION_LEASES = 1.5;
-/** Part of a lease of gapless replies after which a lease that expires shows that none of them arrived. */
+/**
+ * If a worker's lease expires after replies without a gap for this fraction of a lease, none of the replies arrived.
+ */
 const LEASE_EXPIRY_FRACTION = 0.9;
-/** Fences because of one-way partitions are counted over this many leases. */
+/** Length of the sliding window that limits fencing, in leases. */
 const FENCE_WINDOW_LEASES = 3;
-/** Within the window at most this many machines are fenced, or this part of all of them if that is more. */
+/** At most this many machines, or this fraction of all machines if that is more, are fenced within the window. */
 const FENCE_WINDOW_MIN_MACHINES = 2;
 const FENCE_WINDOW_MACHINE_FRACTION = 0.1;
-/** Between replies without a gap lie at most a reply's timeout, this many heartbeat intervals and a margin. */
+/**
+ * Two consecutive replies have no gap between them if at most the reply timeout, this many heartbeat intervals and a
+ * margin lie between them.
+ */
 const REPLY_GAP_INTERVALS = 1.5;
 const REPLY_GAP_MARGIN_MS = 1500;
 
-/** Watches whether the replies given to workers with authority have their effect. */
+/** Checks whether replies that a leader with authority sends to workers take effect. */
 export class OneWayPartitionDetector {
   private fenceTimes: MonotonicTime[] = [];
 
@@ -33,7 +39,7 @@
     private readonly machinePool: MachinePool,
   ) {}
 
-  /** A reply with authority is given to the worker's heartbeat. */
+  /** Records a reply to the worker's heartbeat, sent with authority. */
   recordReply(machine: Machine, now: MonotonicTime): void {
     machine.replies.recordReply(this.maxReplyGapMs, now);
     if (machine.reconciled) return;
@@ -42,8 +48,9 @@
   }
 
   /**
-   * The worker's lease has expired. Where its heartbeats were replied to all the while, none of the replies arrived. Not
-   * so after a gap: when a partition heals, the new incarnation comes first, with nothing held back before it.
+   * Handles the expiry of the worker's lease. If all heartbeats up to now got a reply, none of the replies arrived.
+   * After a gap this does not follow: when a partition heals, the new incarnation's heartbeat may arrive without any
+   * earlier, delayed one.
    */
   onLeaseExpired(machine: Machine, now: MonotonicTime): void {
     const { replies } = machine;
@@ -53,7 +60,9 @@
     replies.reset();
   }
 
-  /** Tells commands without effect from commands in flight: a worker executes a reply before its next heartbeat. */
+  /**
+   * Detects replies whose start commands had no effect. A worker executes a reply before it sends its next heartbeat.
+   */
   checkStartsAcknowledged(
     machine: Machine,
     heartbeat: Heartbeat,
@@ -75,7 +84,7 @@
     if (replies.isUnacknowledged) this.releaseUnstarted(machine, now);
   }
 
-  /** Tasks that were not started there, and by this heartbeat certainly will not be, go elsewhere. */
+  /** Releases the tasks that were not started on the machine and, as this heartbeat proves, never will be. */
   private releaseUnstarted(machine: Machine, now: MonotonicTime): void {
     for (const { job, placement } of [...machine.placements.values()]) {
       const mayRun =
@@ -97,7 +106,8 @@
     if (machine.decommissioning?.mode === 'fence') return;
     const windowMs = this.state.settings.workers.leaseS * (FENCE_WINDOW_LEASES * 1000);
     this.fenceTimes = this.fenceTimes.filter((at) => now - at < windowMs);
-    // Many at once: it is our replies that are late, not a partition of single machines.
+    // If many machines are affected at once, this controller's replies are late; it is not a partition of single
+    // machines.
     const limit = Math.max(
       FENCE_WINDOW_MIN_MACHINES,
       this.state.machines.size * FENCE_WINDOW_MACHINE_FRACTION,
@@ -113,7 +123,7 @@
   }
 }
 
-/** Whether a heartbeat shows the starts that earlier replies carried; `none-due`: it could not show any yet. */
+/** Whether a heartbeat reports the starts that earlier replies contained; `none-due` if none is expected in it yet. */
 const startsAcknowledged = (
   machine: Machine,
   heartbeat: Heartbeat,
--- a/src/core/leader/progress-writer.ts
+++ b/src/core/leader/progress-writer.ts
@@ -1,4 +1,6 @@
-/** Makes completions durable: writes the segments of a job's progress that have new ones, at a bounded rate. */
+/**
+ * Makes completions durable: writes the segments of the jobs' progress that have new completions, at a bounded rate.
+ */
 import type { Job } from '../job.js';
 import { segmentName, segmentStart } from '../progress-segments.js';
 import type { JobId, SegmentName, MonotonicTime } from '../units.js';
@@ -7,15 +9,15 @@
 const WRITE_INTERVAL_MS = 1000;
 const BITS_PER_BYTE = 8;
 
-/** Until its completion is durable, a task stays in its worker's heartbeats. */
+/** Writes the jobs' progress. Until its completion is durable, a completed task stays in its worker's heartbeats. */
 export class ProgressWriter {
   private lastWrittenAt = -Infinity;
 
   constructor(private readonly state: LeaderState) {}
 
   /**
-   * Jobs that waited longest first, and no more than a part of the service's rate of changes: starts and ends need the
-   * remainder.
+   * Writes progress, if that is due, beginning with the jobs whose last write is the longest ago. It uses only a
+   * fraction of the key-value store's write rate, because starting and finalizing jobs needs the remainder.
    */
   writeIfDue(now: MonotonicTime): void {
     if (now - this.lastWrittenAt < WRITE_INTERVAL_MS) return;
@@ -33,7 +35,7 @@
     }
   }
 
-  /** Writes up to `maxSegments` segments with new completions, except those being written already; returns the number. */
+  /** Writes up to `maxSegments` segments with new completions and no write in flight, and returns their number. */
   private writeSegments(job: Job, maxSegments: number): number {
     const { segmentBytes } = this.state.settings;
     const { completedBits, segmentsBeingWritten, unpersisted } = job.progress;
@@ -55,13 +57,13 @@
     return written;
   }
 
-  /** Completions that the key-value store holds, read at the start or in place of a refused write. */
+  /** Loads completions stored in the key-value store, read at the start or after a write conflict. */
   loadProgress(id: JobId, segment: SegmentName, bytes: Uint8Array): void {
     const startByte = segmentStart(segment);
     if (startByte !== null) this.state.jobs.get(id)?.confirmCompletions(segment, startByte, bytes);
   }
 
-  /** Whether a segment was written; if not, its completions are written again. */
+  /** Handles the result of writing a segment. After a failure, its completions are written again. */
   onProgressWritten(id: JobId, segment: SegmentName, bytes: Uint8Array, ok: boolean): void {
     const job = this.state.jobs.get(id);
     const startByte = segmentStart(segment);
--- a/src/core/leader/reachability.ts
+++ b/src/core/leader/reachability.ts
@@ -1,13 +1,17 @@
-/** Which machines are reachable by their heartbeats, counted by zone in one pass. */
+/** Counts reachable and unreachable machines by zone, in one pass over the machines. */
 import type { Machine } from '../machine.js';
 import type { Zone } from '../units.js';
 
-/** A zone is partitioned where at least this many of its machines, and this part of them, missed a heartbeat. */
+/**
+ * A zone is partitioned if at least this many of its machines, and at least this fraction of them, missed a heartbeat.
+ */
 const PARTITION_MIN_MACHINES = 2;
 const PARTITION_ZONE_FRACTION = 0.5;
-/** Of a zone that is cut off as a whole this part, or more, is unreachable: new machines that aren't up don't count. */
+/** A zone is unreachable as a whole if at least this fraction of its machines that are up is unreachable. */
 const WHOLE_ZONE_FRACTION = 0.9;
-/** A mass failure: more than this many machines, and more than this part of those that are up, are unreachable. */
+/**
+ * In a mass failure more than this many machines, and more than this fraction of those that are up, are unreachable.
+ */
 const MASS_FAILURE_MIN_MACHINES = 3;
 const MASS_FAILURE_MACHINE_FRACTION = 0.1;
 
@@ -15,16 +19,16 @@
   counts.set(zone, (counts.get(zone) ?? 0) + 1);
 };
 
-/** Counts of the machines that are up. */
+/** Reachability of the machines that are up. */
 export class Reachability {
-  /** Those that may have missed a heartbeat. */
+  /** Machines that have sent no heartbeat within one round of heartbeats. */
   readonly suspected: Machine[] = [];
   private upCount = 0;
   private unreachableCount = 0;
   private readonly upByZone = new Map<Zone, number>();
   private readonly unreachableByZone = new Map<Zone, number>();
 
-  /** Counts a machine that is up, and whose last heartbeat is `sinceHeartbeatMs` old. */
+  /** Adds a machine that is up and whose last heartbeat is `sinceHeartbeatMs` old. */
   add(machine: Machine, sinceHeartbeatMs: number, heartbeatRoundMs: number, missedHeartbeatMs: number): void {
     this.upCount++;
     increment(this.upByZone, machine.info.zone);
@@ -35,7 +39,7 @@
     increment(this.unreachableByZone, machine.info.zone);
   }
 
-  /** Zones that look partitioned now. */
+  /** The zones that currently appear to be partitioned. */
   *partitionedZones(): Iterable<Zone> {
     for (const [zone, count] of this.unreachableByZone)
       if (count >= PARTITION_MIN_MACHINES && count >= PARTITION_ZONE_FRACTION * this.upByZone.get(zone)!)
@@ -43,16 +47,16 @@
   }
 
   /**
-   * As in a partition, which spares no machine. Where some of a zone are reachable, the others may as well hang, and a
-   * cancelled task on them is not ended by anybody there.
+   * Whether nearly all machines of the zone are unreachable, as in a network partition. If some machines of a zone are
+   * reachable, the others may hang instead, and then no controller can end a cancelled task on them.
    */
   isWholeZoneUnreachable(zone: Zone): boolean {
     return (this.unreachableByZone.get(zone) ?? 0) >= WHOLE_ZONE_FRACTION * (this.upByZone.get(zone) ?? 0);
   }
 
   /**
-   * All that missed a heartbeat count, not only those past their detection timeout: else the first tenth of them would
-   * be fenced.
+   * Whether many machines are unreachable at once. Counts all machines that missed a heartbeat, not only those past
+   * their detection timeout; otherwise the first tenth of them would be fenced before a mass failure is detected.
    */
   get isMassFailure(): boolean {
     return (
--- a/src/core/leader/recovery.ts
+++ b/src/core/leader/recovery.ts
@@ -1,18 +1,24 @@
-/** The start of a leadership: what an earlier leader started is learned from the workers before anything is placed. */
+/**
+ * The start of a leadership: the tasks that an earlier leader started are collected from heartbeats before tasks are
+ * placed.
+ */
 import type { MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
-/** One round of heartbeats, and a margin, is awaited. */
+/** Length of one round of heartbeats, in heartbeat intervals, plus a margin. */
 const RECOVERY_HEARTBEAT_INTERVALS = 1.25;
 const RECOVERY_MARGIN_MS = 1500;
 
-/** Whether the leader knows enough to place tasks. */
+/** Decides when a new leader may start to place tasks. */
 export class Recovery {
   private complete = false;
 
   constructor(private readonly state: LeaderState) {}
 
-  /** After one round of heartbeats it is; machines not reconciled by then hold up only what may be on them. */
+  /**
+   * Whether all machines are reconciled, or one round of heartbeats has passed. Machines that are not reconciled by
+   * then only delay the jobs whose tasks may be on them.
+   */
   isComplete(now: MonotonicTime): boolean {
     if (this.complete) return true;
     const waitedMs = now - this.state.startedAt;
--- a/src/core/leader/replacement-demand.ts
+++ b/src/core/leader/replacement-demand.ts
@@ -1,6 +1,6 @@
 /**
- * Capacity for urgent work on unreachable machines. It may not start elsewhere before they are fenced, but the machines
- * for it can boot meanwhile.
+ * Demand for replacement capacity for urgent tasks on unreachable machines. The tasks may not start elsewhere before
+ * these machines are fenced, but their replacements can boot in the meantime.
  */
 import type { Job } from '../job.js';
 import type { Machine } from '../machine.js';
@@ -10,8 +10,8 @@
 import type { LeaderState } from './leader-state.js';
 
 /**
- * The demand, the most urgent first. None for a zone that is partitioned: most of what it holds is there again when the
- * partition heals.
+ * The demand for replacements, in order of decreasing priority. Machines in partitioned zones are left out, because
+ * most of them are reachable again when the partition heals.
  */
 export const replacementDemands = (unreachable: Machine[], state: LeaderState): CapacityDemand[] => {
   const lost = unreachableTasksByZone(unreachable, state);
@@ -41,7 +41,7 @@
 
 const demandOf = (job: Job, lostByZone: Map<Zone, number>, state: LeaderState): CapacityDemand => {
   const { spec } = job;
-  // A gang loses all of its tasks with one of them.
+  // When a gang loses one task, all of its tasks must be placed again.
   if (spec.kind === 'gang') return { spec, tasks: spec.tasks, zones: new Map(), isForecast: false };
   const zones = state.placementsByZone(job);
   let tasks = 0;
--- a/src/core/leader/scheduling-queue.ts
+++ b/src/core/leader/scheduling-queue.ts
@@ -1,28 +1,29 @@
-/** The order in which jobs are placed: first those that waited long, then by priority and by when they are due. */
+/** The order in which jobs are placed: starving jobs first, then by priority and due time. */
 import { addResources, type Resources } from '../resources.js';
 import type { Job } from '../job.js';
 import { priorityRank } from '../job-spec.js';
 import type { MonotonicTime, Team, WallTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
-/** A job that can't be in time any more counts as due this long after its submission. */
+/** A job that can no longer meet any deadline or objective is treated as due this long after its submission. */
 const UNATTAINABLE_DUE_DELAY_MS = 86_400_000;
 
-/** Gangs before jobs that start task by task, which would take the capacity reserved for them; then by age. */
+/** Gangs first, then by age. Jobs that start task by task would otherwise take the capacity reserved for gangs. */
 const starvingOrder = (a: Job, b: Job): number =>
   Number(b.spec.kind === 'gang') - Number(a.spec.kind === 'gang') ||
   a.record.submittedAt - b.record.submittedAt;
 
 /**
- * Arrays by what is left of them, in steps of a doubling: where not all can be in time, the most are when those that
- * need least go first, and one that has begun ends before the next begins. Gangs and services go before them.
+ * Remaining work of an array, in steps of a factor of two; 0 for gangs and services, which go before arrays. If not all
+ * arrays can meet their deadlines, the most do when those with the least remaining work go first, and an array that
+ * has started ends before the next one starts.
  */
 const remainingWorkBucket = (job: Job): number =>
   job.spec.kind === 'array' ? Math.round(Math.log2(1 + job.pendingCount * job.spec.estimateS)) : 0;
 
-/** Queues the jobs with pending tasks. */
+/** Builds the scheduling queue from the jobs with pending tasks. */
 export class SchedulingQueue {
-  /** Service-level objectives by class: seconds from submission to the end. */
+  /** Service-level objectives by class of jobs: allowed seconds from submission to the end. */
   readonly finishObjectivesS = new Map<string, number[]>();
 
   constructor(private readonly state: LeaderState) {
@@ -32,7 +33,7 @@
     }
   }
 
-  /** The jobs to be placed, in order; `backedOff` ones have pending tasks as well, but are in back-off. */
+  /** The jobs to be placed, in order, and the jobs with pending tasks that are in back-off. */
   buildQueue(now: MonotonicTime, wallTime: WallTime): { queue: Job[]; backedOff: Job[] } {
     const queue: Job[] = [];
     const backedOff: Job[] = [];
@@ -75,9 +76,9 @@
   }
 
   /**
-   * Of each class the oldest and the largest job that have waited long go before everybody else: so every class
-   * goes on being served, and large jobs begin, through bursts of higher priority. Only these: where all are late,
-   * priorities still hold among the others.
+   * Marks the oldest and the largest long-waiting job of each class as starving, which puts them first in the queue.
+   * Each class thus makes progress, and large jobs start, during bursts of higher priority. Only these two are marked,
+   * so that priorities still apply to the others when all jobs are late.
    */
   private markStarving(queue: Job[]): void {
     const oldest = new Map<string, Job>();
@@ -101,8 +102,8 @@
   }
 
   /**
-   * When a job should be over: the nearest objective or deadline that it can still meet. One that can meet none goes behind those
-   * that can, lest under overload everybody is late in turn.
+   * The due time of a job: the nearest objective or deadline that it can still meet. Jobs that can meet none go after
+   * those that can; otherwise under overload each job in turn would be late.
    */
   private dueTime(job: Job, wallTime: WallTime): number {
     const { submittedAt } = job.record;
@@ -115,9 +116,9 @@
     return dueTimes.length === 0 ? submittedAt : submittedAt + UNATTAINABLE_DUE_DELAY_MS;
   }
 
-  /** Whether the job was rejected a moment ago, and no capacity was gained since. */
+  /** Whether the job was recently rejected and no capacity has been gained since. */
   inBackoff(job: Job, now: MonotonicTime): boolean {
-    // Never for one that has waited long: the capacity reserved for it would go to others while it is in back-off.
+    // A job that has waited long is never in back-off, as other jobs would take the capacity reserved for it.
     return (
       !job.waitedLong &&
       now < job.backoffUntil &&
@@ -125,12 +126,12 @@
     );
   }
 
-  /** What each team's tasks take, against its quota. */
+  /** The resources that each team's tasks use, which count against its quota. */
   teamUsage(): Map<Team, Resources> {
     const usage = new Map<Team, Resources>();
     for (const job of this.state.jobs.values()) {
       let tasks = job.placements.size;
-      // Not located: an earlier leader may have started them on a machine that is not yet reconciled.
+      // An earlier leader may have started the pending tasks on a machine that is not yet reconciled.
       if (this.state.mayRunOnUnreconciledMachine(job)) tasks += job.pendingCount;
       if (tasks === 0) continue;
       const used = usage.get(job.spec.team) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
--- a/src/core/leader/scheduling-round.ts
+++ b/src/core/leader/scheduling-round.ts
@@ -1,4 +1,7 @@
-/** One round of scheduling: builds the queue, runs a cycle on it, and carries out what the cycle decided. */
+/**
+ * One scheduling round: builds the queue, runs a scheduling cycle on it and applies the resulting placements and
+ * evictions.
+ */
 import { newPlacement, type Job, type Placement } from '../job.js';
 import type { Machine } from '../machine.js';
 import { markWithinGuarantee } from '../scheduler/guarantees.js';
@@ -23,18 +26,18 @@
 import type { LeaderState } from './leader-state.js';
 import type { SchedulingQueue } from './scheduling-queue.js';
 
-/** Tasks of one job considered in a cycle. */
+/** Tasks of one job considered in one scheduling cycle. */
 const MAX_TASKS_PER_JOB = 40;
-/** Back-off of a job that could not be placed; doubled with each further rejection, up to the maximum. */
+/** Back-off of a job that could not be placed. It doubles with each rejection, up to the maximum. */
 const PLACEMENT_BACKOFF_MS = 400;
 const PLACEMENT_BACKOFF_MAX_MS = 5000;
 const PLACEMENT_BACKOFF_MAX_DOUBLINGS = 10;
-/** Nothing is placed on a machine whose last heartbeat is older than this many heartbeat intervals. */
+/** No task is placed on a machine whose last heartbeat is older than this many heartbeat intervals. */
 const UNREACHABLE_HEARTBEAT_INTERVALS = 2.5;
-/** Without any change, the autoscaler runs again after this time. */
+/** The autoscaler runs at least this often, even if nothing has changed. */
 const MAX_SCALING_INTERVAL_MS = 1000;
 
-/** The parts of the leader that a round works with. */
+/** The leader's components that a scheduling round uses. */
 export interface SchedulingRoundDependencies {
   state: LeaderState;
   queue: SchedulingQueue;
@@ -43,9 +46,9 @@
   typePenalties: TypePenalties;
 }
 
-/** Runs a round whenever one is due. */
+/** Runs scheduling rounds when they are due. */
 export class SchedulingRound {
-  /** Machines that the last cycle examined: its cost. */
+  /** Number of machine evaluations in the last cycle, a measure of its cost. */
   lastCycleMachineEvaluations = 0;
   private readonly state: LeaderState;
   private readonly queue: SchedulingQueue;
@@ -64,7 +67,7 @@
     this.quotas = new Map(state.settings.teams.map((team) => [team.name, team]));
   }
 
-  /** Places what can be placed, and scales. */
+  /** Places pending tasks, preempts victims and runs the autoscaler, if a round is due. */
   runIfDue(now: MonotonicTime, wallTime: WallTime): void {
     if (!this.state.needsScheduling && !this.isDue(now)) return;
     this.state.needsScheduling = false;
@@ -111,7 +114,7 @@
     });
   }
 
-  /** The tasks of a gang find one another by their attempt, so they share one. */
+  /** All tasks of a gang get the same attempt number, by which they find one another. */
   private applyPlacements(placed: readonly AssumedPlacement[], now: MonotonicTime): void {
     const gangAttempts = new Map<JobId, Attempt>();
     for (const { job, index, machine } of placed) {
@@ -152,7 +155,7 @@
     job.backoffUntil = now + delayMs * wideJitter(this.state.settings.random);
   }
 
-  /** Why a job waits is logged whenever the reason changes. */
+  /** Logs the wait reason of each job whose reason has changed. */
   private logWaitReasons(queue: Job[]): void {
     for (const job of queue) {
       const why = job.pendingCount === 0 ? '' : job.waitReason.why;
--- a/src/core/leader/task-failure-handler.ts
+++ b/src/core/leader/task-failure-handler.ts
@@ -1,4 +1,7 @@
-/** Tells bad machines and bad jobs apart by the tasks that fail: the one is quarantined, the other is slowed down. */
+/**
+ * Distinguishes faulty machines from faulty jobs when tasks fail: machines are quarantined, jobs are put into
+ * back-off.
+ */
 import type { Job } from '../job.js';
 import type { Machine } from '../machine.js';
 import type { MonotonicTime } from '../units.js';
@@ -6,21 +9,23 @@
 import type { LeaderState } from './leader-state.js';
 import type { MachinePool } from './machine-pool.js';
 
-/** A machine on which tasks of this many jobs failed is quarantined. */
+/** A machine is quarantined when tasks of this many jobs have failed on it. */
 const QUARANTINE_FAILED_JOBS = 2;
-/** A job whose tasks failed on this many machines is put into back-off, longer each time. */
+/**
+ * A job is put into back-off when its tasks have failed on this many machines. The back-off increases with each error.
+ */
 const BACKOFF_FAILED_MACHINES = 3;
 const ERROR_BACKOFF_MS = 2000;
 const ERROR_BACKOFF_MAX_MS = 60_000;
 
-/** Draws the consequences of tasks that end with an error. */
+/** Handles tasks that end with an error. */
 export class TaskFailureHandler {
   constructor(
     private readonly state: LeaderState,
     private readonly machinePool: MachinePool,
   ) {}
 
-  /** A task of the job has ended with an error on the machine. */
+  /** Handles a task of the job that ended with an error on the machine. */
   onTaskError(machine: Machine, job: Job, now: MonotonicTime): void {
     machine.failedJobs.add(job.id);
     job.errorMachines.add(machine.id);
--- a/src/core/leader/task-reconciler.ts
+++ b/src/core/leader/task-reconciler.ts
@@ -1,4 +1,4 @@
-/** Reconciles the tasks that a worker reports with those that the leader has placed on its machine. */
+/** Reconciles the tasks reported by a worker with the tasks that the leader has placed on its machine. */
 import { newPlacement, type Job, type Placement } from '../job.js';
 import type { Machine } from '../machine.js';
 import { attemptKey, type TaskStatus } from '../task-status.js';
@@ -9,16 +9,17 @@
 import type { MachinePool } from './machine-pool.js';
 import { TaskFailureHandler } from './task-failure-handler.js';
 
-/** How long, about, a job waits after a worker had too little free for a task of it. */
+/** Back-off, before jitter, of a job after a worker refused one of its tasks for lack of free resources. */
 const NO_ROOM_BACKOFF_MS = 1000;
 
 /**
- * How a heartbeat came. The worker executes the reply to a heartbeat before it sends the next one, or never; the answer
- * to a direct command may overtake that reply, whatever its sequence number.
+ * How a heartbeat arrived. A worker executes the reply to a heartbeat before it sends the next heartbeat, or never.
+ * The response to a direct command also contains a heartbeat, but it may arrive before such a reply is executed,
+ * whatever its sequence number.
  */
 export type HeartbeatSource = 'heartbeat' | 'direct command answer';
 
-/** Updates placements by what heartbeats say of tasks. */
+/** Updates placements by the task statuses in heartbeats. */
 export class TaskReconciler {
   private readonly failureHandler: TaskFailureHandler;
 
@@ -29,7 +30,10 @@
     this.failureHandler = new TaskFailureHandler(state, machinePool);
   }
 
-  /** The heartbeat lists all tasks of the machine: what is placed there and not listed has vanished, or never began. */
+  /**
+   * A heartbeat lists all tasks of the machine, so a placed task that is missing has either ended or was never
+   * started.
+   */
   reconcile(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource, now: MonotonicTime): void {
     for (const task of heartbeat.tasks) this.reconcileTask(machine, task, now);
     for (const { job, placement } of [...machine.placements.values()]) {
@@ -98,7 +102,7 @@
       this.state.placements.stopGang(job, `member ${index}: ${cause ?? 'no cause reported'}`, now);
   }
 
-  /** The tasks of a gang complete together. */
+  /** Records a completion. All tasks of a gang complete together. */
   private recordCompletion(
     machine: Machine,
     job: Job,
@@ -111,7 +115,7 @@
     if (current) this.state.decisionLog.recordCompleted(machine, task);
   }
 
-  /** A task of an earlier leader is counted as placed where it runs, unless its job needs it no more. */
+  /** Adds a placement for a task that an earlier leader started, unless the task is completed or its job is ending. */
   private adoptIfNeeded(
     machine: Machine,
     job: Job,
@@ -129,14 +133,14 @@
   }
 }
 
-/** Whether the task shows that its image is in the worker's cache, and was used just now. */
+/** Whether the task's status implies that its image is in the worker's cache and was used recently. */
 const hasUsedImage = ({ state, cause }: TaskStatus): boolean =>
   state === 'exited' ? cause === 'done' : state !== 'fetching' && !isRefusal(cause);
 
 const isRefusal = (cause: TaskStatus['cause']): boolean =>
   cause === 'no_room' || cause === 'in_use' || cause === 'no_such';
 
-/** Whether the heartbeat shows that a start sent in reply to an earlier one was executed, or never will be. */
+/** Whether the heartbeat proves that a start sent in reply to an earlier heartbeat was executed or never will be. */
 const isStartResolved = (
   heartbeat: Heartbeat,
   source: HeartbeatSource,
--- a/src/core/leader/urgency-inheritance.ts
+++ b/src/core/leader/urgency-inheritance.ts
@@ -1,12 +1,14 @@
-/** Passes priorities and due times from the jobs that depend on others to those others. */
+/** Passes priorities and due times from dependent jobs to the jobs that they depend on. */
 import type { InheritedUrgency, Job } from '../job.js';
 import { priorityRank, type Priority } from '../job-spec.js';
 import type { JobId, WallTime } from '../units.js';
 
-/** The unfinished jobs that depend on others, by what they depend on. */
+/** For each job, the unfinished jobs that depend on it. */
 export type Dependents = ReadonlyMap<JobId, ReadonlySet<Job>>;
 
-/** Updates the inherited urgency of the jobs that others depend on, and reports those whose priority has changed. */
+/**
+ * Updates the inherited urgency of all jobs that others depend on. Calls back for each job whose priority has changed.
+ */
 export const propagateUrgency = (
   dependents: Dependents,
   jobs: ReadonlyMap<JobId, Job>,
@@ -19,7 +21,10 @@
   }
 };
 
-/** Depth first. Dependencies were accepted before, so there are no cycles; long chains need no recursion. */
+/**
+ * Depth-first and iterative, because chains can be long. A job's dependencies exist before the job, so there are no
+ * cycles.
+ */
 const inheritUrgency = (
   job: Job,
   dependents: Dependents,
@@ -44,7 +49,10 @@
   }
 };
 
-/** The highest of the priorities, and the earliest time by which a job must be over for all of these to be in time. */
+/**
+ * The highest priority of the dependents, and the latest time at which a job must end so that all of them can be in
+ * time.
+ */
 const urgencyOf = (dependents: readonly Job[]): InheritedUrgency | null => {
   if (dependents.length === 0) return null;
   let priority: Priority = 'low';
@@ -52,7 +60,7 @@
   for (const dependent of dependents) {
     if (dependent.cancelled) continue;
     if (priorityRank[dependent.priority] > priorityRank[priority]) priority = dependent.priority;
-    // The job has to be over when those after it must begin, by their owners' estimates.
+    // The job must end before its dependents have to start, according to their owners' run-time estimates.
     if (dependent.dueAt !== null) dueAt = Math.min(dueAt, dependent.dueAt - dependent.spec.estimateS * 1000);
   }
   return { priority, dueAt: dueAt < Infinity ? (dueAt as WallTime) : null };
