--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -79,7 +79,11 @@
     const key = capacityKey(type, zone, spot);
     if (created.length < request.count) this.recordRefusal(key, now);
     else this.consecutiveRefusals.delete(key);
-    this.state.log('info', { request: requestId, ...request, created: created.length }, 'scale-out answered');
+    this.state.log(
+      'info',
+      { request: requestId, ...request, created: created.length },
+      'scale-out response received',
+    );
     this.state.needsScheduling = true;
   }
 
--- a/src/core/leader/deadline-predictor.ts
+++ b/src/core/leader/deadline-predictor.ts
@@ -57,7 +57,11 @@
     const isLate = lateS > 0;
     if (isLate !== (job.predictedLateS !== null)) {
       const fields = { job: job.id, class: job.spec.class, lateS: Math.round(lateS), priority: job.priority };
-      this.state.log('info', fields, isLate ? 'job will miss its deadline' : 'job is in time again');
+      this.state.log(
+        'info',
+        fields,
+        isLate ? 'job is predicted to miss its deadline' : 'job is predicted to meet its deadline again',
+      );
     }
     job.predictedLateS = isLate ? Math.round(lateS) : null;
   }
--- a/src/core/leader/decision-log.ts
+++ b/src/core/leader/decision-log.ts
@@ -17,12 +17,12 @@
 /** Why a placement was released, i.e. why the machine no longer holds the task. */
 export type ReleaseCause =
   | 'start never sent'
-  | 'stopped, and not started by a later heartbeat'
-  | 'not started by a worker that acknowledges no command'
+  | 'stopped before it started'
+  | 'start not acknowledged'
   | 'exited'
-  | 'task vanished'
+  | 'task missing from heartbeat'
   | 'incarnation ended'
-  | 'machine gone';
+  | 'machine deleted';
 
 /** Counts of decisions since this leadership began, shown on the status page. */
 export interface DecisionCounts {
--- a/src/core/leader/heartbeat-reconciler.ts
+++ b/src/core/leader/heartbeat-reconciler.ts
@@ -87,7 +87,7 @@
     for (const command of commands)
       if (command.op === 'start') this.recordDirectStartResult(machine, command, result);
     if ((result.kind === 'executed' || result.kind === 'refused') && result.heartbeat)
-      this.processHeartbeat(result.heartbeat, 'direct command answer', now);
+      this.processHeartbeat(result.heartbeat, 'direct command response', now);
   }
 
   /**
--- a/src/core/leader/job-intake.ts
+++ b/src/core/leader/job-intake.ts
@@ -69,7 +69,7 @@
     if (record.spec.dependsOn.length === 0) this.arrivalRates.recordArrival(record, now, wallTime);
     this.jobDependencies.addJob(job, now);
     const { class: name, tasks, image, estimateS, deadlineS } = record.spec;
-    this.state.log('debug', { job: id, class: name, tasks, image, estimateS, deadlineS }, 'job known');
+    this.state.log('debug', { job: id, class: name, tasks, image, estimateS, deadlineS }, 'job added');
   }
 
   /** Applies a cancellation that a controller has confirmed to its user. The job's record may arrive much later. */
--- a/src/core/leader/machine-pool.ts
+++ b/src/core/leader/machine-pool.ts
@@ -73,7 +73,7 @@
       machine.provisionedAt = (now - listed.ageS * 1000) as MonotonicTime;
     }
     machine.firstListedAt ??= now;
-    if (listed.status === 'failed') this.fence(machine, 'failed', now);
+    if (listed.status === 'failed') this.fence(machine, 'reported as failed by the cloud provider', now);
   }
 
   /** Handles the result of a deletion request. Deleted machines are removed together with the tasks on them. */
@@ -89,7 +89,7 @@
   private remove(machine: Machine, now: MonotonicTime): void {
     const { id } = machine;
     for (const { job, placement } of [...machine.placements.values()])
-      this.state.placements.markLost(job, placement, 'machine gone', now);
+      this.state.placements.markLost(job, placement, 'machine deleted', now);
     this.state.machines.delete(id);
     this.state.deletedMachines.set(id, now);
     this.state.unreconciledMachines.delete(id);
@@ -138,7 +138,7 @@
       // The boot timeout counts from provisioning, so it may expire before the worker of a running machine had time to
       // send a heartbeat to this leader, as at the start of the first leader.
       if (now - this.state.startedAt <= this.firstHeartbeatTimeoutMs) continue;
-      this.fence(machine, 'never came up', now);
+      this.fence(machine, 'boot timeout', now);
     }
   }
 
--- a/src/core/leader/one-way-partition-detector.ts
+++ b/src/core/leader/one-way-partition-detector.ts
@@ -77,7 +77,7 @@
     }
     if (result === 'unacknowledged') {
       if (replies.recordUnacknowledged())
-        this.state.log('info', { machine: machine.id }, 'worker acknowledges no command');
+        this.state.log('info', { machine: machine.id }, 'worker does not acknowledge start commands');
     } else if (previousReceivedAt !== null) {
       replies.recordHeartbeatAfter(now - previousReceivedAt);
     }
@@ -92,13 +92,7 @@
         placement.directStartInFlight ||
         placement.directStartOutcomeUnknown ||
         machine.reportedTasks.has(attemptKey(job.id, placement.index, placement.attempt));
-      if (!mayRun)
-        this.state.placements.release(
-          job,
-          placement,
-          'not started by a worker that acknowledges no command',
-          now,
-        );
+      if (!mayRun) this.state.placements.release(job, placement, 'start not acknowledged', now);
     }
   }
 
--- a/src/core/leader/placement-lifecycle.ts
+++ b/src/core/leader/placement-lifecycle.ts
@@ -32,7 +32,7 @@
    */
   stopGang(job: Job, cause: string, now: MonotonicTime): void {
     for (const placement of [...job.placements.values()])
-      this.stop(job, placement, 0, `gang broken: ${cause}`, now);
+      this.stop(job, placement, 0, `gang member lost: ${cause}`, now);
   }
 
   /** Stops a task. A placement whose start was never sent is released at once. */
--- a/src/core/leader/scheduling-round.ts
+++ b/src/core/leader/scheduling-round.ts
@@ -136,7 +136,7 @@
     const { term } = this.state.leadership;
     const waitedS = (now - job.waitingSince) / 1000;
     const fields = { job: job.id, task, attempt, machine: machine.id, term, waitedS };
-    this.state.log('debug', fields, 'placed');
+    this.state.log('debug', fields, 'task placed');
   }
 
   private preemptVictims({ victims }: CycleResult, now: MonotonicTime): void {
--- a/src/core/leader/task-failure-handler.ts
+++ b/src/core/leader/task-failure-handler.ts
@@ -38,8 +38,8 @@
   private quarantine(machine: Machine, now: MonotonicTime): void {
     machine.quarantined = true;
     const fields = { machine: machine.id, jobs: machine.failedJobs.size };
-    this.state.log('info', fields, 'machine quarantined: fails tasks of several jobs');
-    this.machinePool.drain(machine, 'fails tasks', now);
+    this.state.log('info', fields, 'machine quarantined: tasks of several jobs failed on it');
+    this.machinePool.drain(machine, 'machine quarantined', now);
   }
 
   private backOff(job: Job, now: MonotonicTime): void {
@@ -48,6 +48,6 @@
     job.errorBackoffUntil = now + delayMs * narrowJitter(this.state.settings.random);
     job.errorMachines.clear();
     const fields = { job: job.id, errors: job.errorCount, delayMs: Math.round(delayMs) };
-    this.state.log('info', fields, 'job fails on several machines, in back-off');
+    this.state.log('info', fields, 'job put into back-off: its tasks failed on several machines');
   }
 }
--- a/src/core/leader/task-reconciler.ts
+++ b/src/core/leader/task-reconciler.ts
@@ -17,7 +17,7 @@
  * The response to a direct command also contains a heartbeat, but it may arrive before such a reply is executed,
  * whatever its sequence number.
  */
-export type HeartbeatSource = 'heartbeat' | 'direct command answer';
+export type HeartbeatSource = 'heartbeat' | 'direct command response';
 
 /** Updates placements by the task statuses in heartbeats. */
 export class TaskReconciler {
@@ -39,9 +39,10 @@
     for (const { job, placement } of [...machine.placements.values()]) {
       if (machine.reportedTasks.has(attemptKey(job.id, placement.index, placement.attempt))) continue;
       if (placement.directStartInFlight || placement.directStartOutcomeUnknown) continue;
-      if (placement.observed) this.state.placements.markLost(job, placement, 'task vanished', now);
+      if (placement.observed)
+        this.state.placements.markLost(job, placement, 'task missing from heartbeat', now);
       else if (placement.stop && isStartResolved(heartbeat, source, placement))
-        this.state.placements.release(job, placement, 'stopped, and not started by a later heartbeat', now);
+        this.state.placements.release(job, placement, 'stopped before it started', now);
     }
   }
 
@@ -99,7 +100,7 @@
       'task ended without completing',
     );
     if (job.spec.kind === 'gang')
-      this.state.placements.stopGang(job, `member ${index}: ${cause ?? 'no cause reported'}`, now);
+      this.state.placements.stopGang(job, `task ${index}: ${cause ?? 'no cause reported'}`, now);
   }
 
   /** Records a completion. All tasks of a gang complete together. */
--- a/src/test/decision-log.test.ts
+++ b/src/test/decision-log.test.ts
@@ -28,7 +28,12 @@
       return [text, ...details].join(' ');
     });
   // It is not forgotten: a late duplicate of the direct command would start it again.
-  assert.deepEqual(lines, ['placed', 'command sent start direct', 'task completed', 'task released exited']);
+  assert.deepEqual(lines, [
+    'task placed',
+    'command sent start direct',
+    'task completed',
+    'task released exited',
+  ]);
 });
 
 test('the members of a gang are logged with the attempt that they share', () => {
@@ -38,7 +43,9 @@
   const started = effects
     .flatMap((effect) => (effect.kind === 'send-direct-commands' ? effect.commands : []))
     .map((command) => command.attempt);
-  const placed = harness.logEntries.filter(({ text, fields }) => text === 'placed' && fields['job'] === job);
+  const placed = harness.logEntries.filter(
+    ({ text, fields }) => text === 'task placed' && fields['job'] === job,
+  );
   assert.equal(new Set(started).size, 1);
   assert.deepEqual(
     placed.map(({ fields }) => fields['attempt']),
--- a/src/test/dependencies.test.ts
+++ b/src/test/dependencies.test.ts
@@ -141,12 +141,12 @@
   const last = learn(idOf(3), { estimateS: 10, dependsOn: [idOf(2)], deadlineS: 100 });
   messages();
   assert.deepEqual(update(20), [], '20 + 30 + 30 + 10 s: in time');
-  assert.deepEqual(update(40), ['job will miss its deadline']);
+  assert.deepEqual(update(40), ['job is predicted to miss its deadline']);
   assert.equal(last.predictedLateS, 10);
   assert.deepEqual(update(50), [], 'said once');
   finish(idOf(1), 'done');
   messages();
-  assert.deepEqual(update(55), ['job is in time again']);
+  assert.deepEqual(update(55), ['job is predicted to meet its deadline again']);
 });
 
 interface Model {
