--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -34,7 +34,7 @@
  * As in scheduling, no task is placed on a machine whose last heartbeat is older than this many heartbeat intervals.
  */
 const UNREACHABLE_HEARTBEAT_INTERVALS = 2.5;
-/** Without a list of machines from the cloud provider, a new leader waits this long before it scales out. */
+/** A new leader waits at most this long for the cloud provider's list of machines before it scales out. */
 const FIRST_LIST_TIMEOUT_MS = 10_000;
 /** A machine is not scaled in before this time after it was provisioned. */
 const MIN_MACHINE_AGE_MS = 60_000;
--- a/src/core/leader/deadline-predictor.ts
+++ b/src/core/leader/deadline-predictor.ts
@@ -5,16 +5,16 @@
 import type { JobId, MonotonicTime, WallTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
-const UPDATE_INTERVAL_MS = 2000;
+const PREDICTION_INTERVAL_MS = 2000;
 
 /** Remaining run time of a job once its dependencies are done, assuming that its tasks are placed without delay. */
 const remainingS = (job: Job, now: MonotonicTime): number => {
-  let longest = job.pendingCount > 0 ? job.spec.estimateS : 0;
+  let longestS = job.pendingCount > 0 ? job.spec.estimateS : 0;
   for (const { running, runningSince } of job.placements.values()) {
     const ranS = running && runningSince !== null ? (now - runningSince) / 1000 : 0;
-    longest = Math.max(longest, job.spec.estimateS - ranS);
+    longestS = Math.max(longestS, job.spec.estimateS - ranS);
   }
-  return longest;
+  return longestS;
 };
 
 /** Predicts the end of each job with a deadline, and logs each change between late and in time. */
@@ -25,32 +25,37 @@
 
   /** Updates all predictions, if an update is due. */
   update(now: MonotonicTime, wallTime: WallTime): void {
-    if (now - this.lastUpdatedAt < UPDATE_INTERVAL_MS) return;
+    if (now - this.lastUpdatedAt < PREDICTION_INTERVAL_MS) return;
     this.lastUpdatedAt = now;
-    const ends = new Map<JobId, number>();
+    const predictedEnds = new Map<JobId, number>();
     for (const job of this.state.jobs.values()) {
       if (job.spec.deadlineS === null || job.cancelled || job.finalizing) continue;
       const dueAt = job.record.submittedAt + job.spec.deadlineS * 1000;
-      this.recordPrediction(job, (this.predictedEnd(job, ends, now, wallTime) - dueAt) / 1000);
+      this.recordPrediction(job, (this.predictedEnd(job, predictedEnds, now, wallTime) - dueAt) / 1000);
     }
   }
 
   /** Predicted end along the longest path through the job's dependencies. Iterative, because chains can be long. */
-  private predictedEnd(job: Job, ends: Map<JobId, number>, now: MonotonicTime, wallTime: WallTime): number {
+  private predictedEnd(
+    job: Job,
+    predictedEnds: Map<JobId, number>,
+    now: MonotonicTime,
+    wallTime: WallTime,
+  ): number {
     const stack = [job];
     while (stack.length > 0) {
       const top = stack.at(-1)!;
       const dependencies = [...top.unfinishedDependencies].flatMap((id) => this.state.jobs.get(id) ?? []);
-      const unpredicted = dependencies.find((other) => !ends.has(other.id));
+      const unpredicted = dependencies.find((other) => !predictedEnds.has(other.id));
       if (unpredicted) {
         stack.push(unpredicted);
         continue;
       }
       stack.pop();
-      const readyAt = Math.max(wallTime, ...dependencies.map((other) => ends.get(other.id)!));
-      ends.set(top.id, readyAt + remainingS(top, now) * 1000);
+      const readyAt = Math.max(wallTime, ...dependencies.map((other) => predictedEnds.get(other.id)!));
+      predictedEnds.set(top.id, readyAt + remainingS(top, now) * 1000);
     }
-    return ends.get(job.id)!;
+    return predictedEnds.get(job.id)!;
   }
 
   private recordPrediction(job: Job, lateS: number): void {
--- a/src/core/leader/failure-detector.ts
+++ b/src/core/leader/failure-detector.ts
@@ -1,7 +1,7 @@
 /**
  * Failure detector: fences machines from which no heartbeats arrive. A single unreachable machine is fenced soon. Many
  * machines or a zone that become unreachable together are most likely intact behind a network partition and get more
- * time, but a machine that may hold a cancelled task is always fenced within the time allowed for a cancellation.
+ * time, but a machine that holds a cancelled task is fenced within the time allowed for a cancellation.
  */
 import type { Job } from '../job.js';
 import type { Machine } from '../machine.js';
@@ -28,7 +28,8 @@
   }
 
   /**
-   * Restarts all timeouts after authority is regained, since machines could not send heartbeats to this leader before.
+   * Restarts all timeouts after authority is regained, so that machines whose heartbeats could not arrive in the
+   * meantime have time to send one.
    */
   restartTimeouts(now: MonotonicTime): void {
     this.timeoutsStartAt = now;
@@ -107,7 +108,7 @@
     );
   }
 
-  /** Time since the last heartbeat, without the time before this leader could receive heartbeats. */
+  /** Time since the last heartbeat, not counting the time in which this leader could not receive heartbeats. */
   private sinceHeartbeatMs(machine: Machine, now: MonotonicTime): number {
     return now - Math.max(machine.lastHeartbeatAt ?? this.state.startedAt, this.timeoutsStartAt);
   }
--- a/src/core/leader/heartbeat-reconciler.ts
+++ b/src/core/leader/heartbeat-reconciler.ts
@@ -14,22 +14,22 @@
 
 /** Reconciles the state that workers report with the state that the leader wants. */
 export class HeartbeatReconciler {
-  private readonly tasks: TaskReconciler;
-  private readonly oneWayPartitions: OneWayPartitionDetector;
+  private readonly taskReconciler: TaskReconciler;
+  private readonly oneWayPartitionDetector: OneWayPartitionDetector;
 
   constructor(
     private readonly state: LeaderState,
     machinePool: MachinePool,
   ) {
-    this.tasks = new TaskReconciler(state, machinePool);
-    this.oneWayPartitions = new OneWayPartitionDetector(state, machinePool);
+    this.taskReconciler = new TaskReconciler(state, machinePool);
+    this.oneWayPartitionDetector = new OneWayPartitionDetector(state, machinePool);
   }
 
   /** Processes a heartbeat and returns the commands for the reply. */
   onHeartbeat(heartbeat: Heartbeat, now: MonotonicTime): Command[] {
     const machine = this.processHeartbeat(heartbeat, 'heartbeat', now);
     if (!machine) return [];
-    this.oneWayPartitions.recordReply(machine, now);
+    this.oneWayPartitionDetector.recordReply(machine, now);
     // The worker has not adopted this leader's fencing token yet, so an earlier leader's command could still be
     // executed. This reply carries the new token.
     if (!machine.reconciled || machine.inSync) return [];
@@ -65,7 +65,7 @@
       last.processedSequence !== null && equalUint64(unchanged.baseSequence, last.processedSequence);
     if (!machine.reconciled || !machine.inSync || !isCurrentBase) return false;
     last.sequence = unchanged.sequence;
-    this.oneWayPartitions.recordReply(machine, now);
+    this.oneWayPartitionDetector.recordReply(machine, now);
     return true;
   }
 
@@ -128,8 +128,8 @@
     this.recordHeartbeat(machine, heartbeat, now);
     if (!machine.reconciled && !this.markReconciledIfTokenMatches(machine, heartbeat)) return machine;
     if (source === 'heartbeat')
-      this.oneWayPartitions.checkStartsAcknowledged(machine, heartbeat, previousReceivedAt, now);
-    this.tasks.reconcile(machine, heartbeat, source, now);
+      this.oneWayPartitionDetector.checkStartsAcknowledged(machine, heartbeat, previousReceivedAt, now);
+    this.taskReconciler.reconcile(machine, heartbeat, source, now);
     if (machine.busy) machine.idleSince = null;
     else machine.idleSince ??= now;
     return machine;
@@ -183,7 +183,7 @@
   /** The worker's lease has expired: all of its tasks have ended, and it ignores replies to older heartbeats. */
   private onIncarnationEnded(machine: Machine, now: MonotonicTime): void {
     machine.inFlightStarts.clear();
-    this.oneWayPartitions.onLeaseExpired(machine, now);
+    this.oneWayPartitionDetector.onLeaseExpired(machine, now);
     this.state.log(
       'info',
       { machine: machine.id, tasks: machine.placements.size },
--- a/src/core/leader/leader.ts
+++ b/src/core/leader/leader.ts
@@ -48,16 +48,16 @@
   private readonly state: LeaderState;
   private readonly machinePool: MachinePool;
   private readonly failureDetector: FailureDetector;
-  private readonly heartbeats: HeartbeatReconciler;
+  private readonly heartbeatReconciler: HeartbeatReconciler;
   private readonly autoscaler: Autoscaler;
   private readonly jobDependencies: JobDependencies;
   private readonly jobIntake: JobIntake;
   private readonly progressWriter: ProgressWriter;
   private readonly jobFinalizer: JobFinalizer;
   private readonly recovery: Recovery;
-  private readonly scheduling: SchedulingRound;
+  private readonly schedulingRound: SchedulingRound;
   private readonly deadlinePredictor: DeadlinePredictor;
-  private readonly directCommands: DirectCommandDispatcher;
+  private readonly directCommandDispatcher: DirectCommandDispatcher;
   private readonly summary: LeaderSummary;
   private readonly typePenalties = new TypePenalties();
 
@@ -70,7 +70,7 @@
     this.state = state;
     this.machinePool = new MachinePool(state);
     this.failureDetector = new FailureDetector(state, this.machinePool);
-    this.heartbeats = new HeartbeatReconciler(state, this.machinePool);
+    this.heartbeatReconciler = new HeartbeatReconciler(state, this.machinePool);
     this.autoscaler = new Autoscaler(state, this.machinePool);
     this.jobDependencies = new JobDependencies(state, (job, now) => this.jobIntake.onReady(job, now));
     const { autoscaler, jobDependencies, typePenalties } = this;
@@ -80,9 +80,9 @@
     this.jobFinalizer = new JobFinalizer(state, jobDependencies);
     this.recovery = new Recovery(state);
     const queue = new SchedulingQueue(state);
-    this.scheduling = new SchedulingRound({ state, queue, jobDependencies, autoscaler, typePenalties });
+    this.schedulingRound = new SchedulingRound({ state, queue, jobDependencies, autoscaler, typePenalties });
     this.deadlinePredictor = new DeadlinePredictor(state);
-    this.directCommands = new DirectCommandDispatcher(state);
+    this.directCommandDispatcher = new DirectCommandDispatcher(state);
     this.summary = new LeaderSummary(state);
   }
 
@@ -96,7 +96,7 @@
 
   /** Number of machine evaluations in the last scheduling cycle, a measure of its cost. */
   get lastCycleMachineEvaluations(): number {
-    return this.scheduling.lastCycleMachineEvaluations;
+    return this.schedulingRound.lastCycleMachineEvaluations;
   }
 
   /** Whether enough machines are up that the absence of all heartbeats indicates a fault. */
@@ -129,10 +129,10 @@
     this.progressWriter.writeIfDue(now);
     for (const job of this.jobDependencies.startDueLookups(now))
       this.state.effects.push({ kind: 'read-final-record', job });
-    if (this.recovery.isComplete(now)) this.scheduling.runIfDue(now, wallTime);
+    if (this.recovery.isComplete(now)) this.schedulingRound.runIfDue(now, wallTime);
     this.deadlinePredictor.update(now, wallTime);
     this.machinePool.deleteDecommissioned(now);
-    this.directCommands.dispatch(now);
+    this.directCommandDispatcher.dispatch(now);
     this.summary.logMachineUsage(now);
   }
 
@@ -145,7 +145,7 @@
     this.lackedAuthority = true;
     this.failureDetector.fenceOverdueMachines(now, wallTime);
     this.machinePool.deleteOverdue(now);
-    this.directCommands.dispatchCancellations(now);
+    this.directCommandDispatcher.dispatchCancellations(now);
   }
 
   /** Returns and clears the effects that the runtime must execute, in order. */
@@ -160,7 +160,7 @@
 
   /** Processes a worker's heartbeat and returns the commands for the reply. */
   onHeartbeat(heartbeat: Heartbeat, now: MonotonicTime): Command[] {
-    return this.heartbeats.onHeartbeat(heartbeat, now);
+    return this.heartbeatReconciler.onHeartbeat(heartbeat, now);
   }
 
   /**
@@ -168,7 +168,7 @@
    * full.
    */
   onUnchangedHeartbeat(unchanged: UnchangedHeartbeat, now: MonotonicTime): boolean {
-    return this.heartbeats.onUnchangedHeartbeat(unchanged, now);
+    return this.heartbeatReconciler.onUnchangedHeartbeat(unchanged, now);
   }
 
   /** Whether the machine has no pending command or change, so that its unchanged heartbeats need no processing. */
@@ -178,7 +178,7 @@
 
   /** Records a heartbeat without replying with commands, for a leader without authority. */
   onHeartbeatWithoutAuthority(heartbeat: Heartbeat, now: MonotonicTime): void {
-    this.heartbeats.onHeartbeatWithoutAuthority(heartbeat, now);
+    this.heartbeatReconciler.onHeartbeatWithoutAuthority(heartbeat, now);
   }
 
   /** Handles the result of commands sent directly to a worker's endpoint. */
@@ -188,7 +188,7 @@
     result: DirectCommandResult,
     now: MonotonicTime,
   ): void {
-    this.heartbeats.onDirectCommandResult(id, commands, result, now);
+    this.heartbeatReconciler.onDirectCommandResult(id, commands, result, now);
   }
 
   /** Handles the cloud provider's response to a scale-out request. */
--- a/src/core/leader/machine-commands.ts
+++ b/src/core/leader/machine-commands.ts
@@ -12,7 +12,7 @@
 const GRACE_PERIOD_TIMEOUT_MARGIN_MS = 4000;
 
 /** The grace period for stopping a task; 0 once the granted grace period has timed out, which ends the task at once. */
-const remainingGracePeriodS = ({ stop }: Placement, now: MonotonicTime): number => {
+const effectiveGracePeriodS = ({ stop }: Placement, now: MonotonicTime): number => {
   if (!stop || stop.gracePeriodS === 0) return 0;
   return now - stop.since >
     stop.gracePeriodS * (GRACE_PERIOD_TIMEOUT_FACTOR * 1000) + GRACE_PERIOD_TIMEOUT_MARGIN_MS
@@ -39,7 +39,7 @@
   }
   if (!job || !placement) return { op: 'stop', ...ref, gracePeriodS: 0 };
   if (!placement.stop) return null;
-  const gracePeriodS = remainingGracePeriodS(placement, now);
+  const gracePeriodS = effectiveGracePeriodS(placement, now);
   if (task.state === 'saving' && gracePeriodS > 0) return null;
   return { op: 'stop', ...ref, gracePeriodS };
 };
--- a/src/core/leader/machine-registration.ts
+++ b/src/core/leader/machine-registration.ts
@@ -110,7 +110,7 @@
       this.state.effects.push({ kind: 'write-registry-page', ...stale });
     }
     if (this.splitTarget) return;
-    const machines = this.registry.splitOversizedPage(fitsRegistryPage);
+    const machines = this.registry.selectMachinesToSplitOff(fitsRegistryPage);
     if (machines.length > 0) this.splitTarget = this.openPage(machines);
   }
 }
--- a/src/core/leader/machine-registry.ts
+++ b/src/core/leader/machine-registry.ts
@@ -61,7 +61,7 @@
    * Machines to move off a page that is too large to be rewritten, as after the key-value store's limit on a value was
    * lowered. They must be registered on a new page, and are removed from the old page only when the new one is durable.
    */
-  splitOversizedPage(fits: FitsPage): MachineInfo[] {
+  selectMachinesToSplitOff(fits: FitsPage): MachineInfo[] {
     for (const page of this.pages.values()) {
       if (!page.stale || page.writing) continue;
       const machines = [...page.machines.values()];
--- a/src/core/leader/one-way-partition-detector.ts
+++ b/src/core/leader/one-way-partition-detector.ts
@@ -48,9 +48,9 @@
   }
 
   /**
-   * Handles the expiry of the worker's lease. If all heartbeats up to now got a reply, none of the replies arrived.
-   * After a gap this does not follow: when a partition heals, the new incarnation's heartbeat may arrive without any
-   * earlier, delayed one.
+   * Handles the expiry of the worker's lease. If all of its heartbeats got a reply, none of the replies can have
+   * arrived. After a gap in the replies this does not follow: when a partition heals, the new incarnation's heartbeat
+   * may arrive without any earlier, delayed one.
    */
   onLeaseExpired(machine: Machine, now: MonotonicTime): void {
     const { replies } = machine;
@@ -100,8 +100,8 @@
     if (machine.decommissioning?.mode === 'fence') return;
     const windowMs = this.state.settings.workers.leaseS * (FENCE_WINDOW_LEASES * 1000);
     this.fenceTimes = this.fenceTimes.filter((at) => now - at < windowMs);
-    // If many machines are affected at once, this controller's replies are late; it is not a partition of single
-    // machines.
+    // If many machines are affected at once, the likely cause is late replies of this controller, not one-way
+    // partitions of single machines.
     const limit = Math.max(
       FENCE_WINDOW_MIN_MACHINES,
       this.state.machines.size * FENCE_WINDOW_MACHINE_FRACTION,
--- a/src/core/leader/progress-writer.ts
+++ b/src/core/leader/progress-writer.ts
@@ -6,7 +6,7 @@
 import type { JobId, SegmentName, MonotonicTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
-const WRITE_INTERVAL_MS = 1000;
+const PROGRESS_WRITE_INTERVAL_MS = 1000;
 const BITS_PER_BYTE = 8;
 
 /** Writes the jobs' progress. Until its completion is durable, a completed task stays in its worker's heartbeats. */
@@ -20,14 +20,14 @@
    * fraction of the key-value store's write rate, because starting and finalizing jobs needs the remainder.
    */
   writeIfDue(now: MonotonicTime): void {
-    if (now - this.lastWrittenAt < WRITE_INTERVAL_MS) return;
+    if (now - this.lastWrittenAt < PROGRESS_WRITE_INTERVAL_MS) return;
     this.lastWrittenAt = now;
     const unpersistedJobs = [...this.state.jobs.values()].filter(
       (job) => job.progress.unpersisted.size > 0 && !job.finalizing && !job.cancelled,
     );
     unpersistedJobs.sort((a, b) => a.progress.lastPersistedAt - b.progress.lastPersistedAt);
     const { progressWritesPerS } = this.state.settings;
-    let writesLeft = Math.max(1, Math.floor((progressWritesPerS * WRITE_INTERVAL_MS) / 1000));
+    let writesLeft = Math.max(1, Math.floor((progressWritesPerS * PROGRESS_WRITE_INTERVAL_MS) / 1000));
     for (const job of unpersistedJobs) {
       if (writesLeft <= 0) break;
       job.progress.lastPersistedAt = now;
--- a/src/core/leader/replacement-demand.ts
+++ b/src/core/leader/replacement-demand.ts
@@ -14,42 +14,42 @@
  * most of them are reachable again when the partition heals.
  */
 export const replacementDemands = (unreachable: Machine[], state: LeaderState): CapacityDemand[] => {
-  const lost = unreachableTasksByZone(unreachable, state);
-  return [...lost]
-    .map(([job, lostByZone]) => ({
+  const tasksByJob = unreachableTasksByZone(unreachable, state);
+  return [...tasksByJob]
+    .map(([job, tasksByZone]) => ({
       rank: priorityRank[job.priority],
-      demand: demandOf(job, lostByZone, state),
+      demand: demandOf(job, tasksByZone, state),
     }))
     .sort((a, b) => b.rank - a.rank)
     .map(({ demand }) => demand);
 };
 
 const unreachableTasksByZone = (unreachable: Machine[], state: LeaderState): Map<Job, Map<Zone, number>> => {
-  const lost = new Map<Job, Map<Zone, number>>();
+  const tasksByJob = new Map<Job, Map<Zone, number>>();
   for (const machine of unreachable) {
     const { zone } = machine.info;
     if (state.partitionedZones.has(zone)) continue;
     for (const { job } of machine.placements.values()) {
       if (job.cancelled || priorityRank[job.priority] < priorityRank.high) continue;
-      const byZone = lost.get(job) ?? new Map<Zone, number>();
+      const byZone = tasksByJob.get(job) ?? new Map<Zone, number>();
       byZone.set(zone, (byZone.get(zone) ?? 0) + 1);
-      lost.set(job, byZone);
+      tasksByJob.set(job, byZone);
     }
   }
-  return lost;
+  return tasksByJob;
 };
 
-const demandOf = (job: Job, lostByZone: Map<Zone, number>, state: LeaderState): CapacityDemand => {
+const demandOf = (job: Job, tasksByZone: Map<Zone, number>, state: LeaderState): CapacityDemand => {
   const { spec } = job;
   // When a gang loses one task, all of its tasks must be placed again.
   if (spec.kind === 'gang') return { spec, tasks: spec.tasks, zones: new Map(), isForecast: false };
   const zones = state.placementsByZone(job);
   let tasks = 0;
-  for (const [zone, lost] of lostByZone) {
-    const left = (zones.get(zone) ?? 0) - lost;
-    if (left > 0) zones.set(zone, left);
+  for (const [zone, unreachableTasks] of tasksByZone) {
+    const reachableTasks = (zones.get(zone) ?? 0) - unreachableTasks;
+    if (reachableTasks > 0) zones.set(zone, reachableTasks);
     else zones.delete(zone);
-    tasks += lost;
+    tasks += unreachableTasks;
   }
   return { spec, tasks, zones, isForecast: false };
 };
--- a/src/core/leader/task-reconciler.ts
+++ b/src/core/leader/task-reconciler.ts
@@ -31,8 +31,8 @@
   }
 
   /**
-   * A heartbeat lists all tasks of the machine, so a placed task that is missing has either ended or was never
-   * started.
+   * Updates the machine's placements by a heartbeat. A heartbeat lists all tasks of the machine, so a placed task that
+   * is missing has either ended or was never started.
    */
   reconcile(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource, now: MonotonicTime): void {
     for (const task of heartbeat.tasks) this.reconcileTask(machine, task, now);
--- a/src/test/key-value-store-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -143,8 +143,8 @@
   assert.equal(registry.nextPageToWrite('stale', fits), null, 'not written as it is');
   const durable = new Map([['old', new Set(all.map((machine) => machine.id))]]);
   const named = (): number => new Set([...durable.values()].flatMap((page) => [...page])).size;
-  for (let page = 1; registry.splitOversizedPage(fits).length > 0; page++) {
-    const part = registry.splitOversizedPage(fits);
+  for (let page = 1; registry.selectMachinesToSplitOff(fits).length > 0; page++) {
+    const part = registry.selectMachinesToSplitOff(fits);
     assert.ok(fits(part) && part.length > 10);
     registry.openPage(`new-${page}`, part);
     assert.ok(named() >= 80, 'while the write is under way');
