--- a/src/core/leader/scheduling-round.ts
+++ b/src/core/leader/scheduling-round.ts
@@ -1,4 +1,7 @@
-/** One round of scheduling: builds the queue, runs a cycle on it, and carries out what the cycle decided. */
+/**
+ * One scheduling round: builds the queue, runs a scheduling cycle on it and applies the resulting placements and
+ * evictions.
+ */
 import { newPlacement, type Job, type Placement } from '../job.js';
 import type { Machine } from '../machine.js';
 import { markWithinGuarantee } from '../scheduler/guarantees.js';
@@ -23,62 +26,65 @@
 import type { LeaderState } from './leader-state.js';
 import type { SchedulingQueue } from './scheduling-queue.js';
 
-/** Tasks of one job considered in a cycle. */
+/** Tasks of one job considered in one scheduling cycle. */
 const MAX_TASKS_PER_JOB = 40;
-/** Back-off of a job that could not be placed; doubled with each further rejection, up to the maximum. */
-const BACKOFF_MS = 400;
-const BACKOFF_MAX_MS = 5000;
-const BACKOFF_MAX_DOUBLINGS = 10;
-/** Nothing is placed on a machine whose last heartbeat is older than this many heartbeat intervals. */
-const UNREACHABLE_INTERVALS = 2.5;
-/** Without any change, the autoscaler runs again after this time. */
-const RESCALE_MS = 1000;
+/** Back-off of a job that could not be placed. It doubles with each rejection, up to the maximum. */
+const PLACEMENT_BACKOFF_MS = 400;
+const PLACEMENT_BACKOFF_MAX_MS = 5000;
+const PLACEMENT_BACKOFF_MAX_DOUBLINGS = 10;
+/** No task is placed on a machine whose last heartbeat is older than this many heartbeat intervals. */
+const UNREACHABLE_HEARTBEAT_INTERVALS = 2.5;
+/** The autoscaler runs at least this often, even if nothing has changed. */
+const MAX_SCALING_INTERVAL_MS = 1000;
 
-/** The parts of the leader that a round works with. */
+/** The leader's components that a scheduling round uses. */
 export interface SchedulingRoundDependencies {
   state: LeaderState;
   queue: SchedulingQueue;
-  dependencies: JobDependencies;
+  jobDependencies: JobDependencies;
   autoscaler: Autoscaler;
   typePenalties: TypePenalties;
 }
 
-/** Runs a round whenever one is due. */
+/** Runs scheduling rounds when they are due. */
 export class SchedulingRound {
-  /** Machines that the last cycle examined: its cost. */
-  lastCycleWork = 0;
+  /** Number of machine evaluations in the last cycle, a measure of its cost. */
+  lastCycleMachineEvaluations = 0;
   private readonly state: LeaderState;
   private readonly queue: SchedulingQueue;
-  private readonly dependencies: JobDependencies;
+  private readonly jobDependencies: JobDependencies;
   private readonly autoscaler: Autoscaler;
   private readonly typePenalties: TypePenalties;
   private readonly quotas: Map<Team, TeamQuota>;
-  private attempts = 0;
+  private attemptCount = 0;
 
-  constructor({ state, queue, dependencies, autoscaler, typePenalties }: SchedulingRoundDependencies) {
+  constructor({ state, queue, jobDependencies, autoscaler, typePenalties }: SchedulingRoundDependencies) {
     this.state = state;
     this.queue = queue;
-    this.dependencies = dependencies;
+    this.jobDependencies = jobDependencies;
     this.autoscaler = autoscaler;
     this.typePenalties = typePenalties;
     this.quotas = new Map(state.settings.teams.map((team) => [team.name, team]));
   }
 
-  /** Places what can be placed, and scales. */
-  runIfDue(now: MonotonicTime, wall: WallTime): void {
+  /** Places pending tasks, preempts victims and runs the autoscaler, if a round is due. */
+  runIfDue(now: MonotonicTime, wallTime: WallTime): void {
     if (!this.state.needsScheduling && !this.isDue(now)) return;
     this.state.needsScheduling = false;
-    this.dependencies.propagateUrgency();
+    this.jobDependencies.propagateUrgency();
     markWithinGuarantee(this.state.jobs.values(), this.quotas);
-    const { queue, blocked } = this.queue.buildQueue(now, wall);
-    const result = this.runCycle(queue, now, wall);
-    this.lastCycleWork = result.machineEvaluations;
+    const { queue, backedOff } = this.queue.buildQueue(now, wallTime);
+    const result = this.runCycle(queue, now, wallTime);
+    this.lastCycleMachineEvaluations = result.machineEvaluations;
     this.applyPlacements(result.placed, now);
     this.preemptVictims(result, now);
     for (const { job } of result.unplaced) this.backOff(job, now);
     if (result.unprocessed.length > 0) this.state.needsScheduling = true;
     this.logWaitReasons(queue);
-    this.autoscaler.scale([...result.unplaced.map(({ job }) => job), ...result.unprocessed, ...blocked], now);
+    this.autoscaler.scale(
+      [...result.unplaced.map(({ job }) => job), ...result.unprocessed, ...backedOff],
+      now,
+    );
   }
 
   private isDue(now: MonotonicTime): boolean {
@@ -87,10 +93,10 @@
       if (job.pendingCount > 0 && !this.queue.inBackoff(job, now) && now >= job.errorBackoffUntil)
         return true;
     }
-    return now - this.autoscaler.lastScaledAt > RESCALE_MS;
+    return now - this.autoscaler.lastScaledAt > MAX_SCALING_INTERVAL_MS;
   }
 
-  private runCycle(queue: Job[], now: MonotonicTime, wall: WallTime): CycleResult {
+  private runCycle(queue: Job[], now: MonotonicTime, wallTime: WallTime): CycleResult {
     const { machines, jobs, resourcesOf, settings } = this.state;
     return runSchedulingCycle({
       machines,
@@ -100,19 +106,20 @@
       usage: this.queue.teamUsage(),
       quotas: this.quotas,
       now,
-      wallTime: wall,
-      unreachableAfterMs: settings.workers.heartbeatIntervalS * (UNREACHABLE_INTERVALS * 1000),
+      wallTime,
+      unreachableAfterMs: settings.workers.heartbeatIntervalS * (UNREACHABLE_HEARTBEAT_INTERVALS * 1000),
       maxTasksPerJob: MAX_TASKS_PER_JOB,
-      maxMachineEvaluations: settings.cycleWorkLimit,
+      maxMachineEvaluations: settings.maxMachineEvaluationsPerCycle,
       typePenalty: (spec, type) => this.typePenalties.penaltyOf(spec, type),
     });
   }
 
-  /** The tasks of a gang find one another by their attempt, so they share one. */
+  /** All tasks of a gang get the same attempt number, by which they find one another. */
   private applyPlacements(placed: readonly AssumedPlacement[], now: MonotonicTime): void {
     const gangAttempts = new Map<JobId, Attempt>();
     for (const { job, index, machine } of placed) {
-      const attempt = gangAttempts.get(job.id) ?? attemptNumber(this.state.leadership.term, ++this.attempts);
+      const attempt =
+        gangAttempts.get(job.id) ?? attemptNumber(this.state.leadership.term, ++this.attemptCount);
       if (job.spec.kind === 'gang') gangAttempts.set(job.id, attempt);
       this.place(job, newPlacement(index, machine.id, attempt, now), machine, now);
     }
@@ -129,7 +136,7 @@
     const { term } = this.state.leadership;
     const waitedS = (now - job.waitingSince) / 1000;
     const fields = { job: job.id, task, attempt, machine: machine.id, term, waitedS };
-    this.state.log('debug', fields, 'placed');
+    this.state.log('debug', fields, 'task placed');
   }
 
   private preemptVictims({ victims }: CycleResult, now: MonotonicTime): void {
@@ -143,12 +150,12 @@
   private backOff(job: Job, now: MonotonicTime): void {
     job.placementRejections++;
     job.rejectedAtCapacityVersion = this.state.capacityVersion;
-    const doublings = Math.min(job.placementRejections, BACKOFF_MAX_DOUBLINGS);
-    const delayMs = Math.min(BACKOFF_MAX_MS, BACKOFF_MS * 2 ** doublings);
+    const doublings = Math.min(job.placementRejections, PLACEMENT_BACKOFF_MAX_DOUBLINGS);
+    const delayMs = Math.min(PLACEMENT_BACKOFF_MAX_MS, PLACEMENT_BACKOFF_MS * 2 ** doublings);
     job.backoffUntil = now + delayMs * wideJitter(this.state.settings.random);
   }
 
-  /** Why a job waits is logged whenever the reason changes. */
+  /** Logs the wait reason of each job whose reason has changed. */
   private logWaitReasons(queue: Job[]): void {
     for (const job of queue) {
       const why = job.pendingCount === 0 ? '' : job.waitReason.why;
--- a/src/runtime/leadership/leader-settings.ts
+++ b/src/runtime/leadership/leader-settings.ts
@@ -29,7 +29,7 @@
     fitsRegistryPage: (machines) => fitsRegistryPage(machines, valueKb),
     segmentBytes: segmentBytes(valueKb),
     progressWritesPerS: writeRps * PROGRESS_WRITES_FRACTION,
-    cycleWorkLimit: Math.max(
+    maxMachineEvaluationsPerCycle: Math.max(
       MIN_CYCLE_MACHINE_EVALUATIONS,
       platform.limits.cpu * CYCLE_MACHINE_EVALUATIONS_PER_CORE,
     ),
