--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -14,8 +14,8 @@
 } from '../../core/cancellation-log.js';
 import { JobIndex, type IndexedJob } from '../../core/job-index.js';
 import type { JobId, MonotonicTime, NodeName, Revision } from '../../core/units.js';
-import { parseCancelledJobs } from '../../wire/cancellation-pages.js';
-import { dependenciesIn, isCancelledRecord, keys } from '../../wire/stored-records.js';
+import { parseJobIds } from '../../wire/cancellation-pages.js';
+import { parseDependencies, isCancelledRecord, keys } from '../../wire/stored-records.js';
 import { monotonicNow, sleep } from '../clock.js';
 import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { Logger } from '../logger.js';
@@ -116,7 +116,7 @@
 
   /** A peer tells jobs that it has confirmed just now. */
   onPushed(raw: unknown): void {
-    const jobs = parseCancelledJobs(raw);
+    const jobs = parseJobIds(raw);
     if (jobs) this.addAll(jobs);
     else this.onMalformedPage(null, 'not a list of job ids');
   }
@@ -165,7 +165,7 @@
   }
 
   private async readAll(): Promise<ReadOutcome> {
-    const listing = await this.dependencies.store.list(keys.activePrefix);
+    const listing = await this.dependencies.store.list(keys.jobRecordPrefix);
     if (listing.kind !== 'ok') return { kind: 'no-answer' };
     const { items, storeRevision } = listing.value;
     this.index.clear();
@@ -174,7 +174,7 @@
   }
 
   private async readSince(since: Revision): Promise<ReadOutcome> {
-    const outcome = await this.dependencies.store.changesSince(keys.activePrefix, since);
+    const outcome = await this.dependencies.store.changesSince(keys.jobRecordPrefix, since);
     if (outcome.kind !== 'ok') return { kind: outcome.kind === 'gone' ? 'compacted' : 'no-answer' };
     const { changes, storeRevision } = outcome.value;
     const cancelled: JobId[] = [];
@@ -188,9 +188,9 @@
   /** Whether the record says that its job is cancelled. */
   private indexRecord(key: string, data: unknown): boolean {
     const cancelled = isCancelledRecord(data);
-    this.index.put(jobOf(key), dependenciesIn(data), cancelled);
+    this.index.put(jobOf(key), parseDependencies(data), cancelled);
     return cancelled;
   }
 }
 
-const jobOf = (key: string): JobId => key.slice(keys.activePrefix.length) as JobId;
+const jobOf = (key: string): JobId => key.slice(keys.jobRecordPrefix.length) as JobId;
--- a/src/runtime/cloud/cloud-provider-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -64,7 +64,7 @@
   }
 
   /** Creates machines; a repeated request of the same name creates no more. */
-  async createMachines(request: wire.ScaleOutRequest): Promise<ScaleOutOutcome> {
+  async createMachines(request: wire.CreateMachinesRequest): Promise<ScaleOutOutcome> {
     if (!this.budget.take(1, monotonicNow())) return { kind: 'refused' };
     const body = encode(wire.createMachinesBody(request));
     const result = await this.http.request('POST', '/machines', body, TIMEOUT_MS);
@@ -92,7 +92,7 @@
     const target = wire.listMachinesTarget(after, PAGE_SIZE);
     for (let attempt = 0; attempt < PAGE_ATTEMPTS; attempt++) {
       if (attempt > 0) await sleep(PAGE_RETRY_MS);
-      const page = await this.read(target, wire.parseMachines);
+      const page = await this.read(target, wire.parseMachineListPage);
       // Before the first page there is nothing to lose.
       if (page || after === null) return page;
     }
--- a/src/runtime/cloud/machine-type-catalog.ts
+++ b/src/runtime/cloud/machine-type-catalog.ts
@@ -2,7 +2,12 @@
 import type { KeyValueStoreLimits } from '../../config/platform.js';
 import type { MachineType } from '../../core/machine-info.js';
 import type { Change } from '../../wire/key-value-store.js';
-import { fitsValue, keys, parseStoredTypes, parseTypesPage } from '../../wire/stored-records.js';
+import {
+  fitsValueLimit,
+  keys,
+  parseStoredMachineTypes,
+  parseMachineTypesPage,
+} from '../../wire/stored-records.js';
 import { sleep } from '../clock.js';
 import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { LeaderElection } from '../leadership/leader-election.js';
@@ -16,7 +21,7 @@
   const pages: MachineType[][] = [];
   for (const type of types) {
     const last = pages.at(-1);
-    if (last && fitsValue({ pages: types.length, types: [...last, type] }, maxValueKb)) last.push(type);
+    if (last && fitsValueLimit({ pages: types.length, types: [...last, type] }, maxValueKb)) last.push(type);
     else pages.push([type]);
   }
   return pages;
@@ -70,18 +75,18 @@
 
   private async load(): Promise<MachineType[]> {
     const { store } = this.dependencies;
-    const first = await store.get(keys.typesPage(0), budgetReserves.urgent);
-    const page = first.kind === 'ok' ? parseTypesPage(first.value.data) : null;
+    const first = await store.get(keys.machineTypesPage(0), budgetReserves.urgent);
+    const page = first.kind === 'ok' ? parseMachineTypesPage(first.value.data) : null;
     if (page) return this.loadFurtherPages(page.pages, page.types);
-    const whole = await store.get(keys.types, budgetReserves.urgent);
-    return whole.kind === 'ok' ? (parseStoredTypes(whole.value.data) ?? []) : [];
+    const whole = await store.get(keys.machineTypes, budgetReserves.urgent);
+    return whole.kind === 'ok' ? (parseStoredMachineTypes(whole.value.data) ?? []) : [];
   }
 
   private async loadFurtherPages(pageCount: number, first: MachineType[]): Promise<MachineType[]> {
     const types = [...first];
     for (let i = 1; i < pageCount; i++) {
-      const item = await this.dependencies.store.get(keys.typesPage(i), budgetReserves.urgent);
-      const page = item.kind === 'ok' ? parseTypesPage(item.value.data) : null;
+      const item = await this.dependencies.store.get(keys.machineTypesPage(i), budgetReserves.urgent);
+      const page = item.kind === 'ok' ? parseMachineTypesPage(item.value.data) : null;
       if (!page) return [];
       types.push(...page.types);
     }
@@ -90,15 +95,15 @@
 
   private async save(types: MachineType[]): Promise<void> {
     const { valueKb } = this.dependencies.limits;
-    if (fitsValue(types, valueKb)) {
-      await this.write([{ put: keys.types, data: types }, { delete: keys.typesPage(0) }]);
+    if (fitsValueLimit(types, valueKb)) {
+      await this.write([{ put: keys.machineTypes, data: types }, { delete: keys.machineTypesPage(0) }]);
       return;
     }
     const pages = splitIntoPages(types, valueKb);
     // The first page names the number of pages and is written last: until then the list before holds.
     for (const [i, page] of [...pages.entries()].reverse()) {
       const written = await this.write([
-        { put: keys.typesPage(i), data: { pages: pages.length, types: page } },
+        { put: keys.machineTypesPage(i), data: { pages: pages.length, types: page } },
       ]);
       if (!written) return;
     }
--- a/src/runtime/key-value-store/key-value-store-client.ts
+++ b/src/runtime/key-value-store/key-value-store-client.ts
@@ -83,7 +83,7 @@
     for (;;) {
       const page: StoreOutcome<wire.ItemPage> = await this.read(
         wire.listTarget(prefix, after, PAGE_ITEMS),
-        wire.parseItems,
+        wire.parseItemPage,
         budgetReserves.urgent,
       );
       if (page.kind !== 'ok') return page;
@@ -110,9 +110,9 @@
 
   /** Asks for a new lease. */
   async grantLease(ttlMs: number): Promise<StoreOutcome<Uint64>> {
-    const encoded = encode(wire.leaseBody(ttlMs));
+    const encoded = encode(wire.grantLeaseBody(ttlMs));
     const reply = await this.leases.request('POST', wire.LEASES_TARGET, encoded, TIMEOUT_MS);
-    return this.outcome(reply, wire.parseLease);
+    return this.outcome(reply, wire.parseGrantedLease);
   }
 
   /** Renewals pass the budget by: nothing may starve them. */
@@ -127,15 +127,15 @@
   }
 
   /** What has changed since, at once. */
-  async changesSince(prefix: string, since: Revision): Promise<StoreOutcome<wire.Changes>> {
-    return this.read(wire.watchTarget(prefix, since, 0), wire.parseChanges, budgetReserves.urgent);
+  async changesSince(prefix: string, since: Revision): Promise<StoreOutcome<wire.WatchResponse>> {
+    return this.read(wire.watchTarget(prefix, since, 0), wire.parseWatchResponse, budgetReserves.urgent);
   }
 
   /** What has changed since, as soon as there is anything, and without any after this time. */
-  async watch(prefix: string, since: Revision, waitMs: number): Promise<StoreOutcome<wire.Changes>> {
+  async watch(prefix: string, since: Revision, waitMs: number): Promise<StoreOutcome<wire.WatchResponse>> {
     const target = wire.watchTarget(prefix, since, waitMs);
     const reply = await this.watches.request('GET', target, null, waitMs + WATCH_GRACE_MS);
-    return this.outcome(reply, wire.parseChanges);
+    return this.outcome(reply, wire.parseWatchResponse);
   }
 
   private async read<T>(
@@ -164,13 +164,13 @@
   private transactionOutcome(status: number, body: unknown): TransactionOutcome {
     switch (status) {
       case HTTP_STATUS.ok: {
-        const revision = wire.parseCommitted(body);
+        const revision = wire.parseCommittedRevision(body);
         this.lastAnswerAt = monotonicNow();
         return revision === null ? { kind: 'unknown' } : { kind: 'ok', revision };
       }
       case HTTP_STATUS.conflict:
         this.lastAnswerAt = monotonicNow();
-        return { kind: 'conflict', failed: wire.parseConflict(body) ?? [] };
+        return { kind: 'conflict', failed: wire.parseConflictKeys(body) ?? [] };
       case HTTP_STATUS.badRequest:
         return { kind: wire.isLeaseGoneError(body) ? 'lease-gone' : 'invalid' };
       default:
--- a/src/runtime/leadership/effect-executor.ts
+++ b/src/runtime/leadership/effect-executor.ts
@@ -97,7 +97,7 @@
     { requestId, request }: EffectOf<'create-machines'>,
   ): Promise<void> {
     const { cloud, isStopped, onOutcome } = this.dependencies;
-    const outcome = await cloud.createMachines({ request: requestId, ...request });
+    const outcome = await cloud.createMachines({ requestId, ...request });
     if (isStopped()) return;
     if (outcome.kind === 'provisioned')
       leader.onScaleOutResult(requestId, { machines: outcome.machines }, monotonicNow());
--- a/src/runtime/leadership/job-watch.ts
+++ b/src/runtime/leadership/job-watch.ts
@@ -38,7 +38,7 @@
       log.error({ key }, 'damaged job record, not placed');
       return;
     }
-    const id = key.slice(keys.activePrefix.length) as JobId;
+    const id = key.slice(keys.jobRecordPrefix.length) as JobId;
     leader.applyJobRecord({ id, record, revision, fromEarlierLeader }, monotonicNow(), wallClockNow());
     if (cancellations.has(id)) leader.applyCancellation(id, monotonicNow());
   }
@@ -48,7 +48,7 @@
     const { store, onChanges } = this.dependencies;
     let since = from;
     for (;;) {
-      const outcome = await store.watch(keys.activePrefix, since, WATCH_MS);
+      const outcome = await store.watch(keys.jobRecordPrefix, since, WATCH_MS);
       const leader = this.dependencies.leader();
       if (!leader) return;
       if (outcome.kind === 'ok') {
@@ -70,7 +70,7 @@
     const { store } = this.dependencies;
     const listing = await listUntilAnswered(
       store,
-      keys.activePrefix,
+      keys.jobRecordPrefix,
       () => this.dependencies.leader() === null,
     );
     const leader = this.dependencies.leader();
--- a/src/runtime/leadership/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -67,14 +67,14 @@
   ): Promise<FinalRecordOutcome> {
     const { job, revision: recordRevision, state, segments } = effect;
     const deletionsAtOnce = Math.max(0, this.dependencies.limits.txnOps - FINAL_RECORD_CHANGES);
-    const progressKeys = segments.map((segment) => keys.progress(job, segment));
+    const progressKeys = segments.map((segment) => keys.progressSegment(job, segment));
     const outcome = await this.write(
       [
-        { put: keys.final(job), data: finalRecordData(effect) },
-        { delete: keys.active(job) },
+        { put: keys.finalRecord(job), data: finalRecordData(effect) },
+        { delete: keys.jobRecord(job) },
         ...progressKeys.slice(0, deletionsAtOnce).map((key) => ({ delete: key })),
       ],
-      [{ key: keys.active(job), revision: recordRevision }],
+      [{ key: keys.jobRecord(job), revision: recordRevision }],
     );
     if (outcome.kind === 'conflict') return this.readChangedRecord(job);
     if (outcome.kind !== 'ok') return { kind: 'retry' };
@@ -89,7 +89,7 @@
 
   /** Null where there is no final record, or no answer. */
   async readFinalRecord(job: JobId): Promise<FinalState | null> {
-    const final = await this.dependencies.store.get(keys.final(job), budgetReserves.urgent);
+    const final = await this.dependencies.store.get(keys.finalRecord(job), budgetReserves.urgent);
     return final.kind === 'ok' ? (parseFinalRecord(final.value.data)?.state ?? null) : null;
   }
 
@@ -124,7 +124,7 @@
 
   /** The record changed in between: a cancellation came first, or a lost write of this leader was carried out. */
   private async readChangedRecord(job: JobId): Promise<FinalRecordOutcome> {
-    const active = await this.dependencies.store.get(keys.active(job), budgetReserves.urgent);
+    const active = await this.dependencies.store.get(keys.jobRecord(job), budgetReserves.urgent);
     const record = active.kind === 'ok' ? parseJobRecord(active.value.data) : null;
     if (active.kind === 'ok' && record) return { kind: 'changed', record, revision: active.value.revision };
     const final = active.kind === 'gone' ? await this.readFinalRecord(job) : null;
--- a/src/runtime/leadership/leader-settings.ts
+++ b/src/runtime/leadership/leader-settings.ts
@@ -2,7 +2,7 @@
 import type { OperatorSettings } from '../../config/operator.js';
 import type { PlatformSettings } from '../../config/platform.js';
 import type { LeaderSettings } from '../../core/leader/effects.js';
-import { fitsRegistryPage, segmentBytes } from '../../wire/stored-records.js';
+import { fitsRegistryPage, maxSegmentBytes } from '../../wire/stored-records.js';
 
 /** Evaluations of machines in a cycle, for each processor core of the controller. */
 const CYCLE_WORK_PER_CORE = 600_000;
@@ -27,7 +27,7 @@
     listLagS: platform.cloudProviderLimits.listLagS,
     agingS: operator.agingS,
     fitsRegistryPage: (machines) => fitsRegistryPage(machines, valueKb),
-    segmentBytes: segmentBytes(valueKb),
+    segmentBytes: maxSegmentBytes(valueKb),
     progressWritesPerS: writeRps * PROGRESS_WRITES_FRACTION,
     cycleWorkLimit: Math.max(MIN_CYCLE_WORK, platform.limits.cpu * CYCLE_WORK_PER_CORE),
     random,
--- a/src/runtime/leadership/progress-store.ts
+++ b/src/runtime/leadership/progress-store.ts
@@ -35,12 +35,12 @@
 
   /** The job is over, and its segments with it. */
   forget(job: JobId, segments: SegmentName[]): void {
-    for (const segment of segments) this.revisions.delete(keys.progress(job, segment));
+    for (const segment of segments) this.revisions.delete(keys.progressSegment(job, segment));
   }
 
   /** Writes one segment. */
   async save(job: JobId, segment: SegmentName, bytes: Uint8Array): Promise<ProgressOutcome> {
-    const key = keys.progress(job, segment);
+    const key = keys.progressSegment(job, segment);
     const data = progressRecordData(bytes);
     const condition = { key, revision: this.revisions.get(key) ?? ABSENT };
     const outcome = await this.writeToStore([{ put: key, data }], [condition]);
--- a/src/runtime/leadership/stored-state.ts
+++ b/src/runtime/leadership/stored-state.ts
@@ -26,7 +26,7 @@
   isStopped: () => boolean,
 ): Promise<StoredState | null> => {
   const registry = await listUntilAnswered(store, keys.registryPrefix, isStopped);
-  const jobs = await listUntilAnswered(store, keys.activePrefix, isStopped);
+  const jobs = await listUntilAnswered(store, keys.jobRecordPrefix, isStopped);
   const progress = await listUntilAnswered(store, keys.progressPrefix, isStopped);
   return registry && jobs && progress && !isStopped() ? { registry, jobs, progress } : null;
 };
--- a/src/runtime/peers/peer-handler.ts
+++ b/src/runtime/peers/peer-handler.ts
@@ -1,6 +1,6 @@
 /** Answers what other controllers ask. */
 import type { JobId } from '../../core/units.js';
-import { parsePosition } from '../../wire/cancellation-pages.js';
+import { parseCancellationLogPosition } from '../../wire/cancellation-pages.js';
 import {
   encodePeerResponse,
   type PeerKind,
@@ -65,7 +65,10 @@
   private onHeartbeat({ status, logPosition }: RequestOf<'heartbeat'>): Response<'heartbeat'> {
     const { onPeerStatus, status: ownStatus, cancellations } = this.dependencies;
     onPeerStatus(status);
-    return { status: ownStatus(), cancellationPage: cancellations.pageAfter(parsePosition(logPosition)) };
+    return {
+      status: ownStatus(),
+      cancellationPage: cancellations.pageAfter(parseCancellationLogPosition(logPosition)),
+    };
   }
 
   private onCancellations({ jobs }: RequestOf<'cancellations'>): Response<'cancellations'> {
@@ -92,7 +95,9 @@
   }: RequestOf<'unchanged-heartbeats'>): Response<'unchanged-heartbeats'> {
     const { election, leaderLoop } = this.dependencies;
     const leads = election.electionState.heldLease?.term === term;
-    return { fullHeartbeatNeeded: leads ? (leaderLoop()?.onUnchangedHeartbeats(heartbeats) ?? null) : null };
+    return {
+      machinesNeedingFullHeartbeat: leads ? (leaderLoop()?.onUnchangedHeartbeats(heartbeats) ?? null) : null,
+    };
   }
 
   /** For a peer that can't reach the leader. Only what goes to a leader, so nothing is forwarded twice. */
--- a/src/runtime/peers/peer-link.ts
+++ b/src/runtime/peers/peer-link.ts
@@ -3,7 +3,7 @@
 import type { PlatformSettings } from '../../config/platform.js';
 import type { CancellationLogPosition, CancellationLogPage } from '../../core/cancellation-log.js';
 import type { NodeName, MonotonicTime, Zone } from '../../core/units.js';
-import { parseLogPage } from '../../wire/cancellation-pages.js';
+import { parseCancellationLogPage } from '../../wire/cancellation-pages.js';
 import {
   encodePeerRequest,
   parsePeerResponse,
@@ -122,7 +122,7 @@
     this.lastHeartbeatAt = monotonicNow();
     this.status = response.status;
     onStatus(response.status);
-    const page = parseLogPage(response.cancellationPage);
+    const page = parseCancellationLogPage(response.cancellationPage);
     if (page.ok) cancellations.onPeerPage(this.name, page.value, askedAt);
     else cancellations.onMalformedPage(this.name, page.cause);
   }
--- a/src/runtime/users/job-lookup.ts
+++ b/src/runtime/users/job-lookup.ts
@@ -46,13 +46,13 @@
   async find(id: JobId): Promise<JobLookupResult> {
     const cached = this.finalRecords.get(id);
     if (cached) return { kind: 'final', record: cached };
-    const active = await this.store.get(keys.active(id));
+    const active = await this.store.get(keys.jobRecord(id));
     if (active.kind === 'ok') {
       const record = parseJobRecord(active.value.data);
       return record ? { kind: 'active', record, revision: active.value.revision } : { kind: 'damaged' };
     }
     if (active.kind !== 'gone') return { kind: 'undecided' };
-    const final = await this.store.get(keys.final(id));
+    const final = await this.store.get(keys.finalRecord(id));
     if (final.kind === 'gone') return { kind: 'none' };
     const record = final.kind === 'ok' ? parseFinalRecord(final.value.data) : null;
     if (!record) return { kind: 'undecided' };
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -8,7 +8,7 @@
 import type { TeamQuota } from '../../core/team-quota.js';
 import type { JobId, Team } from '../../core/units.js';
 import { tryDecode } from '../../wire/cbor.js';
-import { fitsValue, jobRecordData, keys } from '../../wire/stored-records.js';
+import { fitsValueLimit, jobRecordData, keys } from '../../wire/stored-records.js';
 import { isJobId, parseJob, submittedJobId, type StatusCounts, type UserStatus } from '../../wire/users.js';
 import { wallClockNow } from '../clock.js';
 import type { HttpMessage } from '../http/http-message.js';
@@ -83,7 +83,7 @@
       return refusal.status === HTTP_STATUS.unprocessable ? this.unlessKnown(raw, refusal) : refusal;
     const record: JobRecord = { spec, submittedAt: wallClockNow(), cancelledAt: null };
     const largest = jobRecordData({ ...record, cancelledAt: record.submittedAt });
-    if (!fitsValue(largest, this.maxValueKb))
+    if (!fitsValueLimit(largest, this.maxValueKb))
       return this.unlessKnown(raw, refused(HTTP_STATUS.badRequest, 'job description too large'));
     return this.create(record);
   }
@@ -92,10 +92,10 @@
     const { id } = record.spec;
     const result = await this.dependencies.store.transact({
       conditions: [
-        { key: keys.active(id), revision: 0 },
-        { key: keys.final(id), revision: 0 },
+        { key: keys.jobRecord(id), revision: 0 },
+        { key: keys.finalRecord(id), revision: 0 },
       ],
-      changes: [{ put: keys.active(id), data: jobRecordData(record) }],
+      changes: [{ put: keys.jobRecord(id), data: jobRecordData(record) }],
     });
     if (result.kind === 'ok') return jobState(id, 'pending', undefined, HTTP_STATUS.created);
     if (result.kind === 'refused' || result.kind === 'lease-gone' || result.kind === 'invalid')
@@ -168,8 +168,8 @@
       const record = this.cancelledRecord(found.record);
       const result = await this.dependencies.store.transact(
         {
-          conditions: [{ key: keys.active(id), revision: found.revision }],
-          changes: [{ put: keys.active(id), data: jobRecordData(record) }],
+          conditions: [{ key: keys.jobRecord(id), revision: found.revision }],
+          changes: [{ put: keys.jobRecord(id), data: jobRecordData(record) }],
         },
         budgetReserves.urgent,
       );
@@ -186,7 +186,7 @@
    */
   private cancelledRecord(record: JobRecord): JobRecord {
     const cancelled = { ...record, cancelledAt: wallClockNow() };
-    if (fitsValue(cancelled, this.maxValueKb)) return cancelled;
+    if (fitsValueLimit(cancelled, this.maxValueKb)) return cancelled;
     return { ...cancelled, spec: { ...record.spec, types: null } };
   }
 
--- a/src/runtime/workers/unchanged-heartbeats.ts
+++ b/src/runtime/workers/unchanged-heartbeats.ts
@@ -70,7 +70,7 @@
       BATCH_TIMEOUT_MS,
     );
     // No answer from the leader, or another one leads: every machine is reported in full again.
-    for (const id of answer?.fullHeartbeatNeeded ?? batch.keys()) this.synced.delete(id);
+    for (const id of answer?.machinesNeedingFullHeartbeat ?? batch.keys()) this.synced.delete(id);
   }
 }
 
--- a/src/test/cancellations.test.ts
+++ b/src/test/cancellations.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { CancellationLog, renewalWindowMs, type Incarnation } from '../core/cancellation-log.js';
 import type { JobId, NodeName, MonotonicTime } from '../core/units.js';
-import { parseLogPage } from '../wire/cancellation-pages.js';
+import { parseCancellationLogPage } from '../wire/cancellation-pages.js';
 
 const at = (ms: number): MonotonicTime => ms as MonotonicTime;
 const job = (index: number): JobId => `wk-${index}` as JobId;
@@ -102,8 +102,8 @@
 
 test('malformed peer messages are refused', () => {
   const good = { incarnation: 'b1', from: 0, jobs: ['wk-1'], end: 1, completeAgoMs: 5 };
-  assert.ok(parseLogPage(good).ok);
-  assert.ok(parseLogPage({ ...good, completeAgoMs: null }).ok);
+  assert.ok(parseCancellationLogPage(good).ok);
+  assert.ok(parseCancellationLogPage({ ...good, completeAgoMs: null }).ok);
   for (const bad of [
     null,
     {},
@@ -115,7 +115,7 @@
     { ...good, completeAgoMs: NaN },
     { ...good, incarnation: '' },
   ])
-    assert.ok(!parseLogPage(bad).ok, JSON.stringify(bad));
+    assert.ok(!parseCancellationLogPage(bad).ok, JSON.stringify(bad));
 });
 
 test('the coverage window leaves a lease, the clock error and a margin before cancel_s', () => {
--- a/src/test/cloud-request-budget.test.ts
+++ b/src/test/cloud-request-budget.test.ts
@@ -32,7 +32,7 @@
   assert.deepEqual(await client.listMachines(), []);
   assert.equal(await client.listMachines(), null, 'what is left is not for lists');
   const order = { type: 'g8' as MachineTypeName, zone: 'a' as Zone, spot: false, count: 2 };
-  assert.equal((await client.createMachines({ request: 't1-1', ...order })).kind, 'provisioned');
+  assert.equal((await client.createMachines({ requestId: 't1-1', ...order })).kind, 'provisioned');
   assert.equal(await client.deleteMachines(['host-1' as MachineId]), false, 'the budget is used up');
   assert.deepEqual(asked, ['GET /machines', 'POST /machines']);
 });
--- a/src/test/external-names.test.ts
+++ b/src/test/external-names.test.ts
@@ -12,7 +12,7 @@
 import { dependentRecord, plainRecord, written } from './sim/written-bodies.js';
 import { parseOperatorSettings } from '../config/operator.js';
 import { parsePlatformSettings } from '../config/platform.js';
-import { parseLogPage, parsePosition } from '../wire/cancellation-pages.js';
+import { parseCancellationLogPage, parseCancellationLogPosition } from '../wire/cancellation-pages.js';
 import { encode } from '../wire/cbor.js';
 import * as cloud from '../wire/cloud.js';
 import * as store from '../wire/key-value-store.js';
@@ -50,17 +50,17 @@
   'job submission': parseJob,
   heartbeat: parseHeartbeat,
   'machine types': cloud.parseMachineTypes,
-  machines: cloud.parseMachines,
+  machines: cloud.parseMachineListPage,
   'created machines': cloud.parseCreatedMachines,
   item: store.parseItem,
-  items: store.parseItems,
-  committed: store.parseCommitted,
-  conflict: store.parseConflict,
-  lease: store.parseLease,
+  items: store.parseItemPage,
+  committed: store.parseCommittedRevision,
+  conflict: store.parseConflictKeys,
+  lease: store.parseGrantedLease,
   'lease gone': store.isLeaseGoneError,
-  changes: store.parseChanges,
-  'log position': parsePosition,
-  'log page': parseLogPage,
+  changes: store.parseWatchResponse,
+  'log position': parseCancellationLogPosition,
+  'log page': parseCancellationLogPage,
   'operator settings': parseOperatorSettings,
   'platform settings': (raw: object) => parsePlatformSettings(stringify(raw)),
 };
@@ -89,7 +89,7 @@
   const stored = (name: string): unknown => fromText(textOf(`written ${name}`));
   assert.deepEqual(records.parseJobRecord(stored('job record')), plainRecord);
   assert.deepEqual(records.parseJobRecord(stored('record of a dependent job')), dependentRecord);
-  assert.deepEqual(records.parseStoredTypes(stored('machine types')), types);
+  assert.deepEqual(records.parseStoredMachineTypes(stored('machine types')), types);
 });
 
 test('every line of the fixture belongs to a check', () => {
--- a/src/test/key-value-store-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -22,11 +22,11 @@
 import { splitIntoPages } from '../runtime/cloud/machine-type-catalog.js';
 import {
   fitsRegistryPage,
-  fitsValue,
+  fitsValueLimit,
   parseProgressRecord,
   progressRecordData,
   registryPageData,
-  segmentBytes,
+  maxSegmentBytes,
 } from '../wire/stored-records.js';
 import { jobSpec, types } from './sim/fixtures.js';
 import { platformToml } from './sim/platform-toml.js';
@@ -62,15 +62,15 @@
 };
 
 test('progress of 100,000 tasks under 2 KiB: each record fits, and a new leader reads all of it back', () => {
-  const bytes = segmentBytes(2);
+  const bytes = maxSegmentBytes(2);
   const { job, flush } = bookkeeping(100_000, bytes);
   for (let i = 0; i < 100_000; i += 3) job.markCompleted(i);
   const writes = flush();
   assert.equal(writes.length, Math.ceil(100_000 / 8 / bytes));
-  const next = bookkeeping(100_000, segmentBytes(16));
+  const next = bookkeeping(100_000, maxSegmentBytes(16));
   for (const { segment, bytes: bits } of writes) {
     const data = progressRecordData(bits);
-    assert.ok(fitsValue(data, 2), `${segment} is too large`);
+    assert.ok(fitsValueLimit(data, 2), `${segment} is too large`);
     next.progress.loadProgress(job.id, segment, Buffer.from(parseProgressRecord(data)!, 'base64'));
   }
   assert.equal(next.job.completedCount, job.completedCount);
@@ -78,7 +78,7 @@
 });
 
 test('only segments with new completions are written; a failed write is repeated with what came meanwhile', () => {
-  const { job, progress, flush } = bookkeeping(30_000, segmentBytes(2));
+  const { job, progress, flush } = bookkeeping(30_000, maxSegmentBytes(2));
   job.markCompleted(0);
   const [first] = flush();
   job.markCompleted(1);
@@ -99,7 +99,7 @@
 });
 
 test('progress is paced: the segments that waited longest first, and none is left out', () => {
-  const { job, flush } = bookkeeping(100_000, segmentBytes(2), 3);
+  const { job, flush } = bookkeeping(100_000, maxSegmentBytes(2), 3);
   for (let i = 0; i < 100_000; i += 1000) job.markCompleted(i);
   const written: string[] = [];
   for (let seconds = 0; seconds < 3; seconds++) {
@@ -118,7 +118,7 @@
 });
 
 test('large segments of an earlier leader stay valid beside small ones, and all are dropped with the job', () => {
-  const { job, progress, flush } = bookkeeping(100_000, segmentBytes(2));
+  const { job, progress, flush } = bookkeeping(100_000, maxSegmentBytes(2));
   const earlier = new Uint8Array(2048).fill(255);
   progress.loadProgress(job.id, '1' as SegmentName, earlier);
   assert.equal(job.completedCount, 16_384);
@@ -152,7 +152,7 @@
     for (const id of registry.onPageWritten(`new-${page}`, true)) registry.remove('old', id);
   }
   const rest = registry.nextPageToWrite('stale', fits)!;
-  assert.ok(fitsValue(registryPageData(rest.machines), 2));
+  assert.ok(fitsValueLimit(registryPageData(rest.machines), 2));
   durable.set('old', new Set(rest.machines.map((machine) => machine.id)));
   assert.equal(named(), 80);
 });
@@ -164,5 +164,5 @@
   }));
   const pages = splitIntoPages(many, 2);
   assert.deepEqual(pages.flat(), many);
-  for (const page of pages) assert.ok(fitsValue({ pages: pages.length, types: page }, 2));
+  for (const page of pages) assert.ok(fitsValueLimit({ pages: pages.length, types: page }, 2));
 });
--- a/src/test/peer-messages.test.ts
+++ b/src/test/peer-messages.test.ts
@@ -213,7 +213,7 @@
   const forwarded = { status: 200, body: Buffer.of(1), inSync: true };
   const relayed = { status: 200, body: Buffer.of(1), quiet: true };
   assertEncoded(encodePeerResponse('forwarded-heartbeat', forwarded), relayed);
-  const unchanged = { fullHeartbeatNeeded: machines };
+  const unchanged = { machinesNeedingFullHeartbeat: machines };
   assertEncoded(encodePeerResponse('unchanged-heartbeats', unchanged), { full: machines });
   const user = { status: 503, body: null, retryAfterS: 1 };
   assertEncoded(encodePeerResponse('user-request', user), user);
--- a/src/test/sim/heartbeat-handler-fixtures.ts
+++ b/src/test/sim/heartbeat-handler-fixtures.ts
@@ -114,7 +114,7 @@
 const answerFollower = (leader: Leader, request: PeerRequest, now: MonotonicTime): unknown => {
   if (request.kind === 'unchanged-heartbeats') {
     const full = request.heartbeats.filter((heartbeat) => !leader.onUnchangedHeartbeat(heartbeat, now));
-    return { fullHeartbeatNeeded: full.map(({ machine }) => machine) };
+    return { machinesNeedingFullHeartbeat: full.map(({ machine }) => machine) };
   }
   assert.ok(request.kind === 'forwarded-heartbeat');
   const parsed = parseHeartbeat(decode(Buffer.from(request.heartbeat)));
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -25,7 +25,7 @@
 import { encode, decode } from '../wire/cbor.js';
 import { encodePeerRequest, parsePeerRequest, type PeerRequest } from '../wire/peer-messages.js';
 import {
-  dependenciesIn,
+  parseDependencies,
   finalRecordData,
   jobRecordData,
   keys,
@@ -34,9 +34,9 @@
   parseLeaderRecord,
   parseProgressRecord,
   parseRegistryPage,
-  parseStoredTypes,
+  parseStoredMachineTypes,
   parseTermRecord,
-  parseTypesPage,
+  parseMachineTypesPage,
   progressRecordData,
   registryPageData,
 } from '../wire/stored-records.js';
@@ -189,8 +189,8 @@
   const dependent = record({ dependsOn: ['wk-5' as JobId, 'wk-6' as JobId] });
   const read = production.parseJobRecord(stored(jobRecordData(dependent)));
   assert.deepEqual(read, { ...dependent, spec: oldSpec }, 'passed over, not a damaged record');
-  assert.deepEqual(dependenciesIn(stored(jobRecordData(dependent))), ['wk-5', 'wk-6']);
-  assert.deepEqual(dependenciesIn(stored(oldRecord)), []);
+  assert.deepEqual(parseDependencies(stored(jobRecordData(dependent))), ['wk-5', 'wk-6']);
+  assert.deepEqual(parseDependencies(stored(oldRecord)), []);
 });
 
 interface RecordKind {
@@ -241,12 +241,17 @@
   },
   { written: leader, form: leader, read: leader, readers: [parseLeaderRecord, production.parseLeader] },
   { written: { term: 3 }, form: { term: 3 }, read: 3, readers: [parseTermRecord, production.parseTerm] },
-  { written: types, form: types, read: types, readers: [parseStoredTypes, production.parseStoredTypes] },
+  {
+    written: types,
+    form: types,
+    read: types,
+    readers: [parseStoredMachineTypes, production.parseStoredTypes],
+  },
   {
     written: typesPage,
     form: typesPage,
     read: typesPage,
-    readers: [parseTypesPage],
+    readers: [parseMachineTypesPage],
   },
 ];
 
@@ -287,10 +292,17 @@
   assert.deepEqual(stored(jobRecordData(record({}))), form);
   const id = 'wk-7' as JobId;
   assert.deepEqual(
-    [keys.leader, keys.term, keys.types, keys.typesPage(1), keys.active(id), keys.final(id)],
+    [
+      keys.leader,
+      keys.term,
+      keys.machineTypes,
+      keys.machineTypesPage(1),
+      keys.jobRecord(id),
+      keys.finalRecord(id),
+    ],
     ['l/leader', 'l/term', 'c/types', 'c/types/1', 'j/wk-7', 'f/wk-7'],
   );
-  assert.equal(keys.progress(id, '0' as SegmentName), 'p/wk-7/0');
+  assert.equal(keys.progressSegment(id, '0' as SegmentName), 'p/wk-7/0');
   assert.equal(keys.registryPage('3-1'), 'm/3-1');
 });
 
--- a/src/wire/cancellation-pages.ts
+++ b/src/wire/cancellation-pages.ts
@@ -5,18 +5,18 @@
 import { boundedText, nonNegativeNumber, parseWith, safeInteger, type ParseResult } from './common.js';
 import { isJobId } from './users.js';
 
-const jobs = v.array(v.custom<JobId>((job) => typeof job === 'string' && isJobId(job)));
+const jobIds = v.array(v.custom<JobId>((job) => typeof job === 'string' && isJobId(job)));
 const position = v.object({ incarnation: boundedText, position: safeInteger });
 const logPage = v.object({
   incarnation: boundedText,
   from: safeInteger,
-  jobs,
+  jobs: jobIds,
   end: safeInteger,
   completeAgoMs: v.nullable(nonNegativeNumber),
 });
 
 /** A page of a peer's log. */
-export const parseLogPage = (raw: unknown): ParseResult<CancellationLogPage> => {
+export const parseCancellationLogPage = (raw: unknown): ParseResult<CancellationLogPage> => {
   const parsed = parseWith(logPage, raw);
   if (!parsed.ok) return parsed;
   const page = parsed.value as CancellationLogPage;
@@ -26,13 +26,13 @@
 };
 
 /** Null where the sender holds nothing, or says so in an unknown shape. */
-export const parsePosition = (raw: unknown): CancellationLogPosition | null => {
+export const parseCancellationLogPosition = (raw: unknown): CancellationLogPosition | null => {
   const parsed = parseWith(position, raw);
   return parsed.ok ? (parsed.value as CancellationLogPosition) : null;
 };
 
 /** Null for what is not a list of job ids. */
-export const parseCancelledJobs = (raw: unknown): JobId[] | null => {
-  const parsed = parseWith(jobs, raw);
+export const parseJobIds = (raw: unknown): JobId[] | null => {
+  const parsed = parseWith(jobIds, raw);
   return parsed.ok ? parsed.value : null;
 };
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -4,7 +4,7 @@
 import type { Endpoint, MachineId, MachineTypeName, Zone } from '../core/units.js';
 import { boundedText, nonNegativeNumber, parseWith } from './common.js';
 
-const machineTypesAnswer = v.object({
+const machineTypesResponse = v.object({
   breeds: v.array(
     v.object({
       label: boundedText,
@@ -21,7 +21,7 @@
   ),
 });
 
-const machinesAnswer = v.object({
+const machineListResponse = v.object({
   stalls: v.array(
     v.object({
       nameId: boundedText,
@@ -36,7 +36,7 @@
   more: v.boolean(),
 });
 
-const createdMachinesAnswer = v.object({ stalls: v.array(boundedText) });
+const createdMachinesResponse = v.object({ stalls: v.array(boundedText) });
 
 /** One page of the list of machines; `more`: others follow it. */
 export interface MachineListPage {
@@ -45,8 +45,8 @@
 }
 
 /** Machines to be created; a request that is repeated under the same name creates none twice. */
-export interface ScaleOutRequest {
-  request: string;
+export interface CreateMachinesRequest {
+  requestId: string;
   type: MachineTypeName;
   zone: Zone;
   spot: boolean;
@@ -55,7 +55,7 @@
 
 /** The offered machine types; null if malformed. */
 export const parseMachineTypes = (raw: unknown): MachineType[] | null => {
-  const parsed = parseWith(machineTypesAnswer, raw);
+  const parsed = parseWith(machineTypesResponse, raw);
   if (!parsed.ok) return null;
   return parsed.value.breeds.map((breed) => ({
     name: breed.label as MachineTypeName,
@@ -72,8 +72,8 @@
 };
 
 /** A page of the list of machines; null if malformed. */
-export const parseMachines = (raw: unknown): MachineListPage | null => {
-  const parsed = parseWith(machinesAnswer, raw);
+export const parseMachineListPage = (raw: unknown): MachineListPage | null => {
+  const parsed = parseWith(machineListResponse, raw);
   if (!parsed.ok) return null;
   const machines = parsed.value.stalls.map((stall) => ({
     id: stall.nameId as MachineId,
@@ -89,13 +89,13 @@
 
 /** The machines that a scale-out request created; null if malformed. */
 export const parseCreatedMachines = (raw: unknown): MachineId[] | null => {
-  const parsed = parseWith(createdMachinesAnswer, raw);
+  const parsed = parseWith(createdMachinesResponse, raw);
   return parsed.ok ? (parsed.value.stalls as MachineId[]) : null;
 };
 
 /** The body of a scale-out request. */
-export const createMachinesBody = ({ request, type, zone, spot, count }: ScaleOutRequest) => ({
-  hire: request,
+export const createMachinesBody = ({ requestId, type, zone, spot, count }: CreateMachinesRequest) => ({
+  hire: requestId,
   breed: type,
   pasture: zone,
   loaners: spot,
--- a/src/wire/common.ts
+++ b/src/wire/common.ts
@@ -2,7 +2,7 @@
 import * as v from 'valibot';
 import type { Uint64 } from '../core/units.js';
 
-const MAX_TEXT_LENGTH = 200;
+const MAX_TEXT_CHARACTERS = 200;
 const MAX_UINT32 = 0xffff_ffff;
 const MAX_UINT64 = 2n ** 64n - 1n;
 
@@ -10,7 +10,7 @@
 export type ParseResult<T> = { ok: true; value: T } | { ok: false; cause: string };
 
 /** A name or the like; bounded, since it is kept. */
-export const boundedText = v.pipe(v.string(), v.minLength(1), v.maxLength(MAX_TEXT_LENGTH));
+export const boundedText = v.pipe(v.string(), v.minLength(1), v.maxLength(MAX_TEXT_CHARACTERS));
 
 /** An amount of something; fractions are allowed. */
 export const nonNegativeNumber = v.pipe(v.number(), v.finite(), v.minValue(0));
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -46,7 +46,7 @@
   | { kind: 'deleted'; key: string; revision: Revision };
 
 /** What has changed up to a revision of the store. */
-export interface Changes {
+export interface WatchResponse {
   storeRevision: Revision;
   changes: ChangeEvent[];
 }
@@ -76,9 +76,9 @@
   v.object({ items: v.array(item), more: v.boolean(), ledger: uint64 }),
   v.transform(({ items, more, ledger }): ItemPage => ({ items, more, storeRevision: ledger })),
 );
-const committed = v.object({ ledger: uint64 });
-const conflict = v.object({ failed: v.array(boundedText), ledger: uint64 });
-const grantedLease = v.object({ permit: uint64 });
+const committedResponse = v.object({ ledger: uint64 });
+const conflictResponse = v.object({ failed: v.array(boundedText), ledger: uint64 });
+const grantedLeaseResponse = v.object({ permit: uint64 });
 const leaseGoneError = v.object({ error: v.literal('no such lease') });
 const putEvent = v.pipe(
   v.object({ put: boundedText, data: v.unknown(), stamp: uint64 }),
@@ -88,31 +88,34 @@
   v.object({ delete: boundedText, stamp: uint64 }),
   v.transform((event): ChangeEvent => ({ kind: 'deleted', key: event.delete, revision: event.stamp })),
 );
-const changesSince = v.pipe(
+const watchResponse = v.pipe(
   v.object({ ledger: uint64, log: v.array(v.union([putEvent, deletedEvent])) }),
-  v.transform(({ ledger, log }): Changes => ({ storeRevision: ledger, changes: log })),
+  v.transform(({ ledger, log }): WatchResponse => ({ storeRevision: ledger, changes: log })),
 );
 
 /** Null, here and below, for what has another shape. */
 export const parseItem = (raw: unknown): Item | null => parseOrNull(item, raw);
 
 /** A page of a listing. */
-export const parseItems = (raw: unknown): ItemPage | null => parseOrNull(itemPage, raw);
+export const parseItemPage = (raw: unknown): ItemPage | null => parseOrNull(itemPage, raw);
 
 /** The revision of the keys that a transaction wrote. */
-export const parseCommitted = (raw: unknown): Revision | null => parseOrNull(committed, raw)?.ledger ?? null;
+export const parseCommittedRevision = (raw: unknown): Revision | null =>
+  parseOrNull(committedResponse, raw)?.ledger ?? null;
 
 /** The keys whose conditions did not hold. */
-export const parseConflict = (raw: unknown): string[] | null => parseOrNull(conflict, raw)?.failed ?? null;
+export const parseConflictKeys = (raw: unknown): string[] | null =>
+  parseOrNull(conflictResponse, raw)?.failed ?? null;
 
 /** The lease that was granted. */
-export const parseLease = (raw: unknown): Uint64 | null => parseOrNull(grantedLease, raw)?.permit ?? null;
+export const parseGrantedLease = (raw: unknown): Uint64 | null =>
+  parseOrNull(grantedLeaseResponse, raw)?.permit ?? null;
 
 /** Whether a refused transaction named a lease that has ended. */
 export const isLeaseGoneError = (raw: unknown): boolean => parseWith(leaseGoneError, raw).ok;
 
 /** What a watch, or a question for changes, is answered. */
-export const parseChanges = (raw: unknown): Changes | null => parseOrNull(changesSince, raw);
+export const parseWatchResponse = (raw: unknown): WatchResponse | null => parseOrNull(watchResponse, raw);
 
 /** Path of transactions. */
 export const TRANSACTION_TARGET = '/multi';
@@ -138,4 +141,4 @@
   `/changes?under=${prefix}&since=${since}&blockMs=${waitMs}`;
 
 /** The body of a request for a lease. */
-export const leaseBody = (ttlMs: number) => ({ ttlMs });
+export const grantLeaseBody = (ttlMs: number) => ({ ttlMs });
--- a/src/wire/peer-messages.ts
+++ b/src/wire/peer-messages.ts
@@ -72,7 +72,7 @@
   'recent-heartbeats': { machines: MachineId[] };
   'forwarded-heartbeat': ForwardedHeartbeatReply;
   /** Machines whose next heartbeat is needed in full; null: the answerer doesn't lead. */
-  'unchanged-heartbeats': { fullHeartbeatNeeded: MachineId[] | null };
+  'unchanged-heartbeats': { machinesNeedingFullHeartbeat: MachineId[] | null };
   /** The leader's response in its encoded form. */
   forward: unknown;
   'user-request': { status: number; body: Uint8Array | null; retryAfterS: number | null };
@@ -111,7 +111,7 @@
 }
 
 const bytes = v.instance(Uint8Array);
-const names = v.array(boundedText);
+const textList = v.array(boundedText);
 const leaderStatus = v.pipe(
   v.object({ node: boundedText, term: safeInteger, leading: v.boolean(), holding: v.boolean() }),
   v.transform(({ node, term, leading, holding }) => ({ node, term, leading, holdsLease: holding })),
@@ -139,17 +139,18 @@
   })),
 );
 const isObject = (raw: unknown): raw is Record<string, unknown> => typeof raw === 'object' && raw !== null;
-const isCounter = (raw: unknown): raw is Uint64 =>
+const isUint64 = (raw: unknown): raw is Uint64 =>
   typeof raw === 'bigint' ? raw >= 0n : Number.isSafeInteger(raw) && (raw as number) >= 0;
 const isUnchangedHeartbeat = (raw: unknown): raw is EncodedUnchangedHeartbeat =>
   isObject(raw) &&
   typeof raw['machine'] === 'string' &&
-  isCounter(raw['session']) &&
-  isCounter(raw['seq']) &&
-  isCounter(raw['base']);
-const isLocation = (raw: unknown): raw is [string, number] =>
+  isUint64(raw['session']) &&
+  isUint64(raw['seq']) &&
+  isUint64(raw['base']);
+const isCachedImage = (raw: unknown): raw is [string, number] =>
   Array.isArray(raw) && typeof raw[0] === 'string' && typeof raw[1] === 'number';
-const isLocations = (raw: unknown): raw is [string, number][] => Array.isArray(raw) && raw.every(isLocation);
+const isCachedImageList = (raw: unknown): raw is [string, number][] =>
+  Array.isArray(raw) && raw.every(isCachedImage);
 
 // Lists as long as the cluster is large, several times a second: checked by plain functions, far cheaper than schemas.
 const unchangedHeartbeatList = v.pipe(
@@ -164,7 +165,7 @@
   ),
 );
 const imageLocations = v.custom<ImageLocations>(
-  (raw) => isObject(raw) && Object.values(raw).every(isLocations),
+  (raw) => isObject(raw) && Object.values(raw).every(isCachedImageList),
 );
 const forwardedHeartbeat = v.pipe(
   v.object({ kind: v.literal('relay'), report: bytes }),
@@ -188,11 +189,11 @@
     v.transform(({ kind, from, have }) => ({ kind, status: from, logPosition: have })),
   ),
   v.pipe(
-    v.object({ kind: v.literal('cancelled'), jobs: names }),
+    v.object({ kind: v.literal('cancelled'), jobs: textList }),
     v.transform(({ jobs }) => ({ kind: 'cancellations' as const, jobs })),
   ),
   v.pipe(
-    v.object({ kind: v.literal('heard'), machines: names }),
+    v.object({ kind: v.literal('heard'), machines: textList }),
     v.transform(({ machines }) => ({ kind: 'recent-heartbeats' as const, machines })),
   ),
   v.object({
@@ -214,15 +215,15 @@
   ),
 ]);
 
-const empty = v.object({});
+const emptyResponse = v.object({});
 const responseSchemas: Record<PeerKind, v.GenericSchema> = {
   heartbeat: v.pipe(
     v.object({ status: peerStatus, cancelled: v.unknown() }),
     v.transform(({ status, cancelled }) => ({ status, cancellationPage: cancelled })),
   ),
-  cancellations: empty,
+  cancellations: emptyResponse,
   'recent-heartbeats': v.pipe(
-    v.object({ heard: names }),
+    v.object({ heard: textList }),
     v.transform(({ heard }) => ({ machines: heard })),
   ),
   'forwarded-heartbeat': v.pipe(
@@ -230,8 +231,8 @@
     v.transform(({ status, body, quiet }) => ({ status, body, inSync: quiet })),
   ),
   'unchanged-heartbeats': v.pipe(
-    v.object({ full: v.nullable(names) }),
-    v.transform(({ full }) => ({ fullHeartbeatNeeded: full })),
+    v.object({ full: v.nullable(textList) }),
+    v.transform(({ full }) => ({ machinesNeedingFullHeartbeat: full })),
   ),
   forward: v.unknown(),
   'user-request': v.object({
@@ -239,7 +240,7 @@
     body: v.nullable(bytes),
     retryAfterS: v.optional(v.nullable(nonNegativeNumber), null),
   }),
-  'image-locations': empty,
+  'image-locations': emptyResponse,
   'task-counts': v.object({ counts: v.nullable(v.object({ done: v.number(), running: v.number() })) }),
 };
 
@@ -305,7 +306,7 @@
   cancellations: (response) => response,
   'recent-heartbeats': ({ machines }) => ({ heard: machines }),
   'forwarded-heartbeat': ({ status, body, inSync }) => ({ status, body, quiet: inSync }),
-  'unchanged-heartbeats': ({ fullHeartbeatNeeded }) => ({ full: fullHeartbeatNeeded }),
+  'unchanged-heartbeats': ({ machinesNeedingFullHeartbeat }) => ({ full: machinesNeedingFullHeartbeat }),
   forward: (response) => response,
   'user-request': (response) => response,
   'image-locations': (response) => response,
--- a/src/wire/stored-records.ts
+++ b/src/wire/stored-records.ts
@@ -10,16 +10,16 @@
 export const keys = {
   leader: 'l/leader',
   term: 'l/term',
-  types: 'c/types',
+  machineTypes: 'c/types',
   /** Where the list of types is longer than one value may be. */
-  typesPage: (page: number) => `c/types/${page}`,
-  activePrefix: 'j/',
+  machineTypesPage: (page: number) => `c/types/${page}`,
+  jobRecordPrefix: 'j/',
   progressPrefix: 'p/',
   registryPrefix: 'm/',
   leaderPrefix: 'l/',
-  active: (id: JobId) => `j/${id}`,
-  final: (id: JobId) => `f/${id}`,
-  progress: (id: JobId, segment: SegmentName) => `p/${id}/${segment}`,
+  jobRecord: (id: JobId) => `j/${id}`,
+  finalRecord: (id: JobId) => `f/${id}`,
+  progressSegment: (id: JobId, segment: SegmentName) => `p/${id}/${segment}`,
   registryPage: (page: string) => `m/${page}`,
 };
 
@@ -50,8 +50,8 @@
 });
 const jobRecord = v.object({ spec, submittedAt: v.number(), cancelledAt: v.nullable(v.number()) });
 /** The word that stands in stored records for a cancelled job. */
-const STORED_CANCELLED = 'withdrawn';
-const finalRecord = v.object({ state: v.picklist(['done', STORED_CANCELLED]), tasks: v.number() });
+const STORED_CANCELLED_STATE = 'withdrawn';
+const finalRecord = v.object({ state: v.picklist(['done', STORED_CANCELLED_STATE]), tasks: v.number() });
 const leaderRecord = v.object({ node: boundedText, term: v.number() });
 const termRecord = v.object({ term: v.number() });
 const registryPageRecord = v.object({
@@ -78,7 +78,7 @@
 
 const dependenciesOnly = v.object({ spec: v.object({ dependsOn: v.array(boundedText) }) });
 /** The jobs that a record names to be done before; cheaper than reading all of it. */
-export const dependenciesIn = (raw: unknown): JobId[] =>
+export const parseDependencies = (raw: unknown): JobId[] =>
   (parseOrNull(dependenciesOnly, raw)?.spec.dependsOn ?? []) as JobId[];
 
 /** Whether a job's record says that it is cancelled; cheaper than reading all of it. */
@@ -93,7 +93,7 @@
 
 /** A final record as it is stored. */
 export const finalRecordData = ({ state, tasks }: FinalRecord) => ({
-  state: state === 'done' ? 'done' : STORED_CANCELLED,
+  state: state === 'done' ? 'done' : STORED_CANCELLED_STATE,
   tasks,
 });
 
@@ -117,20 +117,20 @@
 });
 
 /** However much a value may hold. */
-const MAX_PAGE_MACHINES = 100;
+const MAX_MACHINES_PER_PAGE = 100;
 
 /** Whether one page can name all of these machines. */
-export const fitsRegistryPage = (machines: MachineInfo[], valueKb: number): boolean =>
-  machines.length <= MAX_PAGE_MACHINES && fitsValue(registryPageData(machines), valueKb);
+export const fitsRegistryPage = (machines: MachineInfo[], maxValueKb: number): boolean =>
+  machines.length <= MAX_MACHINES_PER_PAGE && fitsValueLimit(registryPageData(machines), maxValueKb);
 
 const BYTES_PER_KB = 1024;
 
 /** The size of a value as the store counts it: in the form of JSON. */
-export const storedBytes = (data: unknown): number => Buffer.byteLength(JSON.stringify(data));
+export const storedSizeBytes = (data: unknown): number => Buffer.byteLength(JSON.stringify(data));
 
 /** Whether the store takes the value. */
-export const fitsValue = (data: unknown, valueKb: number): boolean =>
-  storedBytes(data) <= valueKb * BYTES_PER_KB;
+export const fitsValueLimit = (data: unknown, maxValueKb: number): boolean =>
+  storedSizeBytes(data) <= maxValueKb * BYTES_PER_KB;
 
 /** A segment of progress as it is stored. */
 export const progressRecordData = (bytes: Uint8Array) => ({ bits: Buffer.from(bytes).toString('base64') });
@@ -140,8 +140,8 @@
 const BASE64_GROUP_CHARACTERS = 4;
 
 /** How many bytes of a job's progress fit one value. */
-export const segmentBytes = (valueKb: number): number => {
-  const characters = valueKb * BYTES_PER_KB - storedBytes(progressRecordData(new Uint8Array(0)));
+export const maxSegmentBytes = (maxValueKb: number): number => {
+  const characters = maxValueKb * BYTES_PER_KB - storedSizeBytes(progressRecordData(new Uint8Array(0)));
   const bytes = Math.floor(characters / BASE64_GROUP_CHARACTERS) * BASE64_GROUP_BYTES;
   return Math.max(BASE64_GROUP_BYTES, Math.min(LARGEST_SEGMENT_BYTES, bytes));
 };
@@ -149,12 +149,12 @@
 /** The bits of a segment of progress, in base64. */
 export const parseProgressRecord = (raw: unknown) => parseOrNull(progressRecord, raw)?.bits ?? null;
 
-const typesPage = v.object({ pages: v.number(), types: v.array(v.record(v.string(), v.unknown())) });
+const machineTypesPage = v.object({ pages: v.number(), types: v.array(v.record(v.string(), v.unknown())) });
 
 /** A page of the list of machine types. */
-export const parseTypesPage = (raw: unknown) =>
-  parseOrNull(typesPage, raw) as unknown as { pages: number; types: MachineType[] } | null;
+export const parseMachineTypesPage = (raw: unknown) =>
+  parseOrNull(machineTypesPage, raw) as unknown as { pages: number; types: MachineType[] } | null;
 
 /** The list of machine types where it fits one value. */
-export const parseStoredTypes = (raw: unknown): MachineType[] | null =>
+export const parseStoredMachineTypes = (raw: unknown): MachineType[] | null =>
   (parseOrNull(v.array(v.record(v.string(), v.unknown())), raw) as unknown as MachineType[] | null) ?? null;
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -79,7 +79,7 @@
 export type UserStatus = 'pending' | 'running' | 'done' | 'cancelled';
 
 /** The protocol's word for each status. */
-const STATUS_WORDS: Record<UserStatus, string> = {
+const STATUS_NAMES: Record<UserStatus, string> = {
   pending: 'pending',
   running: 'running',
   done: 'done',
@@ -95,5 +95,5 @@
 /** The body of an answer that tells a job's status. */
 export const statusBody = (id: JobId, status: UserStatus, counts?: StatusCounts) =>
   counts
-    ? { nameId: id, status: STATUS_WORDS[status], done: counts.done, running: counts.running }
-    : { nameId: id, status: STATUS_WORDS[status] };
+    ? { nameId: id, status: STATUS_NAMES[status], done: counts.done, running: counts.running }
+    : { nameId: id, status: STATUS_NAMES[status] };
