--- a/eslint.config.js
+++ b/eslint.config.js
@@ -5,7 +5,7 @@
   importRules,
   nameRules,
   plugins,
-  protocolEdge,
+  protocolFiles,
   settings,
   shapeRules,
 } from './lint/rules.js';
@@ -43,6 +43,6 @@
     rules: { ...importRules, ...shapeRules, ...nameRules, ...docRules },
   },
   // Names of the outside protocols are mapped here.
-  { files: protocolEdge, rules: { 'brookspur/vocabulary': 'off' } },
+  { files: protocolFiles, rules: { 'brookspur/vocabulary': 'off' } },
   { files: ['**/*.js'], ...tseslint.configs.disableTypeChecked },
 );
--- a/lint/rules.js
+++ b/lint/rules.js
@@ -36,7 +36,7 @@
 const MAX_FUNCTION_LINES = 50;
 
 /** Where the protocols' own names are mapped, and the stand-ins and tests that speak the protocols themselves. */
-export const protocolEdge = [
+export const protocolFiles = [
   'src/wire/**',
   'src/config/**',
   'src/test/sim/{heartbeat-handler-fixtures,worker-host,simulated-user,simulated-cloud-provider,simulated-key-value-store,production-version}.ts',
--- a/src/build/compile-settings.ts
+++ b/src/build/compile-settings.ts
@@ -29,8 +29,8 @@
   writeFileSync(output, JSON.stringify(parsed) + '\n');
   process.exit(0); // the parser's runtime would keep the process alive
 } catch (error) {
-  const refused = error instanceof ConfigError || error instanceof HclError;
-  const message = refused ? error.message : String(error).split('\n')[0];
+  const isInvalidFile = error instanceof ConfigError || error instanceof HclError;
+  const message = isInvalidFile ? error.message : String(error).split('\n')[0];
   process.stderr.write(`deploy/operator.hcl: ${message}\n`);
   process.exit(1);
 }
--- a/src/build/known-red.ts
+++ b/src/build/known-red.ts
@@ -19,7 +19,7 @@
 }
 
 /** The outcome of a run: `problems` is empty exactly when the run passes. */
-export interface Verdict {
+export interface RunOutcome {
   problems: string[];
   /** Listed tests that failed as expected. */
   expectedFailures: KnownRedEntry[];
@@ -52,7 +52,10 @@
 };
 
 /** Compares what the tests did with what the list says they do. */
-export const judge = (entries: readonly KnownRedEntry[], results: readonly TestResult[]): Verdict => {
+export const compareWithList = (
+  entries: readonly KnownRedEntry[],
+  results: readonly TestResult[],
+): RunOutcome => {
   const problems: string[] = [];
   if (results.length === 0) problems.push('no test was run');
   const listed = new Set(entries.map((entry) => entry.test));
--- a/src/build/run-tests.ts
+++ b/src/build/run-tests.ts
@@ -7,7 +7,13 @@
 import { spec } from 'node:test/reporters';
 import { finished } from 'node:stream/promises';
 import { fileURLToPath } from 'node:url';
-import { judge, parseKnownRed, type KnownRedEntry, type TestResult, type Verdict } from './known-red.js';
+import {
+  compareWithList,
+  parseKnownRed,
+  type KnownRedEntry,
+  type TestResult,
+  type RunOutcome,
+} from './known-red.js';
 
 const TEST_TIMEOUT_MS = 120_000;
 const TEST_SUFFIX = '.test.js';
@@ -38,18 +44,21 @@
   return results;
 };
 
-const print = ({ problems, expectedFailures }: Verdict): void => {
+const printOutcome = ({ problems, expectedFailures }: RunOutcome): void => {
   for (const { test, command, observed, issue } of expectedFailures)
     console.log(`known red (issue ${issue}): ${test}: ${observed} (${command})`);
   for (const problem of problems) console.log(`not accepted: ${problem}`);
 };
 
 try {
-  const named = process.argv.slice(2);
+  const requestedFiles = process.argv.slice(2);
   const entries = readKnownRed();
-  const verdict = judge(entries, await runTests(named.length > 0 ? named : allTestFiles()));
-  print(verdict);
-  process.exitCode = verdict.problems.length === 0 ? 0 : 1;
+  const outcome = compareWithList(
+    entries,
+    await runTests(requestedFiles.length > 0 ? requestedFiles : allTestFiles()),
+  );
+  printOutcome(outcome);
+  process.exitCode = outcome.problems.length === 0 ? 0 : 1;
 } catch (error) {
   console.log(`not accepted: ${error instanceof Error ? error.message : String(error)}`);
   process.exitCode = 1;
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -5,16 +5,16 @@
 
 /** What operators may tune. */
 export interface OperatorSettings {
-  leaseMs: number;
+  leaderLeaseMs: number;
   idleHoldS: number;
   capacityRetryS: number;
   headroom: number;
-  cycleMs: number;
+  schedulingCycleMs: number;
   agingS: number;
 }
 
-const numberBetween = (min: number, max: number, fallback: number) =>
-  v.optional(v.pipe(v.number(), v.minValue(min), v.maxValue(max)), fallback);
+const numberBetween = (min: number, max: number, defaultValue: number) =>
+  v.optional(v.pipe(v.number(), v.minValue(min), v.maxValue(max)), defaultValue);
 
 /**
  * The HCL parser hands every block over as a list with one entry for each time it is written. A block left out is read
@@ -41,11 +41,11 @@
 export const parseOperatorSettings = (raw: unknown): OperatorSettings => {
   const { leadership, scaling, scheduling } = validateSettings(fileSchema, raw, 'operator settings');
   return {
-    leaseMs: leadership[0].lease_ms,
+    leaderLeaseMs: leadership[0].lease_ms,
     idleHoldS: scaling[0].idle_hold_s,
     capacityRetryS: scaling[0].capacity_retry_s,
     headroom: scaling[0].headroom,
-    cycleMs: scheduling[0].cycle_ms,
+    schedulingCycleMs: scheduling[0].cycle_ms,
     agingS: scheduling[0].aging_s,
   };
 };
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -17,14 +17,14 @@
 
 /** What the key-value store takes: requests and changes a second, the size of a value, changes in a transaction. */
 export interface KeyValueStoreLimits {
-  rps: number;
-  writeRps: number;
-  valueKb: number;
-  txnOps: number;
+  requestsPerS: number;
+  writesPerS: number;
+  maxValueKb: number;
+  maxTransactionChanges: number;
 }
 
 /** The times that the workers' protocol holds to. */
-export interface WorkerTimes {
+export interface WorkerProtocolTimings {
   heartbeatIntervalS: number;
   leaseS: number;
   gangWaitS: number;
@@ -45,11 +45,11 @@
   clockErrorMs: number;
   teams: TeamQuota[];
   objectives: Objective[];
-  workers: WorkerTimes;
+  workers: WorkerProtocolTimings;
   /** The smaller of the present limits and of those announced for later: what is kept holds under both. */
   keyValueStoreLimits: KeyValueStoreLimits;
-  cloudProviderLimits: { rps: number; listLagS: number };
-  limits: { cpu: number; memoryMb: number; sockets: number };
+  cloudProviderLimits: { requestsPerS: number; listLagS: number };
+  processLimits: { cpu: number; memoryMb: number; sockets: number };
 }
 
 type FileSettings = PlatformFile['settings'];
@@ -71,10 +71,10 @@
     clockErrorMs: settings.clock_error_ms,
     teams: settings.teams.map(toTeamQuota),
     objectives: settings.objectives.map(toObjective),
-    workers: toWorkerTimes(settings.workers),
+    workers: toWorkerTimings(settings.workers),
     keyValueStoreLimits: toKeyValueStoreLimits(settings.state),
-    cloudProviderLimits: { rps: settings.cloud.rps, listLagS: settings.cloud.list_lag_s },
-    limits: {
+    cloudProviderLimits: { requestsPerS: settings.cloud.rps, listLagS: settings.cloud.list_lag_s },
+    processLimits: {
       cpu: settings.limits.cpu,
       memoryMb: settings.limits.memory_mb,
       sockets: settings.limits.fd_limit,
@@ -147,7 +147,7 @@
   share: objective.share,
 });
 
-const toWorkerTimes = (workers: FileSettings['workers']): WorkerTimes => ({
+const toWorkerTimings = (workers: FileSettings['workers']): WorkerProtocolTimings => ({
   heartbeatIntervalS: workers.report_s,
   leaseS: workers.lease_s,
   gangWaitS: workers.gang_wait_s,
@@ -157,8 +157,8 @@
 
 /** Guards against writes that a service with lowered limits refuses, since they come without notice. */
 const toKeyValueStoreLimits = ({ next = {}, ...now }: FileSettings['state']): KeyValueStoreLimits => ({
-  rps: Math.min(now.rps, next.rps ?? Infinity),
-  writeRps: Math.min(now.write_rps, next.write_rps ?? Infinity),
-  valueKb: Math.min(now.value_kb, next.value_kb ?? Infinity),
-  txnOps: Math.min(now.txn_ops, next.txn_ops ?? Infinity),
+  requestsPerS: Math.min(now.rps, next.rps ?? Infinity),
+  writesPerS: Math.min(now.write_rps, next.write_rps ?? Infinity),
+  maxValueKb: Math.min(now.value_kb, next.value_kb ?? Infinity),
+  maxTransactionChanges: Math.min(now.txn_ops, next.txn_ops ?? Infinity),
 });
--- a/src/runtime/cloud/cloud-provider-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -38,7 +38,7 @@
 
   constructor(platform: PlatformSettings) {
     this.http = new HttpClient(platform.cloudProvider, MAX_CONNECTIONS, MAX_IDLE_MS);
-    const rate = platform.cloudProviderLimits.rps * BUDGET_FRACTION;
+    const rate = platform.cloudProviderLimits.requestsPerS * BUDGET_FRACTION;
     const burst = Math.max(1, rate * BURST_S);
     this.budget = new TokenBucket(rate, burst, monotonicNow());
     this.reservedForChanges = burst >= 2 * RESERVED_FOR_CHANGES ? RESERVED_FOR_CHANGES : 0;
--- a/src/runtime/cloud/machine-type-catalog.ts
+++ b/src/runtime/cloud/machine-type-catalog.ts
@@ -94,12 +94,12 @@
   }
 
   private async save(types: MachineType[]): Promise<void> {
-    const { valueKb } = this.dependencies.limits;
-    if (fitsValueLimit(types, valueKb)) {
+    const { maxValueKb } = this.dependencies.limits;
+    if (fitsValueLimit(types, maxValueKb)) {
       await this.write([{ put: keys.machineTypes, data: types }, { delete: keys.machineTypesPage(0) }]);
       return;
     }
-    const pages = splitIntoPages(types, valueKb);
+    const pages = splitIntoPages(types, maxValueKb);
     // The first page names the number of pages and is written last: until then the list before holds.
     for (const [i, page] of [...pages.entries()].reverse()) {
       const written = await this.write([
--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -69,7 +69,7 @@
     private readonly operator: OperatorSettings,
   ) {
     this.log = new Logger(platform.name);
-    this.sockets = socketBudget(platform.limits.sockets, platform.peers.length);
+    this.sockets = socketBudget(platform.processLimits.sockets, platform.peers.length);
     this.store = new KeyValueStoreClient(platform);
     this.cloud = new CloudProviderClient(platform);
     this.election = this.createElection();
@@ -112,7 +112,7 @@
 
   private createElection(): LeaderElection {
     const { platform, store, log } = this;
-    const { leaseMs } = this.operator;
+    const { leaderLeaseMs: leaseMs } = this.operator;
     return new LeaderElection({
       platform,
       leaseMs,
--- a/src/runtime/key-value-store/request-budget.ts
+++ b/src/runtime/key-value-store/request-budget.ts
@@ -75,10 +75,10 @@
   }
 
   private applyRates(): void {
-    const { rps, writeRps } = this.limits;
+    const { requestsPerS, writesPerS } = this.limits;
     const now = monotonicNow();
     const fraction = this.share * this.throttle * USABLE_FRACTION;
-    this.requests.setRate(rps * fraction, Math.max(MIN_BURST, rps * fraction), now);
-    this.writes.setRate(writeRps * fraction, Math.max(MIN_BURST, writeRps * fraction), now);
+    this.requests.setRate(requestsPerS * fraction, Math.max(MIN_BURST, requestsPerS * fraction), now);
+    this.writes.setRate(writesPerS * fraction, Math.max(MIN_BURST, writesPerS * fraction), now);
   }
 }
--- a/src/runtime/leadership/leader-loop.ts
+++ b/src/runtime/leadership/leader-loop.ts
@@ -177,7 +177,7 @@
       },
       'leading',
     );
-    const cycleTimer = setInterval(() => this.requestTick(), operator.cycleMs);
+    const cycleTimer = setInterval(() => this.requestTick(), operator.schedulingCycleMs);
     this.state = { kind: 'leading', leader, since, cycleTimer };
     void this.jobWatch.run(jobs.storeRevision);
     void this.pollCloud();
@@ -187,7 +187,7 @@
     const { platform, election, cloud } = this.dependencies;
     const intervalMs = Math.max(
       MIN_POLL_MS,
-      (REQUESTS_PER_POLL * MS_PER_S) / platform.cloudProviderLimits.rps,
+      (REQUESTS_PER_POLL * MS_PER_S) / platform.cloudProviderLimits.requestsPerS,
     );
     while (!this.isStopped) {
       if (election.hasAuthority) {
--- a/src/runtime/leadership/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -66,7 +66,10 @@
     effect: Extract<Effect, { kind: 'write-final-record' }>,
   ): Promise<FinalRecordOutcome> {
     const { job, revision: recordRevision, state, segments } = effect;
-    const deletionsAtOnce = Math.max(0, this.dependencies.limits.txnOps - FINAL_RECORD_CHANGES);
+    const deletionsAtOnce = Math.max(
+      0,
+      this.dependencies.limits.maxTransactionChanges - FINAL_RECORD_CHANGES,
+    );
     const progressKeys = segments.map((segment) => keys.progressSegment(job, segment));
     const outcome = await this.write(
       [
@@ -114,7 +117,7 @@
   async deleteKeys(unused: string[]): Promise<void> {
     let remaining = unused;
     while (remaining.length > 0 && !this.stopped) {
-      const batch = remaining.slice(0, this.dependencies.limits.txnOps);
+      const batch = remaining.slice(0, this.dependencies.limits.maxTransactionChanges);
       const changes = batch.map((key) => ({ delete: key }));
       const outcome = await this.write(changes, [], budgetReserves.normal);
       if (outcome.kind === 'ok') remaining = remaining.slice(batch.length);
--- a/src/runtime/leadership/leader-settings.ts
+++ b/src/runtime/leadership/leader-settings.ts
@@ -16,7 +16,7 @@
   operator: OperatorSettings,
   random: () => number,
 ): LeaderSettings => {
-  const { valueKb, writeRps } = platform.keyValueStoreLimits;
+  const { maxValueKb, writesPerS } = platform.keyValueStoreLimits;
   return {
     workers: platform.workers,
     teams: platform.teams,
@@ -26,10 +26,10 @@
     headroom: operator.headroom,
     listLagS: platform.cloudProviderLimits.listLagS,
     agingS: operator.agingS,
-    fitsRegistryPage: (machines) => fitsRegistryPage(machines, valueKb),
-    segmentBytes: maxSegmentBytes(valueKb),
-    progressWritesPerS: writeRps * PROGRESS_WRITES_FRACTION,
-    cycleWorkLimit: Math.max(MIN_CYCLE_WORK, platform.limits.cpu * CYCLE_WORK_PER_CORE),
+    fitsRegistryPage: (machines) => fitsRegistryPage(machines, maxValueKb),
+    segmentBytes: maxSegmentBytes(maxValueKb),
+    progressWritesPerS: writesPerS * PROGRESS_WRITES_FRACTION,
+    cycleWorkLimit: Math.max(MIN_CYCLE_WORK, platform.processLimits.cpu * CYCLE_WORK_PER_CORE),
     random,
   };
 };
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -196,6 +196,6 @@
   }
 
   private get maxValueKb(): number {
-    return this.dependencies.platform.keyValueStoreLimits.valueKb;
+    return this.dependencies.platform.keyValueStoreLimits.maxValueKb;
   }
 }
--- a/src/runtime/workers/worker-redirection.ts
+++ b/src/runtime/workers/worker-redirection.ts
@@ -42,7 +42,10 @@
 
   /** A leader with more direct heartbeats than it has processor for leaves them to others of the worker's zone. */
   lessBusyController(heartbeat: Heartbeat, now: MonotonicTime): PeerLink | null {
-    const limit = Math.max(MIN_DIRECT_HEARTBEATS, this.platform.limits.cpu * DIRECT_HEARTBEATS_PER_CORE);
+    const limit = Math.max(
+      MIN_DIRECT_HEARTBEATS,
+      this.platform.processLimits.cpu * DIRECT_HEARTBEATS_PER_CORE,
+    );
     return this.directHeartbeats.perSecond(now) > limit ? this.controllerInZone(heartbeat, now) : null;
   }
 
--- a/src/test/cloud-request-budget.test.ts
+++ b/src/test/cloud-request-budget.test.ts
@@ -24,7 +24,7 @@
   const cloud = { host: '127.0.0.1', port };
   const platform = {
     cloudProvider: cloud,
-    cloudProviderLimits: { rps: 2, listLagS: 8 },
+    cloudProviderLimits: { requestsPerS: 2, listLagS: 8 },
   } as unknown as PlatformSettings;
   // The clock does not advance: the budget, a burst of two and a half requests, is not refilled.
   t.mock.method(performance, 'now', () => 1000);
--- a/src/test/key-value-store-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -39,8 +39,13 @@
   const lowered = parsePlatformSettings(
     platformToml('[settings.state.next]\nvalue_kb = 2.0\nwrite_rps = 90.0\n'),
   );
-  assert.deepEqual(lowered.keyValueStoreLimits, { rps: 120, writeRps: 20, valueKb: 2, txnOps: 16 });
-  assert.equal(parsePlatformSettings(platformToml('')).keyValueStoreLimits.valueKb, 16);
+  assert.deepEqual(lowered.keyValueStoreLimits, {
+    requestsPerS: 120,
+    writesPerS: 20,
+    maxValueKb: 2,
+    maxTransactionChanges: 16,
+  });
+  assert.equal(parsePlatformSettings(platformToml('')).keyValueStoreLimits.maxValueKb, 16);
 });
 
 /** A leader's bookkeeping of one job, with the progress writes that it asks for. */
--- a/src/test/known-red.test.ts
+++ b/src/test/known-red.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  judge,
+  compareWithList,
   KnownRedError,
   parseKnownRed,
   type KnownRedEntry,
@@ -19,36 +19,36 @@
 const failed = (name: string): TestResult => ({ name, passed: false });
 
 test('a run without a list passes if every test passes', () => {
-  assert.deepEqual(judge([], [passed('a'), passed('b')]), { problems: [], expectedFailures: [] });
+  assert.deepEqual(compareWithList([], [passed('a'), passed('b')]), { problems: [], expectedFailures: [] });
 });
 
 test('a failure that is not listed is a problem', () => {
-  assert.deepEqual(judge([entry('a')], [failed('a'), failed('b')]).problems, ['failed: b']);
+  assert.deepEqual(compareWithList([entry('a')], [failed('a'), failed('b')]).problems, ['failed: b']);
 });
 
 test('a listed test that fails is passed over and named', () => {
-  assert.deepEqual(judge([entry('a')], [failed('a'), passed('b')]), {
+  assert.deepEqual(compareWithList([entry('a')], [failed('a'), passed('b')]), {
     problems: [],
     expectedFailures: [entry('a')],
   });
 });
 
 test('a listed test that passes is a problem', () => {
-  const { problems, expectedFailures } = judge([entry('a')], [passed('a')]);
+  const { problems, expectedFailures } = compareWithList([entry('a')], [passed('a')]);
   assert.match(problems.join(), /it passes: a/);
   assert.deepEqual(expectedFailures, []);
 });
 
 test('a listed name that no test has is a problem', () => {
-  assert.match(judge([entry('gone')], [passed('a')]).problems.join(), /no such test: gone/);
+  assert.match(compareWithList([entry('gone')], [passed('a')]).problems.join(), /no such test: gone/);
 });
 
 test('a listed name that several tests have is a problem', () => {
-  assert.match(judge([entry('a')], [failed('a'), failed('a')]).problems.join(), /several tests/);
+  assert.match(compareWithList([entry('a')], [failed('a'), failed('a')]).problems.join(), /several tests/);
 });
 
 test('a run of no test at all is a problem', () => {
-  assert.match(judge([], []).problems.join(), /no test was run/);
+  assert.match(compareWithList([], []).problems.join(), /no test was run/);
 });
 
 test('every line is read, empty lines are not counted', () => {
--- a/src/test/production-size.test.ts
+++ b/src/test/production-size.test.ts
@@ -23,7 +23,7 @@
   initialMachines: { type: 'small', perZone: MACHINES / 2 },
   socketLimit: 2000,
   workers: { heartbeatIntervalS: 3, leaseS: 17, cancelS: 42 },
-  keyValueStoreLimits: { rps: 400, writeRps: 100, valueKb: 16, txnOps: 16 },
+  keyValueStoreLimits: { requestsPerS: 400, writesPerS: 100, maxValueKb: 16, maxTransactionChanges: 16 },
 };
 
 const someMachines = (scenario: Scenario, fraction: number) =>
--- a/src/test/sim/cluster-setup.ts
+++ b/src/test/sim/cluster-setup.ts
@@ -15,10 +15,10 @@
 export const CLOCK_ERROR_MS = 100;
 const DEFAULT_SOCKET_LIMIT = 1000;
 const DEFAULT_KEY_VALUE_STORE_LIMITS: KeyValueStoreLimits = {
-  rps: 200,
-  writeRps: 60,
-  valueKb: 8,
-  txnOps: 12,
+  requestsPerS: 200,
+  writesPerS: 60,
+  maxValueKb: 8,
+  maxTransactionChanges: 12,
 };
 
 /** What a test asks of a simulated cluster. */
@@ -96,8 +96,8 @@
   objectives: [],
   workers: workerTimings(setup),
   keyValueStoreLimits: keyValueStoreLimits(setup),
-  cloudProviderLimits: { rps: 6, listLagS: 4 },
-  limits: { cpu: 0.25, memoryMb: 146, sockets: setup.socketLimit ?? DEFAULT_SOCKET_LIMIT },
+  cloudProviderLimits: { requestsPerS: 6, listLagS: 4 },
+  processLimits: { cpu: 0.25, memoryMb: 146, sockets: setup.socketLimit ?? DEFAULT_SOCKET_LIMIT },
 });
 
 /** The controllers of this cluster, none of them started yet. */
--- a/src/test/sim/production-version.ts
+++ b/src/test/sim/production-version.ts
@@ -85,6 +85,7 @@
 
 const productionSettings = (settings: PlatformSettings): ProductionSettings => {
   const { leaseS, gangWaitS, gangPeerS, cancelS } = settings.workers;
+  const { keyValueStoreLimits: storeLimits, cloudProviderLimits: cloudLimits } = settings;
   return {
     name: settings.name,
     zone: settings.zone,
@@ -98,9 +99,14 @@
     teams: settings.teams,
     objectives: settings.objectives.map(({ withinS, ...objective }) => ({ ...objective, within_s: withinS })),
     workers: { reportS: settings.workers.heartbeatIntervalS, leaseS, gangWaitS, gangPeerS, cancelS },
-    stateLimits: settings.keyValueStoreLimits,
-    cloudLimits: settings.cloudProviderLimits,
-    limits: settings.limits,
+    stateLimits: {
+      rps: storeLimits.requestsPerS,
+      writeRps: storeLimits.writesPerS,
+      valueKb: storeLimits.maxValueKb,
+      txnOps: storeLimits.maxTransactionChanges,
+    },
+    cloudLimits: { rps: cloudLimits.requestsPerS, listLagS: cloudLimits.listLagS },
+    limits: settings.processLimits,
   };
 };
 
--- a/src/test/sim/simulated-key-value-store.ts
+++ b/src/test/sim/simulated-key-value-store.ts
@@ -139,18 +139,18 @@
 
   private refusal(transaction: Transaction): HttpResponse | null {
     if (!this.limits) return null;
-    const { writeRps, valueKb, txnOps } = this.limits;
+    const { writesPerS, maxValueKb, maxTransactionChanges } = this.limits;
     const fits = (change: Change): boolean =>
-      !('put' in change) || Buffer.byteLength(JSON.stringify(change.data)) <= valueKb * 1024;
+      !('put' in change) || Buffer.byteLength(JSON.stringify(change.data)) <= maxValueKb * 1024;
     if (
-      transaction.then.length > txnOps ||
-      transaction.if.length > MAX_CONDITIONS_PER_OPERATION * txnOps ||
+      transaction.then.length > maxTransactionChanges ||
+      transaction.if.length > MAX_CONDITIONS_PER_OPERATION * maxTransactionChanges ||
       !transaction.then.every(fits)
     ) {
       this.rejectedForSize++;
       return { status: 400, body: { error: 'too large' } };
     }
-    this.writes.setRate(writeRps, writeRps, this.now);
+    this.writes.setRate(writesPerS, writesPerS, this.now);
     if (this.writes.take(transaction.then.length, this.now)) return null;
     this.rejectedForRate++;
     return { status: 429 };
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -48,8 +48,8 @@
 const LOWERED = 90_000;
 const lowered: Partial<ClusterSetup> = {
   version: production,
-  keyValueStoreLimits: { valueKb: 16, txnOps: 16, writeRps: 40 },
-  announcedKeyValueStoreLimits: { valueKb: 2, txnOps: 5, writeRps: 25 },
+  keyValueStoreLimits: { maxValueKb: 16, maxTransactionChanges: 16, writesPerS: 40 },
+  announcedKeyValueStoreLimits: { maxValueKb: 2, maxTransactionChanges: 5, writesPerS: 25 },
 };
 
 /** Counts the users whose jobs the version in production has accepted. */
@@ -152,7 +152,13 @@
       );
       scenario.cluster.at(
         60_000,
-        () => (scenario.cluster.keyValueStore.limits = { rps: 200, writeRps: 25, valueKb: 2, txnOps: 5 }),
+        () =>
+          (scenario.cluster.keyValueStore.limits = {
+            requestsPerS: 200,
+            writesPerS: 25,
+            maxValueKb: 2,
+            maxTransactionChanges: 5,
+          }),
       );
       scenario.cluster.at(70_000, () => scenario.cluster.cancel(id));
     },
@@ -165,7 +171,7 @@
 };
 
 test('a record from before the limits fell can still be cancelled; not so where they were not announced', async () => {
-  const announced = await cancelLargeRecord({ valueKb: 2, txnOps: 5, writeRps: 25 });
+  const announced = await cancelLargeRecord({ maxValueKb: 2, maxTransactionChanges: 5, writesPerS: 25 });
   assert.deepEqual(announced, { status: 'cancelled', violations: [], tooLarge: 0 });
   const surprised = await cancelLargeRecord({});
   assert.notEqual(surprised.status, 'cancelled');
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -89,7 +89,7 @@
 const setup = (machineTypes = types, known: KnownJobs = feed()) => {
   const store = new Store();
   const confirmed: string[] = [];
-  const platform = { teams, keyValueStoreLimits: { valueKb: 8 } } as unknown as PlatformSettings;
+  const platform = { teams, keyValueStoreLimits: { maxValueKb: 8 } } as unknown as PlatformSettings;
   const make = (): UserApi =>
     new UserApi({
       platform,
--- a/src/test/wire.test.ts
+++ b/src/test/wire.test.ts
@@ -122,11 +122,11 @@
 
 test('operator settings: a block left out takes its defaults, a given field stands', () => {
   const defaults = {
-    leaseMs: 3000,
+    leaderLeaseMs: 3000,
     idleHoldS: 15,
     capacityRetryS: 15,
     headroom: 0.6,
-    cycleMs: 200,
+    schedulingCycleMs: 200,
     agingS: 90,
   };
   assert.deepEqual(parseOperatorSettings({}), defaults);
@@ -159,8 +159,8 @@
 });
 
 test('operator settings: defaults, bounds, and unknown names refused', () => {
-  assert.equal(parseOperatorSettings({}).leaseMs, 3000);
-  assert.equal(parseOperatorSettings({ leadership: [{ lease_ms: 5000 }] }).leaseMs, 5000);
+  assert.equal(parseOperatorSettings({}).leaderLeaseMs, 3000);
+  assert.equal(parseOperatorSettings({ leadership: [{ lease_ms: 5000 }] }).leaderLeaseMs, 5000);
   assert.throws(
     () => parseOperatorSettings({ leadership: [{ lease_ms: 1 }] }),
     /leadership\.0\.lease_ms: 1 .*>=500/,
