--- a/src/cli/run.ts
+++ b/src/cli/run.ts
@@ -68,7 +68,7 @@
 
 const runWithSettings = async (path: string, checkOnly: boolean): Promise<number | null> => {
   const platform = readPlatformSettings(path);
-  const operator = readOperatorSettings(fromTarget('operator.json'));
+  const operator = readOperatorSettings(pathInTarget('operator.json'));
   if (checkOnly) {
     for (const warning of platformWarnings(platform)) process.stdout.write(`warning: ${warning}\n`);
     return print(`${path}: valid\n`);
@@ -85,8 +85,8 @@
 };
 
 const packageVersion = (): string => {
-  const text = readFileSync(fromTarget('../package.json'), 'utf8');
+  const text = readFileSync(pathInTarget('../package.json'), 'utf8');
   return (JSON.parse(text) as { version: string }).version;
 };
 
-const fromTarget = (name: string): string => fileURLToPath(new URL(`../${name}`, import.meta.url));
+const pathInTarget = (name: string): string => fileURLToPath(new URL(`../${name}`, import.meta.url));
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -23,7 +23,7 @@
   maxTransactionChanges: number;
 }
 
-/** The intervals and time limits of the workers' protocol. */
+/** The intervals and time limits of the workers' protocol; `WorkerTimings` in the core describes each field. */
 export interface WorkerProtocolTimings {
   heartbeatIntervalS: number;
   leaseS: number;
@@ -159,9 +159,9 @@
  * Takes the minimum of each limit: the announced limits take effect without notice, and a larger write would then be
  * refused.
  */
-const toKeyValueStoreLimits = ({ next = {}, ...now }: FileSettings['state']): KeyValueStoreLimits => ({
-  requestsPerS: Math.min(now.rps, next.rps ?? Infinity),
-  writesPerS: Math.min(now.write_rps, next.write_rps ?? Infinity),
-  maxValueKb: Math.min(now.value_kb, next.value_kb ?? Infinity),
-  maxTransactionChanges: Math.min(now.txn_ops, next.txn_ops ?? Infinity),
+const toKeyValueStoreLimits = ({ next = {}, ...current }: FileSettings['state']): KeyValueStoreLimits => ({
+  requestsPerS: Math.min(current.rps, next.rps ?? Infinity),
+  writesPerS: Math.min(current.write_rps, next.write_rps ?? Infinity),
+  maxValueKb: Math.min(current.value_kb, next.value_kb ?? Infinity),
+  maxTransactionChanges: Math.min(current.txn_ops, next.txn_ops ?? Infinity),
 });
--- a/src/runtime/cloud/cloud-provider-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -3,7 +3,7 @@
 import type { ListedMachine, MachineType } from '../../core/machine-info.js';
 import type { MachineId } from '../../core/units.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
-import * as wire from '../../wire/cloud.js';
+import * as wire from '../../wire/cloud-provider.js';
 import { monotonicNow, sleep } from '../clock.js';
 import { HttpClient } from '../http/http-client.js';
 import { TokenBucket } from '../key-value-store/token-bucket.js';
--- a/src/test/external-names.test.ts
+++ b/src/test/external-names.test.ts
@@ -14,7 +14,7 @@
 import { parsePlatformSettings } from '../config/platform.js';
 import { parseCancellationLogPage, parseCancellationLogPosition } from '../wire/cancellation-pages.js';
 import { encode } from '../wire/cbor.js';
-import * as cloud from '../wire/cloud.js';
+import * as cloud from '../wire/cloud-provider.js';
 import * as store from '../wire/key-value-store.js';
 import * as records from '../wire/stored-records.js';
 import { parseJob } from '../wire/users.js';
--- a/src/test/sim/written-bodies.ts
+++ b/src/test/sim/written-bodies.ts
@@ -16,7 +16,7 @@
 import { refused } from '../../runtime/users/user-replies.js';
 import { malformed } from '../../runtime/workers/heartbeat-outcome.js';
 import { decode } from '../../wire/cbor.js';
-import * as cloud from '../../wire/cloud.js';
+import * as cloud from '../../wire/cloud-provider.js';
 import * as store from '../../wire/key-value-store.js';
 import { encodePeerRequest, encodePeerResponse, type PeerStatus } from '../../wire/peer-messages.js';
 import * as records from '../../wire/stored-records.js';
--- a/src/test/wire.test.ts
+++ b/src/test/wire.test.ts
@@ -4,7 +4,7 @@
 import { parseOperatorSettings } from '../config/operator.js';
 import { parsePlatformSettings, platformWarnings } from '../config/platform.js';
 import { decode, encode, tryDecode } from '../wire/cbor.js';
-import { parseMachineTypes } from '../wire/cloud.js';
+import { parseMachineTypes } from '../wire/cloud-provider.js';
 import { parseItem, transactionBody } from '../wire/key-value-store.js';
 import { parseJob } from '../wire/users.js';
 import { directCommandsBody, parseHeartbeat } from '../wire/workers.js';
--- a/src/wire/cancellation-pages.ts
+++ b/src/wire/cancellation-pages.ts
@@ -2,7 +2,7 @@
 import * as v from 'valibot';
 import type { CancellationLogPosition, CancellationLogPage } from '../core/cancellation-log.js';
 import type { JobId } from '../core/units.js';
-import { boundedText, nonNegativeNumber, parseWith, safeInteger, type ParseResult } from './common.js';
+import { boundedText, nonNegativeNumber, parseWith, safeInteger, type ParseResult } from './parsing.js';
 import { isJobId } from './users.js';
 
 const jobIds = v.array(v.custom<JobId>((job) => typeof job === 'string' && isJobId(job)));
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud-provider.ts
@@ -2,7 +2,7 @@
 import * as v from 'valibot';
 import type { ListedMachine, MachineType } from '../core/machine-info.js';
 import type { Endpoint, MachineId, MachineTypeName, Zone } from '../core/units.js';
-import { boundedText, nonNegativeNumber, parseWith } from './common.js';
+import { boundedText, nonNegativeNumber, parseWith } from './parsing.js';
 
 const machineTypesResponse = v.object({
   breeds: v.array(
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -5,7 +5,7 @@
  * the store, `log` a list of changes.
  */
 import * as v from 'valibot';
-import { uint64, encodeUint64, parseOrNull, parseWith, boundedText } from './common.js';
+import { uint64, encodeUint64, parseOrNull, parseWith, boundedText } from './parsing.js';
 import type { Uint64, Revision } from '../core/units.js';
 
 /** Holds if the key has this revision; revision 0 means that the key doesn't exist. */
--- a/src/wire/common.ts
+++ b/src/wire/parsing.ts
@@ -15,12 +15,12 @@
 /** A finite amount; fractions are allowed. */
 export const nonNegativeNumber = v.pipe(v.number(), v.finite(), v.minValue(0));
 
-const safeNumber = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
+const safeNonNegativeNumber = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
 const bigUint64 = v.pipe(v.bigint(), v.minValue(0n), v.maxValue(MAX_UINT64));
 
 /** An integer below 2^64. Values up to 2^53 - 1 are returned as numbers, also when they were decoded as bigints. */
 export const uint64 = v.pipe(
-  v.union([safeNumber, bigUint64]),
+  v.union([safeNonNegativeNumber, bigUint64]),
   v.transform((value): Uint64 =>
     typeof value === 'bigint' && value <= BigInt(Number.MAX_SAFE_INTEGER) ? Number(value) : value,
   ),
--- a/src/wire/peer-messages.ts
+++ b/src/wire/peer-messages.ts
@@ -6,7 +6,7 @@
  * that asserts nothing (false or null).
  */
 import * as v from 'valibot';
-import { nonNegativeNumber, parseWith, safeInteger, boundedText, type ParseResult } from './common.js';
+import { nonNegativeNumber, parseWith, safeInteger, boundedText, type ParseResult } from './parsing.js';
 import type { CancellationLogPosition } from '../core/cancellation-log.js';
 import type { ImageLocations } from '../core/leader/leader.js';
 import type { UnchangedHeartbeat } from '../core/heartbeat.js';
--- a/src/wire/stored-records.ts
+++ b/src/wire/stored-records.ts
@@ -1,6 +1,6 @@
 /** The records in the key-value store: their keys and stored forms. */
 import * as v from 'valibot';
-import { parseOrNull, boundedText } from './common.js';
+import { parseOrNull, boundedText } from './parsing.js';
 import type { FinalRecord, JobRecord, JobSpec } from '../core/job-spec.js';
 import type { MachineInfo, MachineType } from '../core/machine-info.js';
 import { LARGEST_SEGMENT_BYTES } from '../core/progress-segments.js';
@@ -72,14 +72,14 @@
 
 /** The stored form of a job's record. */
 export const jobRecordData = (record: JobRecord): unknown => {
-  const { dependsOn, ...plain } = record.spec;
-  return dependsOn.length > 0 ? record : { ...record, spec: plain };
+  const { dependsOn, ...specWithoutDependencies } = record.spec;
+  return dependsOn.length > 0 ? record : { ...record, spec: specWithoutDependencies };
 };
 
-const dependenciesOnly = v.object({ spec: v.object({ dependsOn: v.array(boundedText) }) });
+const dependenciesSchema = v.object({ spec: v.object({ dependsOn: v.array(boundedText) }) });
 /** Parses only the dependencies of a job's record, which is cheaper than parsing the whole record. */
 export const parseDependencies = (raw: unknown): JobId[] =>
-  (parseOrNull(dependenciesOnly, raw)?.spec.dependsOn ?? []) as JobId[];
+  (parseOrNull(dependenciesSchema, raw)?.spec.dependsOn ?? []) as JobId[];
 
 /** Whether a job's record is marked as cancelled; cheaper than parsing the whole record. */
 export const isCancelledRecord = (raw: unknown): boolean =>
@@ -116,7 +116,7 @@
   machines: machines.map(({ id, type, zone, spot }) => ({ id, type, zone, spot })),
 });
 
-/** Limit on the machines of a page, also where the store would accept a larger value. */
+/** The maximum number of machines on a page, even if the store would accept a larger value. */
 const MAX_MACHINES_PER_PAGE = 100;
 
 /** Whether these machines fit on one page of the registry. */
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -2,7 +2,7 @@
 import * as v from 'valibot';
 import type { JobSpec, JobKind } from '../core/job-spec.js';
 import type { JobId, Team, MachineTypeName, Zone } from '../core/units.js';
-import { boundedText, nonNegativeNumber, parseWith, safeInteger, type ParseResult } from './common.js';
+import { boundedText, nonNegativeNumber, parseWith, safeInteger, type ParseResult } from './parsing.js';
 
 const MAX_TASKS = 100_000;
 const MAX_MACHINE_TYPES = 100;
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -21,7 +21,7 @@
   safeInteger,
   uint64,
   type ParseResult,
-} from './common.js';
+} from './parsing.js';
 
 const TASK_STATES: Record<string, TaskState> = {
   pulling: 'fetching',
