--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -1,4 +1,4 @@
-/** The platform's settings in the code's terms, read from the file that the platform writes for each controller. */
+/** The platform's settings, parsed from the file that the platform writes for each controller. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import type { TeamQuota } from '../core/team-quota.js';
@@ -7,7 +7,7 @@
 import { platformFile, type PlatformFile } from './platform-schema.js';
 import { ConfigError, validateSettings } from './validation.js';
 
-/** A service-level objective: of the jobs of a class, which share is to be done within which time. */
+/** A service-level objective: the share of a class's jobs that should be done within a time. */
 export interface Objective {
   kind: string;
   class?: string;
@@ -15,16 +15,16 @@
   share?: number;
 }
 
-/** What the key-value store takes: requests and changes a second, the size of a value, changes in a transaction. */
+/** Limits of the key-value store: requests and changes per second, the size of a value, and changes per transaction. */
 export interface KeyValueStoreLimits {
-  rps: number;
-  writeRps: number;
-  valueKb: number;
-  txnOps: number;
+  requestsPerS: number;
+  writesPerS: number;
+  maxValueKb: number;
+  maxTransactionChanges: number;
 }
 
-/** The times that the workers' protocol holds to. */
-export interface WorkerTimes {
+/** The intervals and time limits of the workers' protocol; `WorkerTimings` in the core describes each field. */
+export interface WorkerProtocolTimings {
   heartbeatIntervalS: number;
   leaseS: number;
   gangWaitS: number;
@@ -32,7 +32,7 @@
   cancelS: number;
 }
 
-/** What a controller is told by the platform. */
+/** The settings that the platform gives a controller. */
 export interface PlatformSettings {
   name: NodeName;
   zone: Zone;
@@ -45,16 +45,16 @@
   clockErrorMs: number;
   teams: TeamQuota[];
   objectives: Objective[];
-  workers: WorkerTimes;
-  /** The smaller of the present limits and of those announced for later: what is kept holds under both. */
+  workers: WorkerProtocolTimings;
+  /** The minimum of the current limits and those announced for later, so that every write is valid under both. */
   keyValueStoreLimits: KeyValueStoreLimits;
-  cloudProviderLimits: { rps: number; listLagS: number };
-  limits: { cpu: number; memoryMb: number; sockets: number };
+  cloudProviderLimits: { requestsPerS: number; listLagS: number };
+  processLimits: { cpu: number; memoryMb: number; sockets: number };
 }
 
 type FileSettings = PlatformFile['settings'];
 
-/** Reads the text of the settings file; throws ConfigError. */
+/** Parses the text of the settings file; throws ConfigError. */
 export const parsePlatformSettings = (source: string): PlatformSettings => {
   const file = validateSettings(platformFile, parseToml(source), 'settings');
   const { settings } = file;
@@ -71,10 +71,10 @@
     clockErrorMs: settings.clock_error_ms,
     teams: settings.teams.map(toTeamQuota),
     objectives: settings.objectives.map(toObjective),
-    workers: toWorkerTimes(settings.workers),
+    workers: toWorkerTimings(settings.workers),
     keyValueStoreLimits: toKeyValueStoreLimits(settings.state),
-    cloudProviderLimits: { rps: settings.cloud.rps, listLagS: settings.cloud.list_lag_s },
-    limits: {
+    cloudProviderLimits: { requestsPerS: settings.cloud.rps, listLagS: settings.cloud.list_lag_s },
+    processLimits: {
       cpu: settings.limits.cpu,
       memoryMb: settings.limits.memory_mb,
       sockets: settings.limits.fd_limit,
@@ -93,7 +93,7 @@
   return parsePlatformSettings(source);
 };
 
-/** What is served all the same, but not as it was probably meant. */
+/** Settings that are accepted but probably not intended: guarantees above the team's limit. */
 export const platformWarnings = ({ teams }: PlatformSettings): string[] => {
   const warnings: string[] = [];
   for (const team of teams) {
@@ -122,7 +122,7 @@
   const duplicate = names.findIndex((name, i) => names.indexOf(name) < i);
   if (duplicate < 0) return;
   throw new ConfigError(
-    `settings.teams.${duplicate}.name: "${names[duplicate]}" stands twice; expected one team of each name`,
+    `settings.teams.${duplicate}.name: "${names[duplicate]}" occurs twice; expected one team of each name`,
   );
 };
 
@@ -147,7 +147,7 @@
   share: objective.share,
 });
 
-const toWorkerTimes = (workers: FileSettings['workers']): WorkerTimes => ({
+const toWorkerTimings = (workers: FileSettings['workers']): WorkerProtocolTimings => ({
   heartbeatIntervalS: workers.report_s,
   leaseS: workers.lease_s,
   gangWaitS: workers.gang_wait_s,
@@ -155,10 +155,13 @@
   cancelS: workers.cancel_s,
 });
 
-/** Guards against writes that a service with lowered limits refuses, since they come without notice. */
-const toKeyValueStoreLimits = ({ next = {}, ...now }: FileSettings['state']): KeyValueStoreLimits => ({
-  rps: Math.min(now.rps, next.rps ?? Infinity),
-  writeRps: Math.min(now.write_rps, next.write_rps ?? Infinity),
-  valueKb: Math.min(now.value_kb, next.value_kb ?? Infinity),
-  txnOps: Math.min(now.txn_ops, next.txn_ops ?? Infinity),
+/**
+ * Takes the minimum of each limit: the announced limits take effect without notice, and a larger write would then be
+ * refused.
+ */
+const toKeyValueStoreLimits = ({ next = {}, ...current }: FileSettings['state']): KeyValueStoreLimits => ({
+  requestsPerS: Math.min(current.rps, next.rps ?? Infinity),
+  writesPerS: Math.min(current.write_rps, next.write_rps ?? Infinity),
+  maxValueKb: Math.min(current.value_kb, next.value_kb ?? Infinity),
+  maxTransactionChanges: Math.min(current.txn_ops, next.txn_ops ?? Infinity),
 });
--- a/src/runtime/cloud/cloud-provider-client.ts
+++ b/src/runtime/cloud/cloud-provider-client.ts
@@ -3,7 +3,7 @@
 import type { ListedMachine, MachineType } from '../../core/machine-info.js';
 import type { MachineId } from '../../core/units.js';
 import { encode, tryDecode } from '../../wire/cbor.js';
-import * as wire from '../../wire/cloud.js';
+import * as wire from '../../wire/cloud-provider.js';
 import { monotonicNow, sleep } from '../clock.js';
 import { HttpClient } from '../http/http-client.js';
 import { TokenBucket } from '../key-value-store/token-bucket.js';
@@ -38,7 +38,7 @@
 
   constructor(platform: PlatformSettings) {
     this.http = new HttpClient(platform.cloudProvider, MAX_CONNECTIONS, MAX_CONNECTION_IDLE_MS);
-    const rate = platform.cloudProviderLimits.rps * RATE_LIMIT_FRACTION;
+    const rate = platform.cloudProviderLimits.requestsPerS * RATE_LIMIT_FRACTION;
     const burst = Math.max(1, rate * BURST_DURATION_S);
     this.budget = new TokenBucket(rate, burst, monotonicNow());
     this.tokensReservedForChanges =
@@ -65,7 +65,7 @@
   }
 
   /** Creates machines. The request id makes this idempotent: a repeated request creates no further machines. */
-  async createMachines(request: wire.ScaleOutRequest): Promise<ScaleOutOutcome> {
+  async createMachines(request: wire.CreateMachinesRequest): Promise<ScaleOutOutcome> {
     if (!this.budget.take(1, monotonicNow())) return { kind: 'refused' };
     const body = encode(wire.createMachinesBody(request));
     const result = await this.http.request('POST', '/machines', body, CLOUD_REQUEST_TIMEOUT_MS);
@@ -99,7 +99,7 @@
     const target = wire.listMachinesTarget(after, MACHINES_PER_LIST_PAGE);
     for (let attempt = 0; attempt < MAX_PAGE_ATTEMPTS; attempt++) {
       if (attempt > 0) await sleep(PAGE_RETRY_DELAY_MS);
-      const page = await this.read(target, wire.parseMachines);
+      const page = await this.read(target, wire.parseMachineListPage);
       // A failure of the first page discards no pages, so it is not retried.
       if (page || after === null) return page;
     }
--- a/src/runtime/key-value-store/key-value-store-client.ts
+++ b/src/runtime/key-value-store/key-value-store-client.ts
@@ -83,7 +83,7 @@
     for (;;) {
       const page: StoreOutcome<wire.ItemPage> = await this.read(
         wire.listTarget(prefix, after, ITEMS_PER_PAGE),
-        wire.parseItems,
+        wire.parseItemPage,
         budgetReserves.urgent,
       );
       if (page.kind !== 'ok') return page;
@@ -115,14 +115,14 @@
 
   /** Requests a new lease. */
   async grantLease(ttlMs: number): Promise<StoreOutcome<Uint64>> {
-    const encoded = encode(wire.leaseBody(ttlMs));
+    const encoded = encode(wire.grantLeaseBody(ttlMs));
     const reply = await this.leaseClient.request(
       'POST',
       wire.LEASES_TARGET,
       encoded,
       STORE_REQUEST_TIMEOUT_MS,
     );
-    return this.outcome(reply, wire.parseLease);
+    return this.outcome(reply, wire.parseGrantedLease);
   }
 
   /** Renews a lease. Lease requests bypass the request budget, so that other requests cannot starve them. */
@@ -142,15 +142,15 @@
   }
 
   /** Returns the changes since a revision, without waiting. */
-  async changesSince(prefix: string, since: Revision): Promise<StoreOutcome<wire.Changes>> {
-    return this.read(wire.watchTarget(prefix, since, 0), wire.parseChanges, budgetReserves.urgent);
+  async watchResponse(prefix: string, since: Revision): Promise<StoreOutcome<wire.WatchResponse>> {
+    return this.read(wire.watchTarget(prefix, since, 0), wire.parseWatchResponse, budgetReserves.urgent);
   }
 
   /** Returns the changes since a revision as soon as there are any, or none after `waitMs`. */
-  async watch(prefix: string, since: Revision, waitMs: number): Promise<StoreOutcome<wire.Changes>> {
+  async watch(prefix: string, since: Revision, waitMs: number): Promise<StoreOutcome<wire.WatchResponse>> {
     const target = wire.watchTarget(prefix, since, waitMs);
     const reply = await this.watchClient.request('GET', target, null, waitMs + WATCH_TIMEOUT_MARGIN_MS);
-    return this.outcome(reply, wire.parseChanges);
+    return this.outcome(reply, wire.parseWatchResponse);
   }
 
   private async read<T>(
@@ -179,13 +179,13 @@
   private transactionOutcome(status: number, body: unknown): TransactionOutcome {
     switch (status) {
       case HTTP_STATUS.ok: {
-        const revision = wire.parseCommitted(body);
+        const revision = wire.parseCommittedRevision(body);
         this.lastResponseAt = monotonicNow();
         return revision === null ? { kind: 'unknown' } : { kind: 'ok', revision };
       }
       case HTTP_STATUS.conflict:
         this.lastResponseAt = monotonicNow();
-        return { kind: 'conflict', failed: wire.parseConflict(body) ?? [] };
+        return { kind: 'conflict', failed: wire.parseConflictKeys(body) ?? [] };
       case HTTP_STATUS.badRequest:
         return { kind: wire.isLeaseGoneError(body) ? 'lease-gone' : 'invalid' };
       default:
--- a/src/runtime/leadership/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -66,15 +66,18 @@
     effect: Extract<Effect, { kind: 'write-final-record' }>,
   ): Promise<FinalRecordOutcome> {
     const { job, revision: recordRevision, state, segments } = effect;
-    const maxDeletionsInTransaction = Math.max(0, this.dependencies.limits.txnOps - FINAL_RECORD_CHANGES);
-    const progressKeys = segments.map((segment) => keys.progress(job, segment));
+    const maxDeletionsInTransaction = Math.max(
+      0,
+      this.dependencies.limits.maxTransactionChanges - FINAL_RECORD_CHANGES,
+    );
+    const progressKeys = segments.map((segment) => keys.progressSegment(job, segment));
     const outcome = await this.write(
       [
-        { put: keys.final(job), data: finalRecordData(effect) },
-        { delete: keys.active(job) },
+        { put: keys.finalRecord(job), data: finalRecordData(effect) },
+        { delete: keys.jobRecord(job) },
         ...progressKeys.slice(0, maxDeletionsInTransaction).map((key) => ({ delete: key })),
       ],
-      [{ key: keys.active(job), revision: recordRevision }],
+      [{ key: keys.jobRecord(job), revision: recordRevision }],
     );
     if (outcome.kind === 'conflict') return this.readChangedRecord(job);
     if (outcome.kind !== 'ok') return { kind: 'retry' };
@@ -89,7 +92,7 @@
 
   /** Returns null if there is no final record or the store gave no usable response. */
   async readFinalRecord(job: JobId): Promise<FinalState | null> {
-    const final = await this.dependencies.store.get(keys.final(job), budgetReserves.urgent);
+    const final = await this.dependencies.store.get(keys.finalRecord(job), budgetReserves.urgent);
     return final.kind === 'ok' ? (parseFinalRecord(final.value.data)?.state ?? null) : null;
   }
 
@@ -114,7 +117,7 @@
   async deleteKeys(unused: string[]): Promise<void> {
     let remaining = unused;
     while (remaining.length > 0 && !this.stopped) {
-      const batch = remaining.slice(0, this.dependencies.limits.txnOps);
+      const batch = remaining.slice(0, this.dependencies.limits.maxTransactionChanges);
       const changes = batch.map((key) => ({ delete: key }));
       const outcome = await this.write(changes, [], budgetReserves.normal);
       if (outcome.kind === 'ok') remaining = remaining.slice(batch.length);
@@ -127,7 +130,7 @@
    * whose response was lost, was executed.
    */
   private async readChangedRecord(job: JobId): Promise<FinalRecordOutcome> {
-    const active = await this.dependencies.store.get(keys.active(job), budgetReserves.urgent);
+    const active = await this.dependencies.store.get(keys.jobRecord(job), budgetReserves.urgent);
     const record = active.kind === 'ok' ? parseJobRecord(active.value.data) : null;
     if (active.kind === 'ok' && record) return { kind: 'changed', record, revision: active.value.revision };
     const final = active.kind === 'gone' ? await this.readFinalRecord(job) : null;
--- a/src/runtime/leadership/stored-state.ts
+++ b/src/runtime/leadership/stored-state.ts
@@ -26,7 +26,7 @@
   isStopped: () => boolean,
 ): Promise<StoredState | null> => {
   const registry = await listWithRetry(store, keys.registryPrefix, isStopped);
-  const jobs = await listWithRetry(store, keys.activePrefix, isStopped);
+  const jobs = await listWithRetry(store, keys.jobRecordPrefix, isStopped);
   const progress = await listWithRetry(store, keys.progressPrefix, isStopped);
   return registry && jobs && progress && !isStopped() ? { registry, jobs, progress } : null;
 };
--- a/src/runtime/workers/unchanged-heartbeats.ts
+++ b/src/runtime/workers/unchanged-heartbeats.ts
@@ -74,7 +74,7 @@
       BATCH_TIMEOUT_MS,
     );
     // Without a response, or if another controller leads by now, all machines of the batch need a full heartbeat again.
-    for (const id of response?.fullHeartbeatNeeded ?? batch.keys()) this.synced.delete(id);
+    for (const id of response?.machinesNeedingFullHeartbeat ?? batch.keys()) this.synced.delete(id);
   }
 }
 
--- a/src/test/cloud-request-budget.test.ts
+++ b/src/test/cloud-request-budget.test.ts
@@ -24,7 +24,7 @@
   const cloud = { host: '127.0.0.1', port };
   const platform = {
     cloudProvider: cloud,
-    cloudProviderLimits: { rps: 2, listLagS: 8 },
+    cloudProviderLimits: { requestsPerS: 2, listLagS: 8 },
   } as unknown as PlatformSettings;
   // The clock does not advance: the budget, a burst of two and a half requests, is not refilled.
   t.mock.method(performance, 'now', () => 1000);
@@ -32,7 +32,7 @@
   assert.deepEqual(await client.listMachines(), []);
   assert.equal(await client.listMachines(), null, 'what is left is not for lists');
   const order = { type: 'g8' as MachineTypeName, zone: 'a' as Zone, spot: false, count: 2 };
-  assert.equal((await client.createMachines({ request: 't1-1', ...order })).kind, 'provisioned');
+  assert.equal((await client.createMachines({ requestId: 't1-1', ...order })).kind, 'provisioned');
   assert.equal(await client.deleteMachines(['host-1' as MachineId]), false, 'the budget is used up');
   assert.deepEqual(asked, ['GET /machines', 'POST /machines']);
 });
--- a/src/test/sim/written-bodies.ts
+++ b/src/test/sim/written-bodies.ts
@@ -16,7 +16,7 @@
 import { errorReply } from '../../runtime/users/user-replies.js';
 import { malformed } from '../../runtime/workers/heartbeat-outcome.js';
 import { decode } from '../../wire/cbor.js';
-import * as cloud from '../../wire/cloud.js';
+import * as cloud from '../../wire/cloud-provider.js';
 import * as store from '../../wire/key-value-store.js';
 import { encodePeerRequest, encodePeerResponse, type PeerStatus } from '../../wire/peer-messages.js';
 import * as records from '../../wire/stored-records.js';
@@ -127,13 +127,13 @@
   'heartbeat error': decode(malformed('cause').reply.body!),
   'direct commands': workers.directCommandsBody(3, 2 ** 33, [{ op: 'start', ...task }]),
   redirect: [workers.redirectBody(null), workers.redirectBody(node)],
-  'scale-out': cloud.createMachinesBody({ request: 'r-1', ...machine, count: 2 }),
+  'scale-out': cloud.createMachinesBody({ requestId: 'r-1', ...machine, count: 2 }),
   'scale-in': cloud.deleteMachinesBody([machine.id]),
   'store transaction': store.transactionBody({
     conditions: [{ key: 'a', revision: 2 ** 33 }],
     changes: [{ put: 'a', data: 1, lease: 2 ** 33 }, { put: 'b', data: 2 }, { delete: 'c' }],
   }),
-  'store lease': store.leaseBody(3000),
+  'store lease': store.grantLeaseBody(3000),
   'leader and term': await leaderTransaction(),
   'job record': records.jobRecordData(plainRecord),
   'record of a dependent job': records.jobRecordData(dependentRecord),
@@ -152,7 +152,9 @@
     status: peerStatus,
     cancellationPage: cancellations.pageAfter(null, now),
   }),
-  'peer unchanged response': encodePeerResponse('unchanged-heartbeats', { fullHeartbeatNeeded: null }),
+  'peer unchanged response': encodePeerResponse('unchanged-heartbeats', {
+    machinesNeedingFullHeartbeat: null,
+  }),
   'peer user response': encodePeerResponse('user-request', { status: 503, body: null, retryAfterS: 1 }),
   'peer counts response': encodePeerResponse('task-counts', { counts: { done: 1, running: 2 } }),
   frames: [encodeRequestFrame(1, 'q'), encodeResponseFrame(2, 'a')].map((frame) => decode(frame.subarray(4))),
@@ -175,10 +177,10 @@
   ],
   keys: [
     ...Object.values(keys).filter((key) => typeof key === 'string'),
-    keys.typesPage(1),
-    keys.active(jobId),
-    keys.final(jobId),
-    keys.progress(jobId, branded('0')),
+    keys.machineTypesPage(1),
+    keys.jobRecord(jobId),
+    keys.finalRecord(jobId),
+    keys.progressSegment(jobId, branded('0')),
     keys.registryPage('3-1'),
   ],
 };
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -25,7 +25,7 @@
 import { encode, decode } from '../wire/cbor.js';
 import { encodePeerRequest, parsePeerRequest, type PeerRequest } from '../wire/peer-messages.js';
 import {
-  dependenciesIn,
+  parseDependencies,
   finalRecordData,
   jobRecordData,
   keys,
@@ -34,9 +34,9 @@
   parseLeaderRecord,
   parseProgressRecord,
   parseRegistryPage,
-  parseStoredTypes,
+  parseStoredMachineTypes,
   parseTermRecord,
-  parseTypesPage,
+  parseMachineTypesPage,
   progressRecordData,
   registryPageData,
 } from '../wire/stored-records.js';
@@ -46,10 +46,11 @@
 const ROLL = 40_000;
 const EVERY_MS = 10_000;
 const LOWERED = 90_000;
+const announcedLimits = { maxValueKb: 2, maxTransactionChanges: 5, writesPerS: 25 };
 const lowered: Partial<ClusterSetup> = {
   version: production,
-  keyValueStoreLimits: { valueKb: 16, txnOps: 16, writeRps: 40 },
-  announcedKeyValueStoreLimits: { valueKb: 2, txnOps: 5, writeRps: 25 },
+  keyValueStoreLimits: { maxValueKb: 16, maxTransactionChanges: 16, writesPerS: 40 },
+  announcedKeyValueStoreLimits: announcedLimits,
 };
 
 /** Counts the users whose jobs the version in production has accepted. */
@@ -152,7 +153,7 @@
       );
       scenario.cluster.at(
         60_000,
-        () => (scenario.cluster.keyValueStore.limits = { rps: 200, writeRps: 25, valueKb: 2, txnOps: 5 }),
+        () => (scenario.cluster.keyValueStore.limits = { requestsPerS: 200, ...announcedLimits }),
       );
       scenario.cluster.at(70_000, () => scenario.cluster.cancel(id));
     },
@@ -165,7 +166,7 @@
 };
 
 test('a record from before the limits fell can still be cancelled; not so where they were not announced', async () => {
-  const announced = await cancelLargeRecord({ valueKb: 2, txnOps: 5, writeRps: 25 });
+  const announced = await cancelLargeRecord(announcedLimits);
   assert.deepEqual(announced, { status: 'cancelled', violations: [], tooLarge: 0 });
   const surprised = await cancelLargeRecord({});
   assert.notEqual(surprised.status, 'cancelled');
@@ -189,8 +190,8 @@
   const dependent = record({ dependsOn: ['wk-5' as JobId, 'wk-6' as JobId] });
   const read = production.parseJobRecord(stored(jobRecordData(dependent)));
   assert.deepEqual(read, { ...dependent, spec: oldSpec }, 'passed over, not a damaged record');
-  assert.deepEqual(dependenciesIn(stored(jobRecordData(dependent))), ['wk-5', 'wk-6']);
-  assert.deepEqual(dependenciesIn(stored(oldRecord)), []);
+  assert.deepEqual(parseDependencies(stored(jobRecordData(dependent))), ['wk-5', 'wk-6']);
+  assert.deepEqual(parseDependencies(stored(oldRecord)), []);
 });
 
 interface RecordKind {
@@ -241,13 +242,13 @@
   },
   { written: leader, form: leader, read: leader, readers: [parseLeaderRecord, production.parseLeader] },
   { written: { term: 3 }, form: { term: 3 }, read: 3, readers: [parseTermRecord, production.parseTerm] },
-  { written: types, form: types, read: types, readers: [parseStoredTypes, production.parseStoredTypes] },
   {
-    written: typesPage,
-    form: typesPage,
-    read: typesPage,
-    readers: [parseTypesPage],
+    written: types,
+    form: types,
+    read: types,
+    readers: [parseStoredMachineTypes, production.parseStoredTypes],
   },
+  { written: typesPage, form: typesPage, read: typesPage, readers: [parseMachineTypesPage] },
 ];
 
 test('stored records: the encoded form of each kind is that of the version in production', () => {
@@ -286,11 +287,10 @@
   };
   assert.deepEqual(stored(jobRecordData(record({}))), form);
   const id = 'wk-7' as JobId;
-  assert.deepEqual(
-    [keys.leader, keys.term, keys.types, keys.typesPage(1), keys.active(id), keys.final(id)],
-    ['l/leader', 'l/term', 'c/types', 'c/types/1', 'j/wk-7', 'f/wk-7'],
-  );
-  assert.equal(keys.progress(id, '0' as SegmentName), 'p/wk-7/0');
+  assert.deepEqual([keys.leader, keys.term, keys.machineTypes], ['l/leader', 'l/term', 'c/types']);
+  assert.equal(keys.machineTypesPage(1), 'c/types/1');
+  assert.deepEqual([keys.jobRecord(id), keys.finalRecord(id)], ['j/wk-7', 'f/wk-7']);
+  assert.equal(keys.progressSegment(id, '0' as SegmentName), 'p/wk-7/0');
   assert.equal(keys.registryPage('3-1'), 'm/3-1');
 });
 
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud-provider.ts
@@ -1,10 +1,10 @@
-/** The cloud provider's protocol: machine types, scale-out and scale-in, lists of machines. */
+/** The cloud provider's protocol: lists machine types and machines, creates and deletes machines. */
 import * as v from 'valibot';
 import type { ListedMachine, MachineType } from '../core/machine-info.js';
 import type { Endpoint, MachineId, MachineTypeName, Zone } from '../core/units.js';
-import { boundedText, nonNegativeNumber, parseWith } from './common.js';
+import { boundedText, nonNegativeNumber, parseWith } from './parsing.js';
 
-const machineTypesAnswer = v.object({
+const machineTypesResponse = v.object({
   breeds: v.array(
     v.object({
       label: boundedText,
@@ -21,7 +21,7 @@
   ),
 });
 
-const machinesAnswer = v.object({
+const machineListResponse = v.object({
   stalls: v.array(
     v.object({
       nameId: boundedText,
@@ -36,26 +36,26 @@
   more: v.boolean(),
 });
 
-const createdMachinesAnswer = v.object({ stalls: v.array(boundedText) });
+const createdMachinesResponse = v.object({ stalls: v.array(boundedText) });
 
-/** One page of the list of machines; `more`: others follow it. */
+/** One page of the list of machines; `more` is true if further pages follow. */
 export interface MachineListPage {
   machines: ListedMachine[];
   more: boolean;
 }
 
-/** Machines to be created; a request that is repeated under the same name creates none twice. */
-export interface ScaleOutRequest {
-  request: string;
+/** A request to create machines. It is idempotent: a repetition with the same `requestId` creates no further machines. */
+export interface CreateMachinesRequest {
+  requestId: string;
   type: MachineTypeName;
   zone: Zone;
   spot: boolean;
   count: number;
 }
 
-/** The offered machine types; null if malformed. */
+/** Parses the list of machine types; null if malformed. */
 export const parseMachineTypes = (raw: unknown): MachineType[] | null => {
-  const parsed = parseWith(machineTypesAnswer, raw);
+  const parsed = parseWith(machineTypesResponse, raw);
   if (!parsed.ok) return null;
   return parsed.value.breeds.map((breed) => ({
     name: breed.label as MachineTypeName,
@@ -71,9 +71,9 @@
   }));
 };
 
-/** A page of the list of machines; null if malformed. */
-export const parseMachines = (raw: unknown): MachineListPage | null => {
-  const parsed = parseWith(machinesAnswer, raw);
+/** Parses a page of the list of machines; null if malformed. */
+export const parseMachineListPage = (raw: unknown): MachineListPage | null => {
+  const parsed = parseWith(machineListResponse, raw);
   if (!parsed.ok) return null;
   const machines = parsed.value.stalls.map((stall) => ({
     id: stall.nameId as MachineId,
@@ -87,15 +87,15 @@
   return { machines, more: parsed.value.more };
 };
 
-/** The machines that a scale-out request created; null if malformed. */
+/** Parses the response to a scale-out request: the ids of the created machines; null if malformed. */
 export const parseCreatedMachines = (raw: unknown): MachineId[] | null => {
-  const parsed = parseWith(createdMachinesAnswer, raw);
+  const parsed = parseWith(createdMachinesResponse, raw);
   return parsed.ok ? (parsed.value.stalls as MachineId[]) : null;
 };
 
 /** The body of a scale-out request. */
-export const createMachinesBody = ({ request, type, zone, spot, count }: ScaleOutRequest) => ({
-  hire: request,
+export const createMachinesBody = ({ requestId, type, zone, spot, count }: CreateMachinesRequest) => ({
+  hire: requestId,
   breed: type,
   pasture: zone,
   loaners: spot,
@@ -105,6 +105,6 @@
 /** The body of a scale-in request. */
 export const deleteMachinesBody = (machines: MachineId[]) => ({ stalls: machines });
 
-/** The path of the page of machines that follows the machine `since`. */
+/** The request target for the page of the machine list that begins after the machine `since`; null: the first page. */
 export const listMachinesTarget = (since: MachineId | null, maxMachines: number) =>
   since === null ? `/machines?most=${maxMachines}` : `/machines?since=${since}&most=${maxMachines}`;
