--- a/src/runtime/peers/image-locations.ts
+++ b/src/runtime/peers/image-locations.ts
@@ -42,8 +42,8 @@
 }
 
 /**
- * Sends the leader's next page to every peer. A new leader learns from heartbeats which tasks run where, but not which
- * images are cached.
+ * Sends the leader's next page to every peer. Heartbeats report the tasks of each machine to a new leader, but not its
+ * cached images.
  */
 export const shareImageLocations = (
   leader: Leader | null,
--- a/src/runtime/peers/peer-status.ts
+++ b/src/runtime/peers/peer-status.ts
@@ -35,7 +35,7 @@
     };
   }
 
-  /** Records which leaders a peer knows. */
+  /** Applies the status that a peer reports: records the leader that it names. */
   onPeerStatus(status: PeerStatus): void {
     const { election, heartbeatHandler } = this.dependencies;
     const { node, term, leading, holdsLease, reachableLeader, leaderSeenAgoMs } = status;
--- a/src/runtime/peers/task-counts.ts
+++ b/src/runtime/peers/task-counts.ts
@@ -14,13 +14,13 @@
     private readonly links: readonly PeerLink[],
   ) {}
 
-  /** The counts of the local leader; null if this controller does not lead or its leader does not know the job. */
+  /** The counts of the local leader; null if this controller does not lead or its leader has no such job. */
   localCounts(id: JobId): TaskCounts | null {
     const job = this.leadership.leader?.jobs.get(id);
     return job ? { done: job.completedCount, running: job.runningCount } : null;
   }
 
-  /** The counts of the current leader; null if no leader is reachable or it does not know the job. */
+  /** The counts of the current leader; null if no leader is reachable or it has no such job. */
   async find(id: JobId): Promise<TaskCounts | null> {
     if (this.leadership.leaderLoop) return this.localCounts(id);
     const now = monotonicNow();
--- a/src/runtime/public-router.ts
+++ b/src/runtime/public-router.ts
@@ -30,7 +30,7 @@
 export class PublicRouter {
   constructor(private readonly dependencies: PublicRouterDependencies) {}
 
-  /** Handles one request. An exception is logged and answered with 503, so that it does not end the process. */
+  /** Handles one request. An exception is logged and results in a 503 response, so that it does not end the process. */
   async handle(request: HttpMessage, reply: (reply: HttpReply) => void): Promise<void> {
     try {
       await this.route(request, reply);
--- a/src/runtime/request-latency.ts
+++ b/src/runtime/request-latency.ts
@@ -15,7 +15,7 @@
 export class RequestLatency {
   private readonly microseconds: RecordableHistogram = createHistogram();
 
-  /** Records a request that was received at this monotonic time and is answered now. */
+  /** Records a request that was received at this monotonic time and is completed now. */
   record(receivedAt: number): void {
     const elapsed = Math.round((monotonicNow() - receivedAt) * MICROSECONDS_PER_MS);
     this.microseconds.record(Math.max(1, elapsed));
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -103,10 +103,10 @@
     if (result.kind === 'refused' || result.kind === 'lease-gone' || result.kind === 'invalid')
       return unavailableReply('state service refuses');
     // The job exists already, or the store's response was lost: the stored record determines the response.
-    const known = await this.jobs.find(id);
-    if (known.kind === 'not-found' || known.kind === 'unknown')
+    const existing = await this.jobs.find(id);
+    if (existing.kind === 'not-found' || existing.kind === 'unknown')
       return unavailableReply('not certain to be recorded');
-    return this.statusReply(id, known);
+    return this.statusReply(id, existing);
   }
 
   /** Returns the error response, or null if all dependencies of the job were accepted. */
@@ -131,9 +131,9 @@
   private async rejectUnlessAccepted(raw: object, rejection: HttpReply): Promise<HttpReply> {
     const id = submittedJobId(raw);
     if (id === null) return rejection;
-    const known = await this.jobs.find(id);
-    if (known.kind === 'unknown') return unavailableReply('state service does not answer');
-    return known.kind === 'not-found' ? rejection : this.statusReply(id, known);
+    const existing = await this.jobs.find(id);
+    if (existing.kind === 'unknown') return unavailableReply('state service does not answer');
+    return existing.kind === 'not-found' ? rejection : this.statusReply(id, existing);
   }
 
   private async status(id: JobId): Promise<HttpReply> {
--- a/src/runtime/users/user-replies.ts
+++ b/src/runtime/users/user-replies.ts
@@ -7,7 +7,7 @@
 
 const RETRY_AFTER_S = 1;
 
-/** Response to a request that cannot be answered now; the user retries later. */
+/** Response to a request that cannot be served now; the user retries later. */
 export const unavailableReply = (cause: string): HttpReply => ({
   status: HTTP_STATUS.unavailable,
   retryAfterS: RETRY_AFTER_S,
--- a/src/runtime/users/user-request-handler.ts
+++ b/src/runtime/users/user-request-handler.ts
@@ -46,7 +46,7 @@
       served = response.status !== HTTP_STATUS.unavailable;
       const { method, target } = request;
       const { status, jobStatus, rejectionCause } = response;
-      log.debug({ method, target, status, jobStatus, cause: rejectionCause }, 'user request answered');
+      log.debug({ method, target, status, jobStatus, cause: rejectionCause }, 'user request completed');
       this.countOutcome(response);
       reply(response);
       latency.record(receivedAt);
