--- a/src/core/leader/deadline-predictor.ts
+++ b/src/core/leader/deadline-predictor.ts
@@ -1,62 +1,73 @@
-/** Predicts which jobs will miss their deadlines, as far as their owners' estimates tell, through DAG dependencies too. */
+/**
+ * Predicts from the owners' run-time estimates which jobs will miss their deadlines, including their DAG dependencies.
+ */
 import type { Job } from '../job.js';
 import type { JobId, MonotonicTime, WallTime } from '../units.js';
 import type { LeaderState } from './leader-state.js';
 
-const UPDATE_INTERVAL_MS = 2000;
+const PREDICTION_INTERVAL_MS = 2000;
 
-/** Seconds that a job still takes from the moment at which it is ready, if nothing holds it up. */
+/** Remaining run time of a job once its dependencies are done, assuming that its tasks are placed without delay. */
 const remainingS = (job: Job, now: MonotonicTime): number => {
-  let longest = job.pendingCount > 0 ? job.spec.estimateS : 0;
+  let longestS = job.pendingCount > 0 ? job.spec.estimateS : 0;
   for (const { running, runningSince } of job.placements.values()) {
     const ranS = running && runningSince !== null ? (now - runningSince) / 1000 : 0;
-    longest = Math.max(longest, job.spec.estimateS - ranS);
+    longestS = Math.max(longestS, job.spec.estimateS - ranS);
   }
-  return longest;
+  return longestS;
 };
 
-/** Predicts when jobs with a deadline end, and logs when a prediction turns. */
+/** Predicts the end of each job with a deadline, and logs each change between late and in time. */
 export class DeadlinePredictor {
   private lastUpdatedAt = -Infinity;
 
   constructor(private readonly state: LeaderState) {}
 
-  /** Predicts anew, if that is due. */
-  update(now: MonotonicTime, wall: WallTime): void {
-    if (now - this.lastUpdatedAt < UPDATE_INTERVAL_MS) return;
+  /** Updates all predictions, if an update is due. */
+  update(now: MonotonicTime, wallTime: WallTime): void {
+    if (now - this.lastUpdatedAt < PREDICTION_INTERVAL_MS) return;
     this.lastUpdatedAt = now;
-    const ends = new Map<JobId, number>();
+    const predictedEnds = new Map<JobId, number>();
     for (const job of this.state.jobs.values()) {
       if (job.spec.deadlineS === null || job.cancelled || job.finalizing) continue;
       const dueAt = job.record.submittedAt + job.spec.deadlineS * 1000;
-      this.recordPrediction(job, (this.predictedEnd(job, ends, now, wall) - dueAt) / 1000);
+      this.recordPrediction(job, (this.predictedEnd(job, predictedEnds, now, wallTime) - dueAt) / 1000);
     }
   }
 
-  /** The end of the longest path through the jobs that it waits for; a chain needs no recursion. */
-  private predictedEnd(job: Job, ends: Map<JobId, number>, now: MonotonicTime, wall: WallTime): number {
+  /** Predicted end along the longest path through the job's dependencies. Iterative, because chains can be long. */
+  private predictedEnd(
+    job: Job,
+    predictedEnds: Map<JobId, number>,
+    now: MonotonicTime,
+    wallTime: WallTime,
+  ): number {
     const stack = [job];
     while (stack.length > 0) {
       const top = stack.at(-1)!;
-      const waitsFor = [...top.unfinishedDependencies].flatMap((id) => this.state.jobs.get(id) ?? []);
-      const unknown = waitsFor.find((other) => !ends.has(other.id));
-      if (unknown) {
-        stack.push(unknown);
+      const dependencies = [...top.unfinishedDependencies].flatMap((id) => this.state.jobs.get(id) ?? []);
+      const unpredicted = dependencies.find((other) => !predictedEnds.has(other.id));
+      if (unpredicted) {
+        stack.push(unpredicted);
         continue;
       }
       stack.pop();
-      const readyAt = Math.max(wall, ...waitsFor.map((other) => ends.get(other.id)!));
-      ends.set(top.id, readyAt + remainingS(top, now) * 1000);
+      const readyAt = Math.max(wallTime, ...dependencies.map((other) => predictedEnds.get(other.id)!));
+      predictedEnds.set(top.id, readyAt + remainingS(top, now) * 1000);
     }
-    return ends.get(job.id)!;
+    return predictedEnds.get(job.id)!;
   }
 
   private recordPrediction(job: Job, lateS: number): void {
-    const late = lateS > 0;
-    if (late !== (job.predictedLateS !== null)) {
+    const isLate = lateS > 0;
+    if (isLate !== (job.predictedLateS !== null)) {
       const fields = { job: job.id, class: job.spec.class, lateS: Math.round(lateS), priority: job.priority };
-      this.state.log('info', fields, late ? 'job will miss its deadline' : 'job is in time again');
+      this.state.log(
+        'info',
+        fields,
+        isLate ? 'job is predicted to miss its deadline' : 'job is predicted to meet its deadline again',
+      );
     }
-    job.predictedLateS = late ? Math.round(lateS) : null;
+    job.predictedLateS = isLate ? Math.round(lateS) : null;
   }
 }
--- a/src/core/leader/decision-log.ts
+++ b/src/core/leader/decision-log.ts
@@ -1,6 +1,6 @@
 /**
- * Log events and counters of what the leader decides about single tasks. The lines of all controllers, merged by job,
- * task, attempt and machine, tell why a task was started, stopped, released or forgotten, and under which term.
+ * Log events and counters of the leader's decisions about single tasks. The log lines of all controllers, merged by
+ * job, task, attempt and machine, show why and under which term a task was started, stopped, released or forgotten.
  */
 import type { Machine } from '../machine.js';
 import type { Job, Placement } from '../job.js';
@@ -9,20 +9,22 @@
 import type { Uint64, Term } from '../units.js';
 import type { LogLevel } from './effects.js';
 
-/** How commands reach a worker: in reply to the heartbeat of that sequence number, or straight to its endpoint. */
+/**
+ * How commands reach a worker: in the reply to the heartbeat with this sequence number, or directly at its endpoint.
+ */
 export type CommandChannel = { via: 'heartbeat'; sequence: Uint64 } | { via: 'direct' };
 
-/** Why the leader no longer counts a task as being on a machine. */
+/** Why a placement was released, i.e. why the machine no longer holds the task. */
 export type ReleaseCause =
   | 'start never sent'
-  | 'stopped, and not started by a later heartbeat'
-  | 'not started by a worker that acknowledges no command'
+  | 'stopped before it started'
+  | 'start not acknowledged'
   | 'exited'
-  | 'task vanished'
+  | 'task missing from heartbeat'
   | 'incarnation ended'
-  | 'machine gone';
+  | 'machine deleted';
 
-/** Counts since this leadership began, for the status page. */
+/** Counts of decisions since this leadership began, shown on the status page. */
 export interface DecisionCounts {
   started: number;
   stopped: number;
@@ -34,7 +36,7 @@
 
 type Log = (level: LogLevel, fields: Record<string, unknown>, text: string) => void;
 
-const countedAs = { start: 'started', stop: 'stopped', forget: 'forgotten' } as const;
+const counterByOp = { start: 'started', stop: 'stopped', forget: 'forgotten' } as const;
 
 /** Counts and logs decisions. */
 export class DecisionLog {
@@ -52,31 +54,31 @@
     private readonly log: Log,
   ) {}
 
-  /** Commands go to the machine's worker. */
+  /** Records commands sent to the machine's worker. */
   recordCommandsSent(machine: Machine, commands: readonly Command[], channel: CommandChannel): void {
     const { term } = this;
     const { incarnation } = machine.lastHeartbeat;
     for (const { op, job, index: task, attempt } of commands) {
-      this.counts[countedAs[op]]++;
+      this.counts[counterByOp[op]]++;
       const fields = { op, job, task, attempt, machine: machine.id, incarnation, term, ...channel };
       this.log('debug', fields, 'command sent');
     }
   }
 
-  /** The task no longer counts as being on its machine. */
+  /** Records the release of a placement. */
   recordReleased(job: Job, placement: Placement, cause: ReleaseCause): void {
     this.counts.released++;
     const { index: task, attempt, machine } = placement;
     this.log('debug', { job: job.id, task, attempt, machine, term: this.term, cause }, 'task released');
   }
 
-  /** A task of an earlier leader counts as being on the machine. */
+  /** Records the adoption of a task that an earlier leader started on the machine. */
   recordAdopted(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
     this.counts.adopted++;
     this.log('debug', { job, task, attempt, machine: machine.id, term: this.term }, 'task adopted');
   }
 
-  /** The task is done. */
+  /** Records the completion of a task. */
   recordCompleted(machine: Machine, { job, index: task, attempt }: TaskStatus): void {
     this.counts.completed++;
     this.log('debug', { job, task, attempt, machine: machine.id, term: this.term }, 'task completed');
--- a/src/core/leader/job-finalizer.ts
+++ b/src/core/leader/job-finalizer.ts
@@ -1,4 +1,4 @@
-/** Ends jobs that are done or cancelled: writes their final records, and forgets them once these are durable. */
+/** Ends jobs that are done or cancelled: writes their final records, and removes the jobs once these are durable. */
 import type { Job } from '../job.js';
 import type { FinalState } from '../job-spec.js';
 import type { JobId, MonotonicTime } from '../units.js';
@@ -6,21 +6,21 @@
 import type { JobDependencies } from './job-dependencies.js';
 import type { LeaderState } from './leader-state.js';
 
-/** Decides which jobs end. */
+/** Finalizes jobs. */
 export class JobFinalizer {
   constructor(
     private readonly state: LeaderState,
-    private readonly dependencies: JobDependencies,
+    private readonly jobDependencies: JobDependencies,
   ) {}
 
-  /** Asks for the final records of jobs that are over. */
+  /** Requests the final records of completed jobs, and of cancelled jobs without remaining tasks. */
   finishJobs(): void {
     for (const job of this.state.jobs.values()) {
       if (job.finalizing) continue;
-      // Not while a machine that has not reported to this leader may hold its tasks: they count for their team's
-      // limit, and that machine must be fenced in time.
-      const isGone = job.placements.size === 0 && !this.state.mayRunOnUnreconciledMachine(job);
-      if (!job.allCompleted && !(job.cancelled && isGone)) continue;
+      // A cancelled job must stay while an unreconciled machine may hold its tasks: they count against the team's
+      // limit, and the machine must be fenced in time.
+      const hasNoTaskLeft = job.placements.size === 0 && !this.state.mayRunOnUnreconciledMachine(job);
+      if (!job.allCompleted && !(job.cancelled && hasNoTaskLeft)) continue;
       job.finalizing = true;
       this.state.effects.push({
         kind: 'write-final-record',
@@ -33,7 +33,7 @@
     }
   }
 
-  /** The outcome of writing a final record. */
+  /** Handles the result of writing a final record. */
   onFinalRecordWritten(id: JobId, outcome: FinalRecordOutcome, now: MonotonicTime): void {
     const job = this.state.jobs.get(id);
     if (!job) return;
@@ -45,7 +45,7 @@
         this.applyChangedRecord(job, outcome, now);
         return;
       case 'ok':
-        this.forget(job, outcome.state, now);
+        this.removeFinished(job, outcome.state, now);
     }
   }
 
@@ -59,18 +59,20 @@
     job.revision = revision;
     if (!isNewlyCancelled) return;
     this.state.placements.stopCancelled(job, now);
-    this.dependencies.cancelDependents(job.id);
+    this.jobDependencies.cancelDependents(job.id);
   }
 
-  /** Whatever is still reported of it is stopped and forgotten as a task of no known job. */
-  private forget(job: Job, final: FinalState, now: MonotonicTime): void {
+  /**
+   * Removes the job. Tasks of it that are still reported are then stopped and forgotten like those of any unknown job.
+   */
+  private removeFinished(job: Job, final: FinalState, now: MonotonicTime): void {
     for (const placement of [...job.placements.values()]) {
       const machine = this.state.machines.get(placement.machine);
       machine?.unassign(job.id, placement.index);
       if (machine) this.state.machinesWithPendingCommands.add(machine);
     }
     this.state.jobs.delete(job.id);
-    this.dependencies.onJobFinal(job.id, final, now);
+    this.jobDependencies.onJobFinal(job.id, final, now);
     this.state.needsScheduling = true;
     this.state.log('debug', { job: job.id, cancelled: job.cancelled }, 'job finished');
   }
--- a/src/core/leader/replacement-demand.ts
+++ b/src/core/leader/replacement-demand.ts
@@ -1,6 +1,6 @@
 /**
- * Capacity for urgent work on unreachable machines. It may not start elsewhere before they are fenced, but the machines
- * for it can boot meanwhile.
+ * Demand for replacement capacity for urgent tasks on unreachable machines. The tasks may not start elsewhere before
+ * these machines are fenced, but their replacements can boot in the meantime.
  */
 import type { Job } from '../job.js';
 import type { Machine } from '../machine.js';
@@ -10,46 +10,46 @@
 import type { LeaderState } from './leader-state.js';
 
 /**
- * The demand, the most urgent first. None for a zone that is partitioned: most of what it holds is there again when the
- * partition heals.
+ * The demand for replacements, in order of decreasing priority. Machines in partitioned zones are left out, because
+ * most of them are reachable again when the partition heals.
  */
 export const replacementDemands = (unreachable: Machine[], state: LeaderState): CapacityDemand[] => {
-  const lost = lostTasksByZone(unreachable, state);
-  return [...lost]
-    .map(([job, lostByZone]) => ({
+  const tasksByJob = unreachableTasksByZone(unreachable, state);
+  return [...tasksByJob]
+    .map(([job, tasksByZone]) => ({
       rank: priorityRank[job.priority],
-      demand: demandOf(job, lostByZone, state),
+      demand: demandOf(job, tasksByZone, state),
     }))
     .sort((a, b) => b.rank - a.rank)
     .map(({ demand }) => demand);
 };
 
-const lostTasksByZone = (unreachable: Machine[], state: LeaderState): Map<Job, Map<Zone, number>> => {
-  const lost = new Map<Job, Map<Zone, number>>();
+const unreachableTasksByZone = (unreachable: Machine[], state: LeaderState): Map<Job, Map<Zone, number>> => {
+  const tasksByJob = new Map<Job, Map<Zone, number>>();
   for (const machine of unreachable) {
     const { zone } = machine.info;
     if (state.partitionedZones.has(zone)) continue;
     for (const { job } of machine.placements.values()) {
       if (job.cancelled || priorityRank[job.priority] < priorityRank.high) continue;
-      const byZone = lost.get(job) ?? new Map<Zone, number>();
+      const byZone = tasksByJob.get(job) ?? new Map<Zone, number>();
       byZone.set(zone, (byZone.get(zone) ?? 0) + 1);
-      lost.set(job, byZone);
+      tasksByJob.set(job, byZone);
     }
   }
-  return lost;
+  return tasksByJob;
 };
 
-const demandOf = (job: Job, lostByZone: Map<Zone, number>, state: LeaderState): CapacityDemand => {
+const demandOf = (job: Job, tasksByZone: Map<Zone, number>, state: LeaderState): CapacityDemand => {
   const { spec } = job;
-  // A gang loses all of its tasks with one of them.
+  // When a gang loses one task, all of its tasks must be placed again.
   if (spec.kind === 'gang') return { spec, tasks: spec.tasks, zones: new Map(), isForecast: false };
   const zones = state.placementsByZone(job);
   let tasks = 0;
-  for (const [zone, lost] of lostByZone) {
-    const left = (zones.get(zone) ?? 0) - lost;
-    if (left > 0) zones.set(zone, left);
+  for (const [zone, unreachableTasks] of tasksByZone) {
+    const reachableTasks = (zones.get(zone) ?? 0) - unreachableTasks;
+    if (reachableTasks > 0) zones.set(zone, reachableTasks);
     else zones.delete(zone);
-    tasks += lost;
+    tasks += unreachableTasks;
   }
   return { spec, tasks, zones, isForecast: false };
 };
--- a/src/core/leader/task-reconciler.ts
+++ b/src/core/leader/task-reconciler.ts
@@ -1,4 +1,4 @@
-/** Reconciles the tasks that a worker reports with those that the leader has placed on its machine. */
+/** Reconciles the tasks reported by a worker with the tasks that the leader has placed on its machine. */
 import { newPlacement, type Job, type Placement } from '../job.js';
 import type { Machine } from '../machine.js';
 import { attemptKey, type TaskStatus } from '../task-status.js';
@@ -9,35 +9,40 @@
 import type { MachinePool } from './machine-pool.js';
 import { TaskFailureHandler } from './task-failure-handler.js';
 
-/** How long, about, a job waits after a worker had too little free for a task of it. */
+/** Back-off, before jitter, of a job after a worker refused one of its tasks for lack of free resources. */
 const NO_ROOM_BACKOFF_MS = 1000;
 
 /**
- * How a heartbeat came. The worker executes the reply to a heartbeat before it sends the next one, or never; the answer
- * to a direct command may overtake that reply, whatever its sequence number.
+ * How a heartbeat arrived. A worker executes the reply to a heartbeat before it sends the next heartbeat, or never.
+ * The response to a direct command also contains a heartbeat, but it may arrive before such a reply is executed,
+ * whatever its sequence number.
  */
-export type HeartbeatSource = 'heartbeat' | 'direct command answer';
+export type HeartbeatSource = 'heartbeat' | 'direct command response';
 
-/** Updates placements by what heartbeats say of tasks. */
+/** Updates placements by the task statuses in heartbeats. */
 export class TaskReconciler {
-  private readonly failures: TaskFailureHandler;
+  private readonly failureHandler: TaskFailureHandler;
 
   constructor(
     private readonly state: LeaderState,
     machinePool: MachinePool,
   ) {
-    this.failures = new TaskFailureHandler(state, machinePool);
+    this.failureHandler = new TaskFailureHandler(state, machinePool);
   }
 
-  /** The heartbeat lists all tasks of the machine: what is placed there and not listed has vanished, or never began. */
+  /**
+   * Updates the machine's placements by a heartbeat. A heartbeat lists all tasks of the machine, so a placed task that
+   * is missing has either ended or was never started.
+   */
   reconcile(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource, now: MonotonicTime): void {
     for (const task of heartbeat.tasks) this.reconcileTask(machine, task, now);
     for (const { job, placement } of [...machine.placements.values()]) {
       if (machine.reportedTasks.has(attemptKey(job.id, placement.index, placement.attempt))) continue;
       if (placement.directStartInFlight || placement.directStartOutcomeUnknown) continue;
-      if (placement.observed) this.state.placements.lose(job, placement, 'task vanished', now);
-      else if (placement.stop && settlesStart(heartbeat, source, placement))
-        this.state.placements.release(job, placement, 'stopped, and not started by a later heartbeat', now);
+      if (placement.observed)
+        this.state.placements.markLost(job, placement, 'task missing from heartbeat', now);
+      else if (placement.stop && isStartResolved(heartbeat, source, placement))
+        this.state.placements.release(job, placement, 'stopped before it started', now);
     }
   }
 
@@ -45,16 +50,16 @@
     const job = this.state.jobs.get(task.job);
     if (!job || task.index >= job.spec.tasks) return;
     if (hasUsedImage(task)) machine.recordImageUse(job.spec.image, job.spec.imageGb);
-    const placement = job.placements.get(task.index) ?? this.adoptIfWanted(machine, job, task, now);
-    const own =
+    const placement = job.placements.get(task.index) ?? this.adoptIfNeeded(machine, job, task, now);
+    const current =
       placement && placement.machine === machine.id && placement.attempt === task.attempt
         ? placement
         : undefined;
-    if (task.state === 'exited') this.reconcileExit(machine, job, task, own, now);
-    else if (own) this.recordProgress(machine, job, own, task, now);
+    if (task.state === 'exited') this.reconcileExit(machine, job, task, current, now);
+    else if (current) this.updatePlacement(machine, job, current, task, now);
   }
 
-  private recordProgress(
+  private updatePlacement(
     machine: Machine,
     job: Job,
     placement: Placement,
@@ -77,16 +82,16 @@
     machine: Machine,
     job: Job,
     task: TaskStatus,
-    own: Placement | undefined,
+    current: Placement | undefined,
     now: MonotonicTime,
   ): void {
-    if (task.cause === 'done') this.recordCompletion(machine, job, task, own);
-    if (!own) return;
-    if (task.cause === 'error') this.failures.onTaskError(machine, job, now);
+    if (task.cause === 'done') this.recordCompletion(machine, job, task, current);
+    if (!current) return;
+    if (task.cause === 'error') this.failureHandler.onTaskError(machine, job, now);
     else if (task.cause === 'no_room')
       job.backoffUntil = now + NO_ROOM_BACKOFF_MS * wideJitter(this.state.settings.random);
-    const { stop } = own;
-    this.state.placements.release(job, own, 'exited', now);
+    const { stop } = current;
+    this.state.placements.release(job, current, 'exited', now);
     if (task.cause === 'done') return;
     const { index, cause, saved } = task;
     this.state.log(
@@ -95,19 +100,24 @@
       'task ended without completing',
     );
     if (job.spec.kind === 'gang')
-      this.state.placements.stopBrokenGang(job, `member ${index}: ${cause ?? 'no cause reported'}`, now);
+      this.state.placements.stopGang(job, `task ${index}: ${cause ?? 'no cause reported'}`, now);
   }
 
-  /** The tasks of a gang complete together. */
-  private recordCompletion(machine: Machine, job: Job, task: TaskStatus, own: Placement | undefined): void {
+  /** Records a completion. All tasks of a gang complete together. */
+  private recordCompletion(
+    machine: Machine,
+    job: Job,
+    task: TaskStatus,
+    current: Placement | undefined,
+  ): void {
     if (job.spec.kind === 'gang') for (let i = 0; i < job.spec.tasks; i++) job.markCompleted(i);
     else job.markCompleted(task.index);
     machine.failedJobs.clear();
-    if (own) this.state.decisionLog.recordCompleted(machine, task);
+    if (current) this.state.decisionLog.recordCompleted(machine, task);
   }
 
-  /** A task of an earlier leader is counted as placed where it runs, unless its job needs it no more. */
-  private adoptIfWanted(
+  /** Adds a placement for a task that an earlier leader started, unless the task is completed or its job is ending. */
+  private adoptIfNeeded(
     machine: Machine,
     job: Job,
     task: TaskStatus,
@@ -124,15 +134,15 @@
   }
 }
 
-/** Whether the task shows that its image is in the worker's cache, and was used just now. */
+/** Whether the task's status implies that its image is in the worker's cache and was used recently. */
 const hasUsedImage = ({ state, cause }: TaskStatus): boolean =>
   state === 'exited' ? cause === 'done' : state !== 'fetching' && !isRefusal(cause);
 
 const isRefusal = (cause: TaskStatus['cause']): boolean =>
   cause === 'no_room' || cause === 'in_use' || cause === 'no_such';
 
-/** Whether the heartbeat shows that a start sent in reply to an earlier one was executed, or never will be. */
-const settlesStart = (
+/** Whether the heartbeat proves that a start sent in reply to an earlier heartbeat was executed or never will be. */
+const isStartResolved = (
   heartbeat: Heartbeat,
   source: HeartbeatSource,
   { startSentInReplyTo }: Placement,
--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -14,8 +14,8 @@
 } from '../../core/cancellation-log.js';
 import { JobIndex, type IndexedJob } from '../../core/job-index.js';
 import type { JobId, MonotonicTime, NodeName, Revision } from '../../core/units.js';
-import { parseCancelledJobs } from '../../wire/cancellation-pages.js';
-import { dependenciesIn, isCancelledRecord, keys } from '../../wire/stored-records.js';
+import { parseJobIds } from '../../wire/cancellation-pages.js';
+import { parseDependencies, isCancelledRecord, keys } from '../../wire/stored-records.js';
 import { monotonicNow, sleep } from '../clock.js';
 import type { KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import type { Logger } from '../logger.js';
@@ -123,7 +123,7 @@
 
   /** Adds the jobs in a push from a peer that has just confirmed their cancellation. */
   onPushed(raw: unknown): void {
-    const jobs = parseCancelledJobs(raw);
+    const jobs = parseJobIds(raw);
     if (jobs) this.addAll(jobs);
     else this.onMalformedPage(null, 'not a list of job ids');
   }
@@ -172,7 +172,7 @@
   }
 
   private async readAll(): Promise<ReadOutcome> {
-    const listing = await this.dependencies.store.list(keys.activePrefix);
+    const listing = await this.dependencies.store.list(keys.jobRecordPrefix);
     if (listing.kind !== 'ok') return { kind: 'no-response' };
     const { items, storeRevision } = listing.value;
     this.index.clear();
@@ -181,7 +181,7 @@
   }
 
   private async readSince(since: Revision): Promise<ReadOutcome> {
-    const outcome = await this.dependencies.store.changesSince(keys.activePrefix, since);
+    const outcome = await this.dependencies.store.watchResponse(keys.jobRecordPrefix, since);
     if (outcome.kind !== 'ok') return { kind: outcome.kind === 'gone' ? 'compacted' : 'no-response' };
     const { changes, storeRevision } = outcome.value;
     const cancelled: JobId[] = [];
@@ -195,9 +195,9 @@
   /** Adds a job record to the index; returns whether its job is cancelled. */
   private indexRecord(key: string, data: unknown): boolean {
     const cancelled = isCancelledRecord(data);
-    this.index.put(jobIdOf(key), dependenciesIn(data), cancelled);
+    this.index.put(jobIdOf(key), parseDependencies(data), cancelled);
     return cancelled;
   }
 }
 
-const jobIdOf = (key: string): JobId => key.slice(keys.activePrefix.length) as JobId;
+const jobIdOf = (key: string): JobId => key.slice(keys.jobRecordPrefix.length) as JobId;
--- a/src/runtime/leadership/job-watch.ts
+++ b/src/runtime/leadership/job-watch.ts
@@ -38,7 +38,7 @@
       log.error({ key }, 'damaged job record skipped; its job is not scheduled');
       return;
     }
-    const id = key.slice(keys.activePrefix.length) as JobId;
+    const id = key.slice(keys.jobRecordPrefix.length) as JobId;
     leader.applyJobRecord({ id, record, revision, fromEarlierLeader }, monotonicNow(), wallClockNow());
     if (cancellations.has(id)) leader.applyCancellation(id, monotonicNow());
   }
@@ -48,7 +48,7 @@
     const { store, onChanges } = this.dependencies;
     let since = from;
     for (;;) {
-      const outcome = await store.watch(keys.activePrefix, since, JOB_WATCH_TIMEOUT_MS);
+      const outcome = await store.watch(keys.jobRecordPrefix, since, JOB_WATCH_TIMEOUT_MS);
       const leader = this.dependencies.leader();
       if (!leader) return;
       if (outcome.kind === 'ok') {
@@ -68,7 +68,11 @@
   /** Reads all records again, because the store no longer keeps the changes since the last revision. */
   private async reloadAll(): Promise<Revision | null> {
     const { store } = this.dependencies;
-    const listing = await listWithRetry(store, keys.activePrefix, () => this.dependencies.leader() === null);
+    const listing = await listWithRetry(
+      store,
+      keys.jobRecordPrefix,
+      () => this.dependencies.leader() === null,
+    );
     const leader = this.dependencies.leader();
     if (!listing || !leader) return null;
     for (const item of listing.items) this.applyRecord(leader, item, false);
--- a/src/runtime/leadership/leader-settings.ts
+++ b/src/runtime/leadership/leader-settings.ts
@@ -2,7 +2,7 @@
 import type { OperatorSettings } from '../../config/operator.js';
 import type { PlatformSettings } from '../../config/platform.js';
 import type { LeaderSettings } from '../../core/leader/effects.js';
-import { fitsRegistryPage, segmentBytes } from '../../wire/stored-records.js';
+import { fitsRegistryPage, maxSegmentBytes } from '../../wire/stored-records.js';
 
 /** Machines that one scheduling cycle may evaluate, per processor core of the controller. */
 const CYCLE_MACHINE_EVALUATIONS_PER_CORE = 600_000;
@@ -16,7 +16,7 @@
   operator: OperatorSettings,
   random: () => number,
 ): LeaderSettings => {
-  const { valueKb, writeRps } = platform.keyValueStoreLimits;
+  const { maxValueKb, writesPerS } = platform.keyValueStoreLimits;
   return {
     workers: platform.workers,
     teams: platform.teams,
@@ -26,12 +26,12 @@
     headroom: operator.headroom,
     listLagS: platform.cloudProviderLimits.listLagS,
     agingS: operator.agingS,
-    fitsRegistryPage: (machines) => fitsRegistryPage(machines, valueKb),
-    segmentBytes: segmentBytes(valueKb),
-    progressWritesPerS: writeRps * PROGRESS_WRITES_FRACTION,
-    cycleWorkLimit: Math.max(
+    fitsRegistryPage: (machines) => fitsRegistryPage(machines, maxValueKb),
+    segmentBytes: maxSegmentBytes(maxValueKb),
+    progressWritesPerS: writesPerS * PROGRESS_WRITES_FRACTION,
+    maxMachineEvaluationsPerCycle: Math.max(
       MIN_CYCLE_MACHINE_EVALUATIONS,
-      platform.limits.cpu * CYCLE_MACHINE_EVALUATIONS_PER_CORE,
+      platform.processLimits.cpu * CYCLE_MACHINE_EVALUATIONS_PER_CORE,
     ),
     random,
   };
--- a/src/runtime/leadership/progress-store.ts
+++ b/src/runtime/leadership/progress-store.ts
@@ -37,12 +37,12 @@
 
   /** Removes the revisions of a finished job's segments. */
   removeRevisions(job: JobId, segments: SegmentName[]): void {
-    for (const segment of segments) this.revisions.delete(keys.progress(job, segment));
+    for (const segment of segments) this.revisions.delete(keys.progressSegment(job, segment));
   }
 
   /** Writes one segment. */
   async save(job: JobId, segment: SegmentName, bytes: Uint8Array): Promise<ProgressOutcome> {
-    const key = keys.progress(job, segment);
+    const key = keys.progressSegment(job, segment);
     const data = progressRecordData(bytes);
     const condition = { key, revision: this.revisions.get(key) ?? ABSENT_KEY_REVISION };
     const outcome = await this.writeToStore([{ put: key, data }], [condition]);
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -8,7 +8,7 @@
 import type { TeamQuota } from '../../core/team-quota.js';
 import type { JobId, Team } from '../../core/units.js';
 import { tryDecode } from '../../wire/cbor.js';
-import { fitsValue, jobRecordData, keys } from '../../wire/stored-records.js';
+import { fitsValueLimit, jobRecordData, keys } from '../../wire/stored-records.js';
 import { isJobId, parseJob, submittedJobId, type StatusCounts, type UserStatus } from '../../wire/users.js';
 import { wallClockNow } from '../clock.js';
 import type { HttpMessage } from '../http/http-message.js';
@@ -85,7 +85,7 @@
         : rejection;
     const record: JobRecord = { spec, submittedAt: wallClockNow(), cancelledAt: null };
     const largest = jobRecordData({ ...record, cancelledAt: record.submittedAt });
-    if (!fitsValue(largest, this.maxValueKb))
+    if (!fitsValueLimit(largest, this.maxValueKb))
       return this.rejectUnlessAccepted(raw, errorReply(HTTP_STATUS.badRequest, 'job description too large'));
     return this.create(record);
   }
@@ -94,19 +94,19 @@
     const { id } = record.spec;
     const result = await this.dependencies.store.transact({
       conditions: [
-        { key: keys.active(id), revision: 0 },
-        { key: keys.final(id), revision: 0 },
+        { key: keys.jobRecord(id), revision: 0 },
+        { key: keys.finalRecord(id), revision: 0 },
       ],
-      changes: [{ put: keys.active(id), data: jobRecordData(record) }],
+      changes: [{ put: keys.jobRecord(id), data: jobRecordData(record) }],
     });
     if (result.kind === 'ok') return jobStatusReply(id, 'pending', undefined, HTTP_STATUS.created);
     if (result.kind === 'refused' || result.kind === 'lease-gone' || result.kind === 'invalid')
       return unavailableReply('state service refuses');
     // The job exists already, or the store's response was lost: the stored record determines the response.
-    const known = await this.jobs.find(id);
-    if (known.kind === 'not-found' || known.kind === 'unknown')
+    const existing = await this.jobs.find(id);
+    if (existing.kind === 'not-found' || existing.kind === 'unknown')
       return unavailableReply('not certain to be recorded');
-    return this.statusReply(id, known);
+    return this.statusReply(id, existing);
   }
 
   /** Returns the error response, or null if all dependencies of the job were accepted. */
@@ -131,9 +131,9 @@
   private async rejectUnlessAccepted(raw: object, rejection: HttpReply): Promise<HttpReply> {
     const id = submittedJobId(raw);
     if (id === null) return rejection;
-    const known = await this.jobs.find(id);
-    if (known.kind === 'unknown') return unavailableReply('state service does not answer');
-    return known.kind === 'not-found' ? rejection : this.statusReply(id, known);
+    const existing = await this.jobs.find(id);
+    if (existing.kind === 'unknown') return unavailableReply('state service does not answer');
+    return existing.kind === 'not-found' ? rejection : this.statusReply(id, existing);
   }
 
   private async status(id: JobId): Promise<HttpReply> {
@@ -177,8 +177,8 @@
       const record = this.cancelledRecord(found.record);
       const result = await this.dependencies.store.transact(
         {
-          conditions: [{ key: keys.active(id), revision: found.revision }],
-          changes: [{ put: keys.active(id), data: jobRecordData(record) }],
+          conditions: [{ key: keys.jobRecord(id), revision: found.revision }],
+          changes: [{ put: keys.jobRecord(id), data: jobRecordData(record) }],
         },
         budgetReserves.urgent,
       );
@@ -196,7 +196,7 @@
    */
   private cancelledRecord(record: JobRecord): JobRecord {
     const cancelled = { ...record, cancelledAt: wallClockNow() };
-    if (fitsValue(cancelled, this.maxValueKb)) return cancelled;
+    if (fitsValueLimit(cancelled, this.maxValueKb)) return cancelled;
     return { ...cancelled, spec: { ...record.spec, types: null } };
   }
 
@@ -206,6 +206,6 @@
   }
 
   private get maxValueKb(): number {
-    return this.dependencies.platform.keyValueStoreLimits.valueKb;
+    return this.dependencies.platform.keyValueStoreLimits.maxValueKb;
   }
 }
--- a/src/test/dependencies.test.ts
+++ b/src/test/dependencies.test.ts
@@ -51,13 +51,13 @@
   const { state, ready, dependencies, addJob } = setup();
   const dependent = addJob(idOf(3), { dependsOn: [idOf(1)] });
   const other = addJob(idOf(4), { dependsOn: [idOf(2)] });
-  assert.deepEqual(dependencies.takeDueLookups(now), [idOf(1), idOf(2)]);
-  assert.deepEqual(dependencies.takeDueLookups(now), [], 'each record is requested once');
+  assert.deepEqual(dependencies.startDueLookups(now), [idOf(1), idOf(2)]);
+  assert.deepEqual(dependencies.startDueLookups(now), [], 'each record is requested once');
   dependencies.onFinalRecordRead(idOf(1), null, now);
   dependencies.onFinalRecordRead(idOf(2), 'cancelled', now);
   assert.ok(!dependent.ready && !dependent.cancelled && other.cancelled);
-  assert.deepEqual(dependencies.takeDueLookups(499 as MonotonicTime), []);
-  assert.deepEqual(dependencies.takeDueLookups(500 as MonotonicTime), [idOf(1)]);
+  assert.deepEqual(dependencies.startDueLookups(499 as MonotonicTime), []);
+  assert.deepEqual(dependencies.startDueLookups(500 as MonotonicTime), [idOf(1)]);
   dependencies.onFinalRecordRead(idOf(1), 'done', 500 as MonotonicTime);
   assert.deepEqual(ready, [idOf(3)]);
   assert.ok(state.jobs.get(idOf(3))!.ready);
@@ -66,10 +66,10 @@
 test('the number of concurrent reads of final records is bounded', () => {
   const { dependencies, addJob } = setup();
   addJob(idOf(0), { dependsOn: Array.from({ length: 100 }, (_item, index) => idOf(index + 1)) });
-  const requestedIds = dependencies.takeDueLookups(now);
+  const requestedIds = dependencies.startDueLookups(now);
   assert.ok(requestedIds.length > 1 && requestedIds.length < 50);
   dependencies.onFinalRecordRead(requestedIds[0], 'done', now);
-  assert.equal(dependencies.takeDueLookups(now).length, 1);
+  assert.equal(dependencies.startDueLookups(now).length, 1);
 });
 
 test("priority and deadline are inherited from dependents; a job's own are never relaxed", () => {
@@ -141,12 +141,12 @@
   const last = addJob(idOf(3), { estimateS: 10, dependsOn: [idOf(2)], deadlineS: 100 });
   takeLogMessages();
   assert.deepEqual(update(20), [], '20 + 30 + 30 + 10 s: in time');
-  assert.deepEqual(update(40), ['job will miss its deadline']);
+  assert.deepEqual(update(40), ['job is predicted to miss its deadline']);
   assert.equal(last.predictedLateS, 10);
   assert.deepEqual(update(50), [], 'logged once');
   finishJob(idOf(1), 'done');
   takeLogMessages();
-  assert.deepEqual(update(55), ['job is in time again']);
+  assert.deepEqual(update(55), ['job is predicted to meet its deadline again']);
 });
 
 interface ModelJob {
--- a/src/test/key-value-store-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -22,11 +22,11 @@
 import { splitIntoPages } from '../runtime/cloud/machine-type-catalog.js';
 import {
   fitsRegistryPage,
-  fitsValue,
+  fitsValueLimit,
   parseProgressRecord,
   progressRecordData,
   registryPageData,
-  segmentBytes,
+  maxSegmentBytes,
 } from '../wire/stored-records.js';
 import { jobSpec, types } from './sim/fixtures.js';
 import { platformToml } from './sim/platform-toml.js';
@@ -39,8 +39,13 @@
   const lowered = parsePlatformSettings(
     platformToml('[settings.state.next]\nvalue_kb = 2.0\nwrite_rps = 90.0\n'),
   );
-  assert.deepEqual(lowered.keyValueStoreLimits, { rps: 120, writeRps: 20, valueKb: 2, txnOps: 16 });
-  assert.equal(parsePlatformSettings(platformToml('')).keyValueStoreLimits.valueKb, 16);
+  assert.deepEqual(lowered.keyValueStoreLimits, {
+    requestsPerS: 120,
+    writesPerS: 20,
+    maxValueKb: 2,
+    maxTransactionChanges: 16,
+  });
+  assert.equal(parsePlatformSettings(platformToml('')).keyValueStoreLimits.maxValueKb, 16);
 });
 
 /** The leader's components that track one job, and a function that returns the progress writes they request. */
@@ -62,15 +67,15 @@
 };
 
 test('progress of 100,000 tasks in values of 2 KiB: each record fits, and a new leader reads all of the progress', () => {
-  const bytes = segmentBytes(2);
+  const bytes = maxSegmentBytes(2);
   const { job, flush } = createProgressTracking(100_000, bytes);
   for (let i = 0; i < 100_000; i += 3) job.markCompleted(i);
   const writes = flush();
   assert.equal(writes.length, Math.ceil(100_000 / 8 / bytes));
-  const next = createProgressTracking(100_000, segmentBytes(16));
+  const next = createProgressTracking(100_000, maxSegmentBytes(16));
   for (const { segment, bytes: bits } of writes) {
     const data = progressRecordData(bits);
-    assert.ok(fitsValue(data, 2), `${segment} is too large`);
+    assert.ok(fitsValueLimit(data, 2), `${segment} is too large`);
     next.progress.loadProgress(job.id, segment, Buffer.from(parseProgressRecord(data)!, 'base64'));
   }
   assert.equal(next.job.completedCount, job.completedCount);
@@ -78,7 +83,7 @@
 });
 
 test('only segments with new completions are written; a failed write is repeated with later completions', () => {
-  const { job, progress, flush } = createProgressTracking(30_000, segmentBytes(2));
+  const { job, progress, flush } = createProgressTracking(30_000, maxSegmentBytes(2));
   job.markCompleted(0);
   const [first] = flush();
   job.markCompleted(1);
@@ -99,7 +104,7 @@
 });
 
 test('progress writes are rate-limited: segments that waited longest are written first, and all are written', () => {
-  const { job, flush } = createProgressTracking(100_000, segmentBytes(2), 3);
+  const { job, flush } = createProgressTracking(100_000, maxSegmentBytes(2), 3);
   for (let i = 0; i < 100_000; i += 1000) job.markCompleted(i);
   const written: string[] = [];
   for (let seconds = 0; seconds < 3; seconds++) {
@@ -118,7 +123,7 @@
 });
 
 test('large segments of an earlier leader stay valid alongside small ones, and all are deleted with the job', () => {
-  const { job, progress, flush } = createProgressTracking(100_000, segmentBytes(2));
+  const { job, progress, flush } = createProgressTracking(100_000, maxSegmentBytes(2));
   const earlier = new Uint8Array(2048).fill(255);
   progress.loadProgress(job.id, '1' as SegmentName, earlier);
   assert.equal(job.completedCount, 16_384);
@@ -144,8 +149,8 @@
   const persistedPages = new Map([['old', new Set(all.map((machine) => machine.id))]]);
   const listedMachineCount = (): number =>
     new Set([...persistedPages.values()].flatMap((page) => [...page])).size;
-  for (let page = 1; registry.splitOversizedPage(fits).length > 0; page++) {
-    const part = registry.splitOversizedPage(fits);
+  for (let page = 1; registry.selectMachinesToSplitOff(fits).length > 0; page++) {
+    const part = registry.selectMachinesToSplitOff(fits);
     assert.ok(fits(part) && part.length > 10);
     registry.openPage(`new-${page}`, part);
     assert.ok(listedMachineCount() >= 80, 'while the write is in flight');
@@ -153,7 +158,7 @@
     for (const id of registry.onPageWritten(`new-${page}`, true)) registry.remove('old', id);
   }
   const rest = registry.nextPageToWrite('stale', fits)!;
-  assert.ok(fitsValue(registryPageData(rest.machines), 2));
+  assert.ok(fitsValueLimit(registryPageData(rest.machines), 2));
   persistedPages.set('old', new Set(rest.machines.map((machine) => machine.id)));
   assert.equal(listedMachineCount(), 80);
 });
@@ -165,5 +170,5 @@
   }));
   const pages = splitIntoPages(many, 2);
   assert.deepEqual(pages.flat(), many);
-  for (const page of pages) assert.ok(fitsValue({ pages: pages.length, types: page }, 2));
+  for (const page of pages) assert.ok(fitsValueLimit({ pages: pages.length, types: page }, 2));
 });
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -25,7 +25,7 @@
 import { encode, decode } from '../wire/cbor.js';
 import { encodePeerRequest, parsePeerRequest, type PeerRequest } from '../wire/peer-messages.js';
 import {
-  dependenciesIn,
+  parseDependencies,
   finalRecordData,
   jobRecordData,
   keys,
@@ -34,9 +34,9 @@
   parseLeaderRecord,
   parseProgressRecord,
   parseRegistryPage,
-  parseStoredTypes,
+  parseStoredMachineTypes,
   parseTermRecord,
-  parseTypesPage,
+  parseMachineTypesPage,
   progressRecordData,
   registryPageData,
 } from '../wire/stored-records.js';
@@ -47,10 +47,11 @@
 const ROLL_MS = 40_000;
 const INTERVAL_MS = 10_000;
 const LOWERED_MS = 90_000;
+const announcedLimits = { maxValueKb: 2, maxTransactionChanges: 5, writesPerS: 25 };
 const initial: Partial<ClusterSetup> = {
   version: production,
-  keyValueStoreLimits: { valueKb: 16, txnOps: 16, writeRps: 40 },
-  announcedKeyValueStoreLimits: { valueKb: 2, txnOps: 5, writeRps: 25 },
+  keyValueStoreLimits: { maxValueKb: 16, maxTransactionChanges: 16, writesPerS: 40 },
+  announcedKeyValueStoreLimits: announcedLimits,
 };
 
 /** Counts the jobs that the production version has accepted. */
@@ -140,11 +141,7 @@
   const others = Array.from({ length: 99 }, (_item, i) => `another-type-${i}` as MachineTypeName);
   const { cluster, violations } = await runScenario(
     1,
-    {
-      setup: { ...initial, announcedKeyValueStoreLimits: nextLimits },
-      faultsEndMs: 120_000,
-      endMs: 200_000,
-    },
+    { setup: { ...initial, announcedKeyValueStoreLimits: nextLimits }, faultsEndMs: 120_000, endMs: 200_000 },
     (scenario) => {
       scenario.cluster.at(
         8000,
@@ -155,7 +152,7 @@
       );
       scenario.cluster.at(
         60_000,
-        () => (scenario.cluster.keyValueStore.limits = { rps: 200, writeRps: 25, valueKb: 2, txnOps: 5 }),
+        () => (scenario.cluster.keyValueStore.limits = { requestsPerS: 200, ...announcedLimits }),
       );
       scenario.cluster.at(70_000, () => scenario.cluster.cancel(id));
     },
@@ -168,7 +165,7 @@
 };
 
 test('a job whose record is larger than lowered limits can be cancelled only if these were announced', async () => {
-  const announced = await cancelLargeRecord({ valueKb: 2, txnOps: 5, writeRps: 25 });
+  const announced = await cancelLargeRecord(announcedLimits);
   assert.deepEqual(announced, { status: 'cancelled', violations: [], tooLarge: 0 });
   const unannounced = await cancelLargeRecord({});
   assert.notEqual(unannounced.status, 'cancelled');
@@ -192,8 +189,8 @@
   const dependent = record({ dependsOn: ['wk-5' as JobId, 'wk-6' as JobId] });
   const read = production.parseJobRecord(stored(jobRecordData(dependent)));
   assert.deepEqual(read, { ...dependent, spec: oldSpec }, 'dependencies are ignored, not invalid');
-  assert.deepEqual(dependenciesIn(stored(jobRecordData(dependent))), ['wk-5', 'wk-6']);
-  assert.deepEqual(dependenciesIn(stored(oldRecord)), []);
+  assert.deepEqual(parseDependencies(stored(jobRecordData(dependent))), ['wk-5', 'wk-6']);
+  assert.deepEqual(parseDependencies(stored(oldRecord)), []);
 });
 
 interface RecordKind {
@@ -244,13 +241,13 @@
   },
   { written: leader, form: leader, read: leader, readers: [parseLeaderRecord, production.parseLeader] },
   { written: { term: 3 }, form: { term: 3 }, read: 3, readers: [parseTermRecord, production.parseTerm] },
-  { written: types, form: types, read: types, readers: [parseStoredTypes, production.parseStoredTypes] },
   {
-    written: typesPage,
-    form: typesPage,
-    read: typesPage,
-    readers: [parseTypesPage],
+    written: types,
+    form: types,
+    read: types,
+    readers: [parseStoredMachineTypes, production.parseStoredTypes],
   },
+  { written: typesPage, form: typesPage, read: typesPage, readers: [parseMachineTypesPage] },
 ];
 
 test('stored records: each kind has the encoded form of the production version', () => {
@@ -289,11 +286,10 @@
   };
   assert.deepEqual(stored(jobRecordData(record({}))), form);
   const id = 'wk-7' as JobId;
-  assert.deepEqual(
-    [keys.leader, keys.term, keys.types, keys.typesPage(1), keys.active(id), keys.final(id)],
-    ['l/leader', 'l/term', 'c/types', 'c/types/1', 'j/wk-7', 'f/wk-7'],
-  );
-  assert.equal(keys.progress(id, '0' as SegmentName), 'p/wk-7/0');
+  assert.deepEqual([keys.leader, keys.term, keys.machineTypes], ['l/leader', 'l/term', 'c/types']);
+  assert.equal(keys.machineTypesPage(1), 'c/types/1');
+  assert.deepEqual([keys.jobRecord(id), keys.finalRecord(id)], ['j/wk-7', 'f/wk-7']);
+  assert.equal(keys.progressSegment(id, '0' as SegmentName), 'p/wk-7/0');
   assert.equal(keys.registryPage('3-1'), 'm/3-1');
 });
 
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -89,7 +89,7 @@
 const setup = (machineTypes = types, known: KnownJobs = createFeed()) => {
   const store = new FakeStore();
   const confirmed: string[] = [];
-  const platform = { teams, keyValueStoreLimits: { valueKb: 8 } } as unknown as PlatformSettings;
+  const platform = { teams, keyValueStoreLimits: { maxValueKb: 8 } } as unknown as PlatformSettings;
   const createApi = (): UserApi =>
     new UserApi({
       platform,
