--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -19,8 +19,8 @@
 /** Minimum interval between two plans. */
 const MIN_SCALING_INTERVAL_MS = 500;
 /**
- * One plan creates at most this many machines, or one for this many pending tasks if that is more, so that large
- * clusters start quickly too.
+ * Limit on the machines that one plan creates: this minimum, or the number of pending tasks divided by the constant
+ * below if that is larger, so that large clusters start quickly too.
  */
 const MIN_NEW_MACHINE_LIMIT = 60;
 const WAITING_TASKS_PER_NEW_MACHINE = 16;
@@ -31,7 +31,7 @@
 /** Upper bound of the back-off after refused requests, as a multiple of the capacity_retry_s setting. */
 const MAX_REFUSAL_BACKOFF_FACTOR = 4;
 /**
- * As in scheduling, no task is placed on a machine whose last heartbeat is older than this many heartbeat intervals.
+ * The plan ignores machines whose last heartbeat is older than this many heartbeat intervals, as the scheduler does.
  */
 const UNREACHABLE_HEARTBEAT_INTERVALS = 2.5;
 /** A new leader waits at most this long for the cloud provider's list of machines before it scales out. */
@@ -39,7 +39,7 @@
 /** A machine is not scaled in before this time after it was provisioned. */
 const MIN_MACHINE_AGE_MS = 60_000;
 
-interface Capacity {
+interface MachineFreeCapacity {
   machine: Machine;
   free: Resources;
 }
@@ -124,8 +124,8 @@
   }
 
   /** Machines that a plan can place tasks on, and machines that it cannot use because their heartbeats are missing. */
-  private usableMachines(now: MonotonicTime): { capacities: Capacity[]; unreachable: Machine[] } {
-    const capacities: Capacity[] = [];
+  private usableMachines(now: MonotonicTime): { capacities: MachineFreeCapacity[]; unreachable: Machine[] } {
+    const capacities: MachineFreeCapacity[] = [];
     const unreachable: Machine[] = [];
     const { heartbeatIntervalS } = this.state.settings.workers;
     const unreachableMs = heartbeatIntervalS * UNREACHABLE_HEARTBEAT_INTERVALS * 1000;
@@ -168,8 +168,8 @@
   }
 
   /**
-   * Whether to wait for the first list of machines, since unregistered machines may be up, as at the first leader's
-   * start.
+   * Whether to wait for the first list of machines: unregistered machines may already be up, for example when the
+   * first leader starts.
    */
   private isAwaitingFirstList(now: MonotonicTime): boolean {
     return !this.state.machinesListed && now - this.state.startedAt < FIRST_LIST_TIMEOUT_MS;
--- a/src/core/leader/decision-log.ts
+++ b/src/core/leader/decision-log.ts
@@ -69,7 +69,7 @@
   recordReleased(job: Job, placement: Placement, cause: ReleaseCause): void {
     this.counts.released++;
     const { index: task, attempt, machine } = placement;
-    this.log('debug', { job: job.id, task, attempt, machine, term: this.term, cause }, 'task released');
+    this.log('debug', { job: job.id, task, attempt, machine, term: this.term, cause }, 'placement released');
   }
 
   /** Records the adoption of a task that an earlier leader started on the machine. */
--- a/src/core/leader/detection-timeouts.ts
+++ b/src/core/leader/detection-timeouts.ts
@@ -5,14 +5,14 @@
 const MAX_HEARTBEAT_GAP_INTERVALS = 1.25;
 /** Allowance for the delivery of a heartbeat to the leader. */
 const HEARTBEAT_DELIVERY_MARGIN_MS = 750;
-/** A heartbeat counts as missed after this many of the longest gaps, plus a margin. */
+/** A heartbeat counts as missed after this multiple of the longest gap between heartbeats, plus a margin. */
 const MISSED_HEARTBEAT_GAPS = 1.5;
 const MISSED_HEARTBEAT_MARGIN_S = 0.5;
 /**
  * A partition or mass failure counts as ongoing for this many heartbeat intervals, plus a margin, after it was last
  * detected.
  */
-const COOLDOWN_INTERVALS = 2.5;
+const COOLDOWN_HEARTBEAT_INTERVALS = 2.5;
 const COOLDOWN_MARGIN_MS = 5000;
 /**
  * A single machine has failed after this many of the longest gaps plus a margin, or after this fraction of a lease if
@@ -25,7 +25,7 @@
  * In a mass failure, machines are fenced after this fraction of cancel_s, or after this many leases if that is longer.
  */
 const MASS_FAILURE_CANCEL_FRACTION = 0.6;
-const MASS_FAILURE_LEASES = 1.6;
+const MASS_FAILURE_TIMEOUT_LEASES = 1.6;
 /** Machines of a partitioned zone are fenced after this multiple of cancel_s. */
 const PARTITION_CANCEL_FACTOR = 1.2;
 /**
@@ -33,7 +33,10 @@
  * cancel_s.
  */
 const OVERDUE_CANCEL_FRACTION = 0.5;
-/** The same for a job whose tasks are not located, and for unreachable machines that may hold one of them. */
+/**
+ * Fraction of cancel_s after which a cancelled job with tasks at unknown locations is overdue, so that unreachable
+ * machines that may hold its tasks are fenced.
+ */
 const UNLOCATED_OVERDUE_CANCEL_FRACTION = 0.75;
 /**
  * By this fraction of cancel_s the machine is fenced, however short this leader has been waiting for its heartbeats.
@@ -46,15 +49,15 @@
   constructor(private readonly workers: WorkerTimings) {}
 
   /** Every worker that is up sends at least one heartbeat within this time. */
-  get heartbeatRoundMs(): number {
+  get maxHeartbeatArrivalGapMs(): number {
     return (
       this.workers.heartbeatIntervalS * (MAX_HEARTBEAT_GAP_INTERVALS * 1000) + HEARTBEAT_DELIVERY_MARGIN_MS
     );
   }
 
   /**
-   * A machine counts as unreachable after this time without a heartbeat. The time exceeds the longest gap because a
-   * partition cuts off a whole zone at once, but each machine is only detected when its own next heartbeat is due.
+   * Time without a heartbeat after which a machine counts as unreachable. It allows for the fact that a partition cuts
+   * off all machines of a zone at once, while each of them is detected only when its own next heartbeat is due.
    */
   get missedHeartbeatMs(): number {
     const maxGapS = this.workers.heartbeatIntervalS * MAX_HEARTBEAT_GAP_INTERVALS;
@@ -66,7 +69,7 @@
    * few machines still need time to find a controller, although few machines remain unreachable.
    */
   get cooldownMs(): number {
-    return this.workers.heartbeatIntervalS * (COOLDOWN_INTERVALS * 1000) + COOLDOWN_MARGIN_MS;
+    return this.workers.heartbeatIntervalS * (COOLDOWN_HEARTBEAT_INTERVALS * 1000) + COOLDOWN_MARGIN_MS;
   }
 
   /** Timeout of a machine that is unreachable while heartbeats from most others arrive. */
@@ -87,7 +90,7 @@
     return Math.max(
       this.failureTimeoutMs,
       cancelS * MASS_FAILURE_CANCEL_FRACTION * 1000,
-      leaseS * MASS_FAILURE_LEASES * 1000,
+      leaseS * MASS_FAILURE_TIMEOUT_LEASES * 1000,
     );
   }
 
@@ -109,7 +112,8 @@
   }
 
   /**
-   * The same for jobs whose tasks are not located. It is longer because most machines that may hold one are healthy.
+   * Age at which the cancellation of a job with tasks at unknown locations is overdue. It is longer because most of
+   * the machines that may hold the tasks are healthy.
    */
   get unlocatedOverdueCancellationMs(): number {
     return this.workers.cancelS * 1000 * UNLOCATED_OVERDUE_CANCEL_FRACTION;
@@ -123,7 +127,7 @@
    */
   overdueTimeoutMs(cancelledForMs: number): number {
     const leftMs = this.workers.cancelS * 1000 * LATEST_FENCE_CANCEL_FRACTION - cancelledForMs;
-    if (leftMs <= 0) return this.heartbeatRoundMs;
+    if (leftMs <= 0) return this.maxHeartbeatArrivalGapMs;
     return Math.max(this.missedHeartbeatMs, Math.min(this.failureTimeoutMs, leftMs));
   }
 }
--- a/src/core/leader/failure-detector.ts
+++ b/src/core/leader/failure-detector.ts
@@ -69,7 +69,7 @@
 
   private measureReachability(now: MonotonicTime): Reachability {
     const reachability = new Reachability();
-    const { heartbeatRoundMs, missedHeartbeatMs } = this.timeouts;
+    const { maxHeartbeatArrivalGapMs: heartbeatRoundMs, missedHeartbeatMs } = this.timeouts;
     for (const machine of this.state.machines.values())
       if (machine.up)
         reachability.add(machine, this.sinceHeartbeatMs(machine, now), heartbeatRoundMs, missedHeartbeatMs);
@@ -115,7 +115,7 @@
 
   private isOverdue(machine: Machine, unlocatedJobs: Job[], now: MonotonicTime, wallTime: WallTime): boolean {
     const sinceHeartbeatMs = this.sinceHeartbeatMs(machine, now);
-    if (sinceHeartbeatMs < this.timeouts.heartbeatRoundMs) return false;
+    if (sinceHeartbeatMs < this.timeouts.maxHeartbeatArrivalGapMs) return false;
     const cancelledForMs = this.overdueCancellationAgeMs(machine, unlocatedJobs, now, wallTime);
     return cancelledForMs !== null && sinceHeartbeatMs >= this.timeouts.overdueTimeoutMs(cancelledForMs);
   }
@@ -142,9 +142,9 @@
   }
 
   /**
-   * Overdue cancelled jobs whose tasks may be on machines that are not reconciled since this leadership began, so no
-   * heartbeat has shown where the tasks are. Their timeout is longer: most of these machines are healthy, and either
-   * stop the tasks or lose their lease.
+   * Overdue cancelled jobs whose tasks may be on machines that have not been reconciled under this leadership, so that
+   * no heartbeat has shown where the tasks are. These jobs become overdue later than others, because most of the
+   * machines are healthy and will stop the tasks or lose their lease.
    */
   private unlocatedOverdueJobs(now: MonotonicTime, wallTime: WallTime): Job[] {
     if (this.state.unreconciledMachines.size === 0) return [];
--- a/src/core/leader/heartbeat-reconciler.ts
+++ b/src/core/leader/heartbeat-reconciler.ts
@@ -204,7 +204,7 @@
     this.state.log(
       'info',
       { machine: machine.id, noticeS, tasks: machine.placements.size },
-      'interruption notice',
+      'machine received a spot interruption notice',
     );
     for (const { job, placement } of [...machine.placements.values()])
       if (job.spec.checkpointS > 0 || !placement.running)
--- a/src/core/leader/job-dependencies.ts
+++ b/src/core/leader/job-dependencies.ts
@@ -109,7 +109,7 @@
     this.state.log(
       'info',
       { job: job.id, class: job.spec.class, dependency },
-      'job cancelled with its dependency',
+      'job cancelled because its dependency was cancelled',
     );
     this.state.changedSinceTick = true;
     return true;
--- a/src/core/leader/job-finalizer.ts
+++ b/src/core/leader/job-finalizer.ts
@@ -13,7 +13,7 @@
     private readonly jobDependencies: JobDependencies,
   ) {}
 
-  /** Requests the final records of completed jobs, and of cancelled jobs without remaining tasks. */
+  /** Requests the writing of final records for completed jobs, and for cancelled jobs with no remaining tasks. */
   finishJobs(): void {
     for (const job of this.state.jobs.values()) {
       if (job.finalizing) continue;
--- a/src/core/leader/job-intake.ts
+++ b/src/core/leader/job-intake.ts
@@ -1,4 +1,6 @@
-/** Adds and updates jobs by their records in the key-value store and by cancellations from other controllers. */
+/**
+ * Adds and updates jobs from their records in the key-value store, and applies cancellations from other controllers.
+ */
 import { Job } from '../job.js';
 import type { ArrivalRates } from '../scaling/arrival-rates.js';
 import type { TypePenalties } from '../scheduler/type-penalties.js';
--- a/src/core/leader/machine-commands.ts
+++ b/src/core/leader/machine-commands.ts
@@ -61,8 +61,8 @@
     if (machine.reportedTasks.has(attemptKey(job.id, placement.index, placement.attempt))) continue;
     const ref = { job: job.id, index: placement.index, attempt: placement.attempt };
     if (placement.stop) {
-      // A start without a response could still arrive. Starting and stopping the attempt now leaves it on the worker as
-      // exited; it is not forgotten, so a late start has no effect.
+      // A start command without a response may still arrive. Sending start and stop now makes the worker record the
+      // attempt as exited. No forget command is sent, so a late start command has no effect.
       if (placement.directStartOutcomeUnknown)
         commands.push({ op: 'start', ...ref }, { op: 'stop', ...ref, gracePeriodS: 0 });
     } else if (machine.registration.state === 'durable' && machine.decommissioning === null) {
--- a/src/core/leader/machine-pool.ts
+++ b/src/core/leader/machine-pool.ts
@@ -15,7 +15,7 @@
  * A machine that was first listed more than this many list lags ago and is missing from the list is most likely
  * deleted.
  */
-const MISSING_AFTER_LIST_LAGS = 2.5;
+const MISSING_TIMEOUT_LIST_LAGS = 2.5;
 /**
  * A boot has failed if the machine is not up after this multiple of its type's boot time, or this minimum if that is
  * longer.
@@ -40,7 +40,7 @@
   loadMachine(info: MachineInfo, page: string, now: MonotonicTime): void {
     const machine = this.state.addMachine(info, now);
     machine.recordRegisteredEarlier(page);
-    this.registration.load(page, machine.info);
+    this.registration.addRegisteredMachine(page, machine.info);
     this.state.unreconciledMachines.add(info.id);
   }
 
@@ -61,7 +61,7 @@
    */
   private shouldBeListed(machine: Machine, now: MonotonicTime): boolean {
     if (machine.firstListedAt === null) return machine.fromEarlierLeader;
-    return now - machine.firstListedAt > this.state.settings.listLagS * (MISSING_AFTER_LIST_LAGS * 1000);
+    return now - machine.firstListedAt > this.state.settings.listLagS * (MISSING_TIMEOUT_LIST_LAGS * 1000);
   }
 
   private onListed(listed: ListedMachine, now: MonotonicTime): void {
@@ -136,7 +136,7 @@
       if (now - machine.provisionedAt <= Math.max(BOOT_TIMEOUT_FACTOR * bootMs, MIN_BOOT_TIMEOUT_MS))
         continue;
       // The boot timeout counts from provisioning, so it may expire before the worker of a running machine had time to
-      // send a heartbeat to this leader, as at the start of the first leader.
+      // send a heartbeat to this leader, for example when the first leader starts.
       if (now - this.state.startedAt <= this.firstHeartbeatTimeoutMs) continue;
       this.fence(machine, 'boot timeout', now);
     }
--- a/src/core/leader/machine-registration.ts
+++ b/src/core/leader/machine-registration.ts
@@ -26,8 +26,8 @@
   constructor(private readonly state: LeaderState) {}
 
   /** Loads a machine that an earlier leader registered on this page. */
-  load(page: string, info: MachineInfo): void {
-    this.registry.load(page, info);
+  addRegisteredMachine(page: string, info: MachineInfo): void {
+    this.registry.addMachine(page, info);
   }
 
   /** Removes a deleted machine from its page. */
@@ -38,10 +38,10 @@
   /** Registers new machines, if that is due. All machines that fit on one page are registered with one write. */
   registerMachines(now: MonotonicTime): void {
     if (now - this.lastRegisteredAt < REGISTRATION_INTERVAL_MS) return;
-    const failed = this.registry.nextPageToWrite('failed', this.state.settings.fitsRegistryPage);
-    if (failed) {
+    const failedPage = this.registry.nextPageToWrite('failed', this.state.settings.fitsRegistryPage);
+    if (failedPage) {
       this.lastRegisteredAt = now;
-      this.state.effects.push({ kind: 'write-registry-page', ...failed });
+      this.state.effects.push({ kind: 'write-registry-page', ...failedPage });
       return;
     }
     const unregistered = this.unregisteredMachines();
@@ -105,9 +105,9 @@
   private compactPages(): void {
     const { fitsRegistryPage } = this.state.settings;
     for (let i = 0; i < MAX_PAGES_PER_COMPACTION; i++) {
-      const stale = this.registry.nextPageToWrite('stale', fitsRegistryPage);
-      if (!stale) break;
-      this.state.effects.push({ kind: 'write-registry-page', ...stale });
+      const stalePage = this.registry.nextPageToWrite('stale', fitsRegistryPage);
+      if (!stalePage) break;
+      this.state.effects.push({ kind: 'write-registry-page', ...stalePage });
     }
     if (this.splitTarget) return;
     const machines = this.registry.selectMachinesToSplitOff(fitsRegistryPage);
--- a/src/core/leader/machine-registry.ts
+++ b/src/core/leader/machine-registry.ts
@@ -27,8 +27,8 @@
 export class MachineRegistry {
   private readonly pages = new Map<string, Page>();
 
-  /** Adds a machine that the page contains. */
-  load(name: string, info: MachineInfo): void {
+  /** Adds a machine to a page. */
+  addMachine(name: string, info: MachineInfo): void {
     const page = this.pages.get(name) ?? { machines: new Map(), writing: false, stale: false, failed: false };
     page.machines.set(info.id, info);
     this.pages.set(name, page);
@@ -36,7 +36,7 @@
 
   /** Adds a new page with these machines, whose write is in flight. */
   openPage(name: string, machines: MachineInfo[]): void {
-    for (const info of machines) this.load(name, info);
+    for (const info of machines) this.addMachine(name, info);
     this.pages.get(name)!.writing = true;
   }
 
--- a/src/core/leader/reachability.ts
+++ b/src/core/leader/reachability.ts
@@ -29,10 +29,15 @@
   private readonly unreachableByZone = new Map<Zone, number>();
 
   /** Adds a machine that is up and whose last heartbeat is `sinceHeartbeatMs` old. */
-  add(machine: Machine, sinceHeartbeatMs: number, heartbeatRoundMs: number, missedHeartbeatMs: number): void {
+  add(
+    machine: Machine,
+    sinceHeartbeatMs: number,
+    maxHeartbeatArrivalGapMs: number,
+    missedHeartbeatMs: number,
+  ): void {
     this.upCount++;
     increment(this.upByZone, machine.info.zone);
-    if (sinceHeartbeatMs < heartbeatRoundMs) return;
+    if (sinceHeartbeatMs < maxHeartbeatArrivalGapMs) return;
     this.suspected.push(machine);
     if (sinceHeartbeatMs < missedHeartbeatMs) return;
     this.unreachableCount++;
--- a/src/core/leader/recovery.ts
+++ b/src/core/leader/recovery.ts
@@ -31,7 +31,7 @@
       return false;
     this.complete = true;
     const fields = { afterMs: Math.round(waitedMs), unreconciled, jobs: this.state.jobs.size };
-    this.state.log('info', fields, 'recovery complete');
+    this.state.log('info', fields, 'leader recovery complete');
     return true;
   }
 }
--- a/src/core/leader/replacement-demand.ts
+++ b/src/core/leader/replacement-demand.ts
@@ -1,6 +1,6 @@
 /**
- * Demand for replacement capacity for urgent tasks on unreachable machines. The tasks may not start elsewhere before
- * these machines are fenced, but their replacements can boot in the meantime.
+ * Demand for replacement capacity for urgent tasks on unreachable machines. The tasks must not start elsewhere until
+ * these machines are fenced, but replacement machines can boot in the meantime.
  */
 import type { Job } from '../job.js';
 import type { Machine } from '../machine.js';
@@ -14,7 +14,7 @@
  * most of them are reachable again when the partition heals.
  */
 export const replacementDemands = (unreachable: Machine[], state: LeaderState): CapacityDemand[] => {
-  const tasksByJob = unreachableTasksByZone(unreachable, state);
+  const tasksByJob = unreachableTasksByJobAndZone(unreachable, state);
   return [...tasksByJob]
     .map(([job, tasksByZone]) => ({
       rank: priorityRank[job.priority],
@@ -24,7 +24,10 @@
     .map(({ demand }) => demand);
 };
 
-const unreachableTasksByZone = (unreachable: Machine[], state: LeaderState): Map<Job, Map<Zone, number>> => {
+const unreachableTasksByJobAndZone = (
+  unreachable: Machine[],
+  state: LeaderState,
+): Map<Job, Map<Zone, number>> => {
   const tasksByJob = new Map<Job, Map<Zone, number>>();
   for (const machine of unreachable) {
     const { zone } = machine.info;
--- a/src/core/leader/task-reconciler.ts
+++ b/src/core/leader/task-reconciler.ts
@@ -13,9 +13,9 @@
 const NO_ROOM_BACKOFF_MS = 1000;
 
 /**
- * How a heartbeat arrived. A worker executes the reply to a heartbeat before it sends the next heartbeat, or never.
- * The response to a direct command also contains a heartbeat, but it may arrive before such a reply is executed,
- * whatever its sequence number.
+ * How a heartbeat arrived. A worker executes the reply to a heartbeat before it sends its next heartbeat, or drops the
+ * reply. The response to a direct command also contains a heartbeat, but that heartbeat may arrive before an earlier
+ * reply is executed, even if its sequence number is higher.
  */
 export type HeartbeatSource = 'heartbeat' | 'direct command response';
 
@@ -73,7 +73,7 @@
       placement.runningSince = now;
       const afterS = (now - placement.assignedAt) / 1000;
       const fields = { job: job.id, task: task.index, machine: machine.id, afterS };
-      this.state.log('debug', fields, 'task has its image');
+      this.state.log('debug', fields, 'image ready for task');
     }
     placement.running = running;
   }
--- a/src/test/decision-log.test.ts
+++ b/src/test/decision-log.test.ts
@@ -32,7 +32,7 @@
     'task placed',
     'command sent start direct',
     'task completed',
-    'task released exited',
+    'placement released exited',
   ]);
 });
 
--- a/src/test/key-value-store-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -142,7 +142,7 @@
   const fits = (machines: MachineInfo[]): boolean => fitsRegistryPage(machines, 2);
   const registry = new MachineRegistry();
   const all = Array.from({ length: 81 }, (_item, index) => machine(index));
-  for (const info of all) registry.load('old', info);
+  for (const info of all) registry.addMachine('old', info);
   assert.ok(!fits(all));
   registry.remove('old', all[80].id);
   assert.equal(registry.nextPageToWrite('stale', fits), null, 'not written as it is');
