--- a/src/test/key-value-store-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -142,7 +142,7 @@
   const fits = (machines: MachineInfo[]): boolean => fitsRegistryPage(machines, 2);
   const registry = new MachineRegistry();
   const all = Array.from({ length: 81 }, (_item, index) => machine(index));
-  for (const info of all) registry.load('old', info);
+  for (const info of all) registry.addMachine('old', info);
   assert.ok(!fits(all));
   registry.remove('old', all[80].id);
   assert.equal(registry.nextPageToWrite('stale', fits), null, 'an oversized page is not written');
