--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -28,7 +28,7 @@
   heartbeatIntervalS: number;
   leaseS: number;
   gangWaitS: number;
-  gangPeerS: number;
+  gangMemberLossTimeoutS: number;
   cancelS: number;
 }
 
@@ -151,7 +151,7 @@
   heartbeatIntervalS: workers.report_s,
   leaseS: workers.lease_s,
   gangWaitS: workers.gang_wait_s,
-  gangPeerS: workers.gang_peer_s,
+  gangMemberLossTimeoutS: workers.gang_peer_s,
   cancelS: workers.cancel_s,
 });
 
--- a/src/core/cancellation-log.ts
+++ b/src/core/cancellation-log.ts
@@ -22,7 +22,10 @@
   jobs: JobId[];
   /** The end position of the log. If it is greater than `from + jobs.length`, there are further pages. */
   end: number;
-  /** Age of the instant up to which the sender's log is proven complete; null if the sender has no proof. */
+  /**
+   * The sender's log provably contains every cancellation confirmed at least this long ago; null if the sender can't
+   * prove it for any age.
+   */
   completeAgoMs: number | null;
 }
 
@@ -153,7 +156,7 @@
     return added;
   }
 
-  /** Advances if the logs of all peers are held here without a gap since the instant that is already proven. */
+  /** Advances `completeUntil` if the logs of all peers cover, without a gap, the time since its current value. */
   private advanceByPeerLogs(): void {
     let until = Infinity;
     for (const peer of this.peers) {
@@ -186,11 +189,11 @@
   }
 }
 
-/** Entries are kept for this multiple of `cancel_s`. */
-const RETENTION_CANCEL_PERIODS = 4;
+/** Entries are kept for `cancel_s` multiplied by this factor. */
+const RETENTION_FACTOR = 4;
 
 /** How long entries are kept. */
-export const cancellationRetentionMs = (cancelS: number): number => cancelS * 1000 * RETENTION_CANCEL_PERIODS;
+export const cancellationRetentionMs = (cancelS: number): number => cancelS * 1000 * RETENTION_FACTOR;
 
 /** Margin between the end of a lease on the worker's clock and the end of its tasks as seen by others. */
 const TASK_END_MARGIN_MS = 1500;
--- a/src/core/job-progress.ts
+++ b/src/core/job-progress.ts
@@ -8,7 +8,7 @@
   readonly completedBits: Uint8Array;
   completedCount = 0;
   /** Completed tasks that the key-value store doesn't hold yet and that no pending write contains. */
-  readonly unpersisted = new Set<number>();
+  readonly completionsToPersist = new Set<number>();
   lastPersistedAt = -Infinity;
   readonly segmentsBeingWritten = new Set<SegmentName>();
   /** Segments that have a key in the key-value store. */
@@ -36,12 +36,12 @@
     if (index >= this.tasks || this.isCompleted(index)) return false;
     this.completedBits[index >> 3] |= 1 << (index & 7);
     this.completedCount++;
-    this.unpersisted.add(index);
+    this.completionsToPersist.add(index);
     return true;
   }
 
   /** Records completions that the key-value store holds, read from it or written to it, from `startByte` on. */
-  confirm(segment: SegmentName, startByte: number, bytes: Uint8Array): void {
+  recordPersisted(segment: SegmentName, startByte: number, bytes: Uint8Array): void {
     this.persistedSegments.add(segment);
     for (let i = 0; i < bytes.length && startByte + i < this.durableBits.length; i++) {
       this.durableBits[startByte + i] |= bytes[i];
--- a/src/core/job.ts
+++ b/src/core/job.ts
@@ -81,10 +81,10 @@
   readonly placements = new Map<number, Placement>();
   readonly progress: JobProgress;
   backoffUntil = -Infinity;
-  /** The capacity version at the job's last rejection. Capacity gained after that ends the back-off early. */
+  /** The capacity version at the job's last rejection. New capacity after that ends the back-off early. */
   rejectedAtCapacityVersion = -1;
   placementRejections = 0;
-  /** End of the back-off after task errors. Gained capacity doesn't shorten it: the job itself may be at fault. */
+  /** End of the back-off after task errors. New capacity doesn't end it early: the job itself may cause the errors. */
   errorBackoffUntil = -Infinity;
   errorCount = 0;
   readonly errorMachines = new Set<MachineId>();
@@ -146,17 +146,17 @@
 
   /** The job's own priority, or that of a job that depends on it if that is higher. */
   get priority(): Priority {
-    const own = this.spec.priority;
-    return this.inheritedUrgency && priorityRank[this.inheritedUrgency.priority] > priorityRank[own]
+    const ownPriority = this.spec.priority;
+    return this.inheritedUrgency && priorityRank[this.inheritedUrgency.priority] > priorityRank[ownPriority]
       ? this.inheritedUrgency.priority
-      : own;
+      : ownPriority;
   }
 
   /** When the job must finish to meet its own deadline and those of the jobs that depend on it, if there are any. */
   get dueAt(): WallTime | null {
     const { deadlineS } = this.spec;
-    const own = deadlineS === null ? Infinity : this.record.submittedAt + deadlineS * 1000;
-    const due = Math.min(own, this.inheritedUrgency?.dueAt ?? Infinity);
+    const ownDueAt = deadlineS === null ? Infinity : this.record.submittedAt + deadlineS * 1000;
+    const due = Math.min(ownDueAt, this.inheritedUrgency?.dueAt ?? Infinity);
     return due < Infinity ? (due as WallTime) : null;
   }
 
@@ -204,8 +204,8 @@
   }
 
   /** Records completions that the key-value store holds, read from it or written to it, from `startByte` on. */
-  confirmCompletions(segment: SegmentName, startByte: number, bytes: Uint8Array): void {
-    this.progress.confirm(segment, startByte, bytes);
+  recordPersistedCompletions(segment: SegmentName, startByte: number, bytes: Uint8Array): void {
+    this.progress.recordPersisted(segment, startByte, bytes);
     this.placedIncompleteCount = 0;
     for (const index of this.placements.keys()) if (!this.isCompleted(index)) this.placedIncompleteCount++;
   }
--- a/src/core/leader/autoscaler.ts
+++ b/src/core/leader/autoscaler.ts
@@ -159,11 +159,16 @@
     const demands = replacementDemands(unreachable, this.state);
     for (const job of waiting) {
       const tasks = Math.min(job.pendingCount, MAX_PLANNED_TASKS_PER_JOB);
-      demands.push({ spec: job.spec, tasks, zones: this.state.placementsByZone(job), isForecast: false });
+      demands.push({
+        spec: job.spec,
+        tasks,
+        tasksPerZone: this.state.placementsByZone(job),
+        isForecast: false,
+      });
     }
     const { machineTypes, settings } = this.state;
     for (const { spec, tasks } of this.arrivalRates.forecastTasks(machineTypes, settings.headroom, now))
-      demands.push({ spec, tasks, zones: new Map(), isForecast: true });
+      demands.push({ spec, tasks, tasksPerZone: new Map(), isForecast: true });
     return demands;
   }
 
--- a/src/core/leader/one-way-partition-detector.ts
+++ b/src/core/leader/one-way-partition-detector.ts
@@ -81,7 +81,7 @@
     } else if (previousReceivedAt !== null) {
       replies.recordHeartbeatInterval(now - previousReceivedAt);
     }
-    if (replies.isUnacknowledged) this.releaseUnstarted(machine, now);
+    if (replies.repliesAppearLost) this.releaseUnstarted(machine, now);
   }
 
   /** Releases the tasks that were not started on the machine and, as this heartbeat proves, never will be. */
--- a/src/core/leader/progress-writer.ts
+++ b/src/core/leader/progress-writer.ts
@@ -23,7 +23,7 @@
     if (now - this.lastWrittenAt < PROGRESS_WRITE_INTERVAL_MS) return;
     this.lastWrittenAt = now;
     const unpersistedJobs = [...this.state.jobs.values()].filter(
-      (job) => job.progress.unpersisted.size > 0 && !job.finalizing && !job.cancelled,
+      (job) => job.progress.completionsToPersist.size > 0 && !job.finalizing && !job.cancelled,
     );
     unpersistedJobs.sort((a, b) => a.progress.lastPersistedAt - b.progress.lastPersistedAt);
     const { progressWritesPerS } = this.state.settings;
@@ -38,7 +38,7 @@
   /** Writes up to `maxSegments` segments with new completions and no write in flight, and returns their number. */
   private writeSegments(job: Job, maxSegments: number): number {
     const { segmentBytes } = this.state.settings;
-    const { completedBits, segmentsBeingWritten, unpersisted } = job.progress;
+    const { completedBits, segmentsBeingWritten, completionsToPersist: unpersisted } = job.progress;
     const segmentOf = (task: number): number => Math.floor((task >> 3) / segmentBytes);
     const indices = new Set<number>();
     for (const task of unpersisted) indices.add(segmentOf(task));
@@ -60,7 +60,7 @@
   /** Loads completions stored in the key-value store, read at the start or after a write conflict. */
   loadProgress(id: JobId, segment: SegmentName, bytes: Uint8Array): void {
     const startByte = segmentStart(segment);
-    if (startByte !== null) this.state.jobs.get(id)?.confirmCompletions(segment, startByte, bytes);
+    if (startByte !== null) this.state.jobs.get(id)?.recordPersistedCompletions(segment, startByte, bytes);
   }
 
   /** Handles the result of writing a segment. After a failure, its completions are written again. */
@@ -69,7 +69,7 @@
     const startByte = segmentStart(segment);
     if (!job || startByte === null) return;
     job.progress.segmentsBeingWritten.delete(segment);
-    if (ok) job.confirmCompletions(segment, startByte, bytes);
+    if (ok) job.recordPersistedCompletions(segment, startByte, bytes);
     else markUnpersisted(job, startByte, bytes);
   }
 }
@@ -77,6 +77,7 @@
 const markUnpersisted = (job: Job, startByte: number, bytes: Uint8Array): void => {
   for (let i = 0; i < bytes.length * BITS_PER_BYTE; i++) {
     const task = startByte * BITS_PER_BYTE + i;
-    if ((bytes[i >> 3] & (1 << (i & 7))) !== 0 && !job.isDurable(task)) job.progress.unpersisted.add(task);
+    if ((bytes[i >> 3] & (1 << (i & 7))) !== 0 && !job.isDurable(task))
+      job.progress.completionsToPersist.add(task);
   }
 };
--- a/src/core/leader/replacement-demand.ts
+++ b/src/core/leader/replacement-demand.ts
@@ -42,7 +42,7 @@
 const demandOf = (job: Job, tasksByZone: Map<Zone, number>, state: LeaderState): CapacityDemand => {
   const { spec } = job;
   // When a gang loses one task, all of its tasks must be placed again.
-  if (spec.kind === 'gang') return { spec, tasks: spec.tasks, zones: new Map(), isForecast: false };
+  if (spec.kind === 'gang') return { spec, tasks: spec.tasks, tasksPerZone: new Map(), isForecast: false };
   const zones = state.placementsByZone(job);
   let tasks = 0;
   for (const [zone, unreachableTasks] of tasksByZone) {
@@ -51,5 +51,5 @@
     else zones.delete(zone);
     tasks += unreachableTasks;
   }
-  return { spec, tasks, zones, isForecast: false };
+  return { spec, tasks, tasksPerZone: zones, isForecast: false };
 };
--- a/src/core/machine.ts
+++ b/src/core/machine.ts
@@ -71,7 +71,7 @@
   /** Set when the machine is to leave the cluster; no task is placed on it from then on. */
   decommissioning: Decommissioning | null = null;
   idleSince: MonotonicTime | null = null;
-  /** Jobs of which a task failed here since a task last completed here. */
+  /** Jobs with a failed task on this machine since any task last completed on it. */
   readonly failedJobs = new Set<JobId>();
   quarantined = false;
   firstListedAt: MonotonicTime | null = null;
@@ -127,7 +127,7 @@
       !this.quarantined &&
       this.interruptionNoticedAt === null &&
       // Guards against one-way partitions, in which starts sent to the machine would be lost.
-      !this.replies.isUnacknowledged
+      !this.replies.repliesAppearLost
     );
   }
 
--- a/src/core/reply-tracker.ts
+++ b/src/core/reply-tracker.ts
@@ -15,25 +15,25 @@
   /** Consecutive replies with a start that the worker's next heartbeat did not acknowledge. */
   private unacknowledged = 0;
   private lastReplyAt: MonotonicTime | null = null;
-  /** When the current series of replies without a gap began. */
+  /** When the current series of replies began. Within a series, no two successive replies are more than a limit apart. */
   private gaplessSince: MonotonicTime | null = null;
 
   /** Whether the replies appear to be lost. */
-  get isUnacknowledged(): boolean {
+  get repliesAppearLost(): boolean {
     return this.unacknowledged >= UNACKNOWLEDGED_REPLIES_LIMIT;
   }
 
-  /** How long replies have been sent without a gap. */
+  /** Duration of the current series of replies, from its first reply to its last. */
   get gaplessMs(): number {
     return this.lastReplyAt === null || this.gaplessSince === null ? 0 : this.lastReplyAt - this.gaplessSince;
   }
 
-  /** Whether the last reply is recent enough for a reply sent now to follow it without a gap. */
+  /** Whether the last reply was sent at most `maxGapMs` ago, so that a reply sent now continues its series. */
   hasNoGap(maxGapMs: number, now: MonotonicTime): boolean {
     return this.lastReplyAt !== null && now - this.lastReplyAt <= maxGapMs;
   }
 
-  /** Records a reply. After a gap, a new series begins: heartbeats that arrive then may have been delayed for long. */
+  /** Records a reply. A longer gap starts a new series: heartbeats that arrive after it may have been delayed for long. */
   recordReply(maxGapMs: number, now: MonotonicTime): void {
     if (!this.hasNoGap(maxGapMs, now)) this.gaplessSince = now;
     this.lastReplyAt = now;
--- a/src/core/scaling/scale-out-plan.ts
+++ b/src/core/scaling/scale-out-plan.ts
@@ -11,8 +11,8 @@
   spec: JobSpec;
   tasks: number;
   /** The number of the job's placed tasks in each zone, for the constraints of spread and one-zone jobs. */
-  zones: ZoneCounts;
-  /** Forecast tasks belong to several jobs, none of which has been submitted yet. */
+  tasksPerZone: ZoneCounts;
+  /** Whether the tasks are forecast: they belong to several jobs, none of which has been submitted yet. */
   isForecast: boolean;
 }
 
@@ -121,43 +121,47 @@
     const groupSize = demand.isForecast ? Math.max(1, demand.spec.tasks) : remaining;
     while (remaining > 0) {
       const group = Math.min(groupSize, remaining);
-      if (!this.placeGroup(demand.spec, new Map(demand.zones), group)) return;
+      if (!this.placeGroup(demand.spec, new Map(demand.tasksPerZone), group)) return;
       remaining -= group;
     }
   }
 
   /** Assigns tasks to the machines in order, then to new ones; false if none available fits the remaining tasks. */
-  private placeGroup(spec: JobSpec, zones: ZoneCounts, tasks: number): boolean {
+  private placeGroup(spec: JobSpec, tasksPerZone: ZoneCounts, tasks: number): boolean {
     let remaining = tasks;
     for (const capacity of this.capacities) {
       if (remaining === 0) return true;
       if (!fits(spec, capacity.free) || !mayRunOn(spec, capacity.type, capacity.zone, capacity.spot))
         continue;
-      remaining -= this.fill(spec, capacity, zones, remaining);
+      remaining -= this.fill(spec, capacity, tasksPerZone, remaining);
     }
     while (remaining > 0) {
-      const capacity = this.requestMachine(spec, zones, remaining);
+      const capacity = this.requestMachine(spec, tasksPerZone, remaining);
       if (!capacity) return false;
-      remaining -= this.fill(spec, capacity, zones, remaining);
+      remaining -= this.fill(spec, capacity, tasksPerZone, remaining);
     }
     return true;
   }
 
   /** Assigns up to `limit` tasks to the machine and returns their number. */
-  private fill(spec: JobSpec, capacity: Capacity, zones: ZoneCounts, limit: number): number {
+  private fill(spec: JobSpec, capacity: Capacity, tasksPerZone: ZoneCounts, limit: number): number {
     let placed = 0;
-    while (placed < limit && fits(spec, capacity.free) && zoneAllowsOneMore(spec, capacity.zone, zones)) {
+    while (
+      placed < limit &&
+      fits(spec, capacity.free) &&
+      zoneAllowsOneMore(spec, capacity.zone, tasksPerZone)
+    ) {
       addResources(capacity.free, spec, -1);
-      zones.set(capacity.zone, (zones.get(capacity.zone) ?? 0) + 1);
+      tasksPerZone.set(capacity.zone, (tasksPerZone.get(capacity.zone) ?? 0) + 1);
       placed++;
     }
     if (placed > 0 && capacity.machine !== null) this.neededMachines.add(capacity.machine);
     return placed;
   }
 
-  private requestMachine(spec: JobSpec, zones: ZoneCounts, tasks: number): Capacity | null {
+  private requestMachine(spec: JobSpec, tasksPerZone: ZoneCounts, tasks: number): Capacity | null {
     if (this.newMachines >= this.input.maxNewMachines) return null;
-    const offer = this.cheapestOffer(spec, zones, tasks);
+    const offer = this.cheapestOffer(spec, tasksPerZone, tasks);
     if (!offer) return null;
     this.newMachines++;
     const { type, zone, spot } = offer;
@@ -176,7 +180,7 @@
     return capacity;
   }
 
-  private cheapestOffer(spec: JobSpec, zones: ZoneCounts, tasks: number): Offer | null {
+  private cheapestOffer(spec: JobSpec, tasksPerZone: ZoneCounts, tasks: number): Offer | null {
     let best: Offer | null = null;
     for (const type of this.input.types) {
       const capacity = tasksPerMachine(spec, type);
@@ -184,7 +188,7 @@
       const used = Math.min(tasks, capacity);
       const usedFraction = (used + SPARE_CAPACITY_VALUE_FRACTION * (capacity - used)) / capacity;
       for (const zone of type.zones) {
-        if (!zoneAllowsOneMore(spec, zone, zones)) continue;
+        if (!zoneAllowsOneMore(spec, zone, tasksPerZone)) continue;
         for (const spot of spec.spot ? [true, false] : [false]) {
           if (!mayRunOn(spec, type.name, zone, spot) || this.isUnavailable(type.name, zone, spot)) continue;
           const cost = priceOf(type, spot) / (capacity * usedFraction);
--- a/src/core/scheduler/candidate-selection.ts
+++ b/src/core/scheduler/candidate-selection.ts
@@ -1,6 +1,6 @@
 /**
- * Filters and scores machines. Selects the machine with enough capacity on which a task would start soonest, weighed
- * against the value of that capacity to other tasks.
+ * Filters and scores machines. Selects the feasible machine with the lowest score: the expected seconds until a task
+ * can start there, plus penalties for using capacity that is more valuable to other tasks.
  */
 import { fits } from '../resources.js';
 import type { Job } from '../job.js';
@@ -36,18 +36,21 @@
   ) {}
 
   /** The best machine with enough free capacity; null if there is none. */
-  best(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): CandidateMachine | null {
+  best(job: Job, tasksPerZone: ZoneCounts, onlyZone: Zone | null = null): CandidateMachine | null {
     if (this.unschedulable.has(job, onlyZone)) return null;
     const ranking = this.rankingFor(job);
     this.snapshot.machineEvaluations += ranking.size;
     const isFeasible = (candidate: CandidateMachine): boolean =>
-      fits(job.spec, candidate.free) && this.snapshot.allows(job, candidate, zones, onlyZone);
+      fits(job.spec, candidate.free) && this.snapshot.allows(job, candidate, tasksPerZone, onlyZone);
     const best = ranking.best(isFeasible);
-    if (!best) this.unschedulable.record(job, zones, onlyZone);
+    if (!best) this.unschedulable.record(job, tasksPerZone, onlyZone);
     return best;
   }
 
-  /** Discards recorded failures that may have been due to a tentative placement, now reverted. */
+  /**
+   * Discards the records that no machine was found for tasks like the job's. A tentative placement, now reverted, may
+   * have been the reason.
+   */
   forgetUnschedulable(job: Job, onlyZone: Zone | null): void {
     this.unschedulable.forget(job, onlyZone);
   }
--- a/src/core/scheduler/delay-scheduling.ts
+++ b/src/core/scheduler/delay-scheduling.ts
@@ -29,13 +29,13 @@
    * Delays a task if a machine with its image is expected to be free well before a fetch elsewhere would end: the task
    * starts earlier, and no capacity is idle during a fetch. Returns whether the task is delayed.
    */
-  delayForMachineWithImage(job: Job, candidate: CandidateMachine, zones: ZoneCounts): boolean {
+  delayForMachineWithImage(job: Job, candidate: CandidateMachine, tasksPerZone: ZoneCounts): boolean {
     this.snapshot.machineEvaluations += this.snapshot.candidates.length;
     const fetchS = estimatedFetchS(job.spec, candidate);
     if (fetchS < MIN_FETCH_TO_DELAY_S || job.spec.kind === 'service') return false;
     for (const other of this.snapshot.candidates) {
       if (!other.machine.hasImage(job.spec.image)) continue;
-      if (!this.snapshot.allows(job, other, zones, null)) continue;
+      if (!this.snapshot.allows(job, other, tasksPerZone, null)) continue;
       const freeInS = estimatedFreeInS(job.spec, other, this.snapshot.time.now);
       if (freeInS > fetchS * MAX_DELAY_FRACTION) continue;
       addResources(other.delayedDemand, job.spec);
@@ -49,7 +49,7 @@
    * Delays a task if its fetch would run beside another one and a booting machine is expected to start the task sooner.
    * Returns whether the task is delayed.
    */
-  delayForBootingMachine(job: Job, candidate: CandidateMachine, zones: ZoneCounts): boolean {
+  delayForBootingMachine(job: Job, candidate: CandidateMachine, tasksPerZone: ZoneCounts): boolean {
     const { spec } = job;
     const { fetchingImagesGb } = candidate;
     const startsNoSecondFetch =
@@ -57,7 +57,7 @@
       fetchingImagesGb.has(spec.image) ||
       fetchingImagesGb.size === 0;
     if (startsNoSecondFetch) return false;
-    const booting = this.soonestBootingMachine(job, estimatedFetchS(spec, candidate), zones);
+    const booting = this.soonestBootingMachine(job, estimatedFetchS(spec, candidate), tasksPerZone);
     if (!booting) return false;
     addResources(booting.free, spec, -1);
     booting.fetchingImagesGb.set(spec.image, spec.imageGb);
@@ -69,26 +69,30 @@
    * Nominates victims for a service that would otherwise wait for a long fetch: lower-priority tasks on a machine with
    * the image. They save and leave within seconds, and resume elsewhere from their checkpoints.
    */
-  nominateWithImage(job: Job, candidate: CandidateMachine, zones: ZoneCounts): Nomination | null {
+  nominateWithImage(job: Job, candidate: CandidateMachine, tasksPerZone: ZoneCounts): Nomination | null {
     if (job.spec.kind !== 'service') return null;
     const fetchS = estimatedFetchS(job.spec, candidate);
     if (fetchS < MIN_FETCH_TO_PREEMPT_S) return null;
     const maxSaveS = fetchS * MAX_SAVE_FRACTION;
     return this.preemption.nominateWithImage(
       job,
-      zones,
+      tasksPerZone,
       (victim) => checkpointsWithin(victim, maxSaveS),
       null,
     );
   }
 
   /** The booting machine on which the task could start soonest, if that is before `startsInS`; null otherwise. */
-  private soonestBootingMachine(job: Job, startsInS: number, zones: ZoneCounts): CandidateMachine | null {
+  private soonestBootingMachine(
+    job: Job,
+    startsInS: number,
+    tasksPerZone: ZoneCounts,
+  ): CandidateMachine | null {
     const { spec } = job;
     let best: CandidateMachine | null = null;
     let bestS = startsInS;
     for (const booting of this.snapshot.bootingCandidates) {
-      if (!fits(spec, booting.free) || !this.snapshot.allows(job, booting, zones, null)) continue;
+      if (!fits(spec, booting.free) || !this.snapshot.allows(job, booting, tasksPerZone, null)) continue;
       const startS = booting.bootRemainingS + estimatedFetchS(spec, booting);
       if (startS >= bestS) continue;
       best = booting;
--- a/src/core/scheduler/gang-planning.ts
+++ b/src/core/scheduler/gang-planning.ts
@@ -25,7 +25,7 @@
 const MAX_WAIT_FRACTION = 0.5;
 
 /** Selects the machine for the next member, given the zones of the members placed so far. */
-type ChooseMember = (zones: ZoneCounts) => Nomination | null;
+type ChooseMember = (tasksPerZone: ZoneCounts) => Nomination | null;
 
 const nominationWithoutVictims = (candidate: CandidateMachine): Nomination => ({
   candidate,
@@ -59,9 +59,11 @@
 
   /** Nominates victims for the members that fit on no machine; null, without victims, if not all can be placed. */
   nominateVictims(job: Job, tasks: number, zones: (Zone | null)[]): Victim[] | null {
-    return this.firstCompletePlacement(job, tasks, zones, (zone) => (counts) => {
-      const free = this.selection.best(job, counts, zone);
-      return free ? nominationWithoutVictims(free) : this.preemption.nominateVictims(job, counts, zone);
+    return this.firstCompletePlacement(job, tasks, zones, (zone) => (tasksPerZone) => {
+      const candidate = this.selection.best(job, tasksPerZone, zone);
+      return candidate
+        ? nominationWithoutVictims(candidate)
+        : this.preemption.nominateVictims(job, tasksPerZone, zone);
     });
   }
 
@@ -79,25 +81,26 @@
     if (longestFetchS < MIN_FETCH_TO_PREEMPT_S || priorityRank[job.priority] < priorityRank.high) return null;
     const maxWaitS = longestFetchS * MAX_WAIT_FRACTION;
     const mayStop = (victim: Victim): boolean => checkpointsWithin(victim, maxWaitS);
-    return this.firstCompletePlacement(job, tasks, zones, (zone) => (counts) => {
-      const free = this.selection.best(job, counts, zone);
-      if (free && estimatedFetchS(job.spec, free) <= maxWaitS) return nominationWithoutVictims(free);
-      return this.preemption.nominateWithImage(job, counts, mayStop, zone);
+    return this.firstCompletePlacement(job, tasks, zones, (zone) => (tasksPerZone) => {
+      const candidate = this.selection.best(job, tasksPerZone, zone);
+      if (candidate && estimatedFetchS(job.spec, candidate) <= maxWaitS)
+        return nominationWithoutVictims(candidate);
+      return this.preemption.nominateWithImage(job, tasksPerZone, mayStop, zone);
     });
   }
 
   private planInZone(job: Job, tasks: number, zone: Zone | null): GangPlan | null {
     const chosen: CandidateMachine[] = [];
-    const counts: ZoneCounts = new Map();
+    const tasksPerZone: ZoneCounts = new Map();
     let cost = 0;
     let longestFetchS = 0;
     for (let i = 0; i < tasks; i++) {
-      const candidate = this.selection.best(job, counts, zone);
+      const candidate = this.selection.best(job, tasksPerZone, zone);
       if (!candidate) break;
       cost = Math.max(cost, this.selection.score(job.spec, candidate));
       longestFetchS = Math.max(longestFetchS, estimatedFetchS(job.spec, candidate));
       this.snapshot.allocate(job, candidate);
-      this.countForSpread(job, candidate, counts);
+      this.countForSpread(job, candidate, tasksPerZone);
       chosen.push(candidate);
     }
     // The allocations were tentative. A task that failed to fit beside part of the gang may fit without it.
@@ -128,13 +131,13 @@
   ): Victim[] | null {
     const victims: Victim[] = [];
     const reserved: CandidateMachine[] = [];
-    const counts: ZoneCounts = new Map();
+    const tasksPerZone: ZoneCounts = new Map();
     while (reserved.length < tasks) {
-      const nomination = choose(counts);
+      const nomination = choose(tasksPerZone);
       if (!nomination) break;
       victims.push(...nomination.victims);
       this.snapshot.reserveWithVictims(job, nomination.candidate, nomination.victims, new Map());
-      this.countForSpread(job, nomination.candidate, counts);
+      this.countForSpread(job, nomination.candidate, tasksPerZone);
       reserved.push(nomination.candidate);
     }
     if (reserved.length === tasks) return victims;
@@ -145,10 +148,10 @@
   }
 
   /** Counts the member's zone if the gang must be spread. One-zone gangs are planned per zone instead. */
-  private countForSpread(job: Job, candidate: CandidateMachine, counts: ZoneCounts): void {
+  private countForSpread(job: Job, candidate: CandidateMachine, tasksPerZone: ZoneCounts): void {
     if (!job.spec.spread) return;
     const { zone } = candidate.machine.info;
-    counts.set(zone, (counts.get(zone) ?? 0) + 1);
+    tasksPerZone.set(zone, (tasksPerZone.get(zone) ?? 0) + 1);
   }
 
   private forgetUnschedulable(job: Job, zone: Zone | null): void {
--- a/src/core/scheduler/guarantee-accounting.ts
+++ b/src/core/scheduler/guarantee-accounting.ts
@@ -15,7 +15,7 @@
 /** The remaining usage of each team, without the tasks that are stopping or nominated as victims. */
 export class GuaranteeAccounting {
   private readonly remainingUsage = new Map<Team, Resources>();
-  /** Number of nominated members of each gang. All members stop with the first, so the gang is subtracted only once. */
+  /** Number of victims in each gang. All members stop with the first victim, so the gang is subtracted only once. */
   private readonly nominatedMembers = new Map<Job, number>();
 
   constructor(
@@ -44,7 +44,7 @@
     );
   }
 
-  /** The number of tasks that stop if one more task of the job is nominated; 0 if its gang is stopping already. */
+  /** The number of tasks that stop if one more task of the job becomes a victim; 0 if its whole gang stops already. */
   tasksStoppedWith(job: Job): number {
     if (job.spec.kind !== 'gang') return 1;
     return this.nominatedMembers.has(job) ? 0 : remainingTasks(job);
--- a/src/core/scheduler/placement-constraints.ts
+++ b/src/core/scheduler/placement-constraints.ts
@@ -14,9 +14,13 @@
   (spec.spot || !spot);
 
 /** Whether the job's `oneZone` and `spread` constraints permit one more task in the zone. */
-export const zoneAllowsOneMore = (spec: JobSpec, zone: Zone, zones: ReadonlyMap<Zone, number>): boolean => {
-  if (spec.oneZone && zones.size > 0 && !zones.has(zone)) return false;
-  return !spec.spread || (zones.get(zone) ?? 0) < Math.ceil(spec.tasks / 2);
+export const zoneAllowsOneMore = (
+  spec: JobSpec,
+  zone: Zone,
+  tasksPerZone: ReadonlyMap<Zone, number>,
+): boolean => {
+  if (spec.oneZone && tasksPerZone.size > 0 && !tasksPerZone.has(zone)) return false;
+  return !spec.spread || (tasksPerZone.get(zone) ?? 0) < Math.ceil(spec.tasks / 2);
 };
 
 /** Whether a team that uses `used` may use `additional` as well. A team without a quota may not use anything. */
@@ -34,7 +38,7 @@
   );
 };
 
-/** The signature shared by tasks that the filter treats alike, so that a failure is determined once per cycle. */
+/** The signature shared by tasks that the filter treats alike: one failed search per cycle is enough for all of them. */
 export const constraintSignature = ({ spec, priority }: { spec: JobSpec; priority: Priority }): string => {
   const types = spec.types?.join(',') ?? '';
   return `${spec.cpus}|${spec.gpus}|${spec.memoryGb}|${types}|${spec.zone ?? ''}|${spec.spot}|${priority}`;
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -51,14 +51,17 @@
    * Nominates lower-priority tasks or, failing that, for a job within its team's guarantee, tasks that other teams run
    * beyond their guarantees. A nomination without victims means that tasks already stopping will release enough.
    */
-  nominateVictims(job: Job, zones: ZoneCounts, onlyZone: Zone | null = null): Nomination | null {
-    return this.nominateLowerPriority(job, zones, onlyZone) ?? this.nominateReclaim(job, zones, onlyZone);
+  nominateVictims(job: Job, tasksPerZone: ZoneCounts, onlyZone: Zone | null = null): Nomination | null {
+    return (
+      this.nominateLowerPriority(job, tasksPerZone, onlyZone) ??
+      this.nominateReclaim(job, tasksPerZone, onlyZone)
+    );
   }
 
   /** Nominates lower-priority tasks that pass the filter, on a machine that has the job's image. */
   nominateWithImage(
     job: Job,
-    zones: ZoneCounts,
+    tasksPerZone: ZoneCounts,
     mayStop: VictimFilter,
     onlyZone: Zone | null,
   ): Nomination | null {
@@ -67,42 +70,49 @@
     let best: Nomination | null = null;
     for (const candidate of candidates) {
       if (!candidate.machine.hasImage(job.spec.image)) continue;
-      if (!this.snapshot.allows(job, candidate, zones, onlyZone)) continue;
+      if (!this.snapshot.allows(job, candidate, tasksPerZone, onlyZone)) continue;
       const found = this.victimsOn(job, candidate, mayStop);
       if (found && (best === null || found.cost < best.cost)) best = { candidate, ...found };
     }
     return best;
   }
 
-  /** Discards recorded failures that may have been due to a tentative placement, now reverted. */
+  /**
+   * Discards the records that no victims were found for tasks like the job's. A tentative placement, now reverted, may
+   * have been the reason.
+   */
   forgetUnschedulable(job: Job, onlyZone: Zone | null): void {
     this.unschedulable.forget(job, onlyZone);
     this.unschedulableByReclaim.forget(job, onlyZone);
   }
 
   /** Nominates lower-priority tasks on the machine where stopping them costs least. */
-  private nominateLowerPriority(job: Job, zones: ZoneCounts, onlyZone: Zone | null): Nomination | null {
+  private nominateLowerPriority(
+    job: Job,
+    tasksPerZone: ZoneCounts,
+    onlyZone: Zone | null,
+  ): Nomination | null {
     if (this.unschedulable.has(job, onlyZone)) return null;
     const candidates = this.snapshot.preemptionCandidates(job.priority);
     this.snapshot.machineEvaluations += candidates.length;
     let best: Nomination | null = null;
     for (const candidate of candidates) {
-      if (!this.snapshot.allows(job, candidate, zones, onlyZone)) continue;
+      if (!this.snapshot.allows(job, candidate, tasksPerZone, onlyZone)) continue;
       const found = this.cachedVictimsOn(job, candidate);
       if (found && (best === null || found.cost < best.cost)) best = { candidate, ...found };
     }
-    if (!best) this.unschedulable.record(job, zones, onlyZone);
+    if (!best) this.unschedulable.record(job, tasksPerZone, onlyZone);
     return best;
   }
 
   /** Nominates tasks that other teams run beyond their guarantees, on the machine where stopping them costs least. */
-  private nominateReclaim(job: Job, zones: ZoneCounts, onlyZone: Zone | null): Nomination | null {
+  private nominateReclaim(job: Job, tasksPerZone: ZoneCounts, onlyZone: Zone | null): Nomination | null {
     if (!job.withinGuarantee || this.unschedulableByReclaim.has(job, onlyZone)) return null;
     const { candidates, guaranteeAccounting, time } = this.snapshot;
     let best: Nomination | null = null;
     let soonestStartS = Infinity;
     for (const candidate of candidates) {
-      if (!this.snapshot.allows(job, candidate, zones, onlyZone)) continue;
+      if (!this.snapshot.allows(job, candidate, tasksPerZone, onlyZone)) continue;
       this.snapshot.machineEvaluations += candidate.machine.placements.size;
       const mayStop = (victim: Victim): boolean => !this.snapshot.isNominated(victim.placement);
       const found = reclaimVictims(job, candidate, mayStop, guaranteeAccounting, time);
@@ -111,7 +121,7 @@
       if (found && (best === null || found.cost + fetchS < best.cost))
         best = { candidate, victims: found.victims, cost: found.cost + fetchS };
     }
-    if (!best) this.unschedulableByReclaim.record(job, zones, onlyZone);
+    if (!best) this.unschedulableByReclaim.record(job, tasksPerZone, onlyZone);
     // No task is stopped if the capacity is expected to become free just as soon without preemption.
     return best && soonestStartS > estimatedStartInS(job, best) ? best : null;
   }
--- a/src/core/scheduler/scheduling-cycle.ts
+++ b/src/core/scheduler/scheduling-cycle.ts
@@ -93,13 +93,13 @@
 
   /** Places the tasks of an array or a service independently of one another. */
   private placeIndependentTasks(job: Job, pending: number[]): void {
-    const zones = this.snapshot.zonesOf(job);
+    const tasksPerZone = this.snapshot.tasksPerZone(job);
     for (const [i, index] of pending.entries()) {
       if (!this.snapshot.teamAllows(job, 1)) {
         job.waitReason = { why: 'team limit' };
         return; // not added to `unplaced`: more machines would not help
       }
-      if (this.placeTask(job, index, zones)) continue;
+      if (this.placeTask(job, index, tasksPerZone)) continue;
       job.waitReason = { why: 'no machine with room' };
       this.result.unplaced.push({ job, tasks: job.pendingCount - i });
       return;
@@ -110,28 +110,28 @@
    * Places the task, or delays it for victims, a machine with its image or a booting machine. Returns false if none of
    * these is possible.
    */
-  private placeTask(job: Job, index: number, zones: ZoneCounts): boolean {
-    const candidate = this.selection.best(job, zones);
+  private placeTask(job: Job, index: number, tasksPerZone: ZoneCounts): boolean {
+    const candidate = this.selection.best(job, tasksPerZone);
     if (!candidate) {
-      const nomination = this.preemption.nominateVictims(job, zones);
-      if (nomination) this.reserveWithVictims(job, nomination, zones);
+      const nomination = this.preemption.nominateVictims(job, tasksPerZone);
+      if (nomination) this.reserveWithVictims(job, nomination, tasksPerZone);
       return nomination !== null;
     }
-    const withImage = this.delays.nominateWithImage(job, candidate, zones);
-    if (withImage) this.reserveWithVictims(job, withImage, zones);
-    else if (!this.delayStart(job, candidate, zones)) this.assume(job, index, candidate, zones);
+    const withImage = this.delays.nominateWithImage(job, candidate, tasksPerZone);
+    if (withImage) this.reserveWithVictims(job, withImage, tasksPerZone);
+    else if (!this.delayStart(job, candidate, tasksPerZone)) this.assume(job, index, candidate, tasksPerZone);
     return true;
   }
 
-  private delayStart(job: Job, candidate: CandidateMachine, zones: ZoneCounts): boolean {
+  private delayStart(job: Job, candidate: CandidateMachine, tasksPerZone: ZoneCounts): boolean {
     return (
-      this.delays.delayForMachineWithImage(job, candidate, zones) ||
-      this.delays.delayForBootingMachine(job, candidate, zones)
+      this.delays.delayForMachineWithImage(job, candidate, tasksPerZone) ||
+      this.delays.delayForBootingMachine(job, candidate, tasksPerZone)
     );
   }
 
-  private reserveWithVictims(job: Job, { candidate, victims }: Nomination, zones: ZoneCounts): void {
-    this.snapshot.reserveWithVictims(job, candidate, victims, zones);
+  private reserveWithVictims(job: Job, { candidate, victims }: Nomination, tasksPerZone: ZoneCounts): void {
+    this.snapshot.reserveWithVictims(job, candidate, victims, tasksPerZone);
     this.addVictims(job, victims);
   }
 
@@ -173,9 +173,9 @@
     this.result.unplaced.push({ job, tasks });
   }
 
-  private assume(job: Job, index: number, candidate: CandidateMachine, zones: ZoneCounts): void {
+  private assume(job: Job, index: number, candidate: CandidateMachine, tasksPerZone: ZoneCounts): void {
     const { image, imageGb } = job.spec;
-    this.snapshot.assumeTask(job, candidate, zones);
+    this.snapshot.assumeTask(job, candidate, tasksPerZone);
     candidate.isEmpty = false;
     if (!candidate.machine.hasImage(image)) candidate.fetchingImagesGb.set(image, imageGb);
     this.result.placed.push({ job, index, machine: candidate.machine });
--- a/src/core/scheduler/snapshot.ts
+++ b/src/core/scheduler/snapshot.ts
@@ -45,7 +45,7 @@
   /** Machines that are up and schedulable. */
   readonly candidates: CandidateMachine[] = [];
   readonly bootingCandidates: CandidateMachine[] = [];
-  /** Machines with capacity for the smallest queued task: the only ones for a placement without victims. */
+  /** Machines with capacity for the smallest queued task. Placements without victims consider only these. */
   readonly candidatesWithCapacity: CandidateMachine[] = [];
   /** Number of machine evaluations so far, which measures the cost of the cycle. */
   machineEvaluations = 0;
@@ -78,27 +78,27 @@
   }
 
   /** The number of the job's placed tasks in each zone, including tasks that are stopping. */
-  zonesOf(job: Job): ZoneCounts {
-    const zones: ZoneCounts = new Map();
+  tasksPerZone(job: Job): ZoneCounts {
+    const tasksPerZone: ZoneCounts = new Map();
     for (const placement of job.placements.values()) {
       const zone = this.input.machines.get(placement.machine)?.info.zone;
-      if (zone !== undefined) zones.set(zone, (zones.get(zone) ?? 0) + 1);
+      if (zone !== undefined) tasksPerZone.set(zone, (tasksPerZone.get(zone) ?? 0) + 1);
     }
-    return zones;
+    return tasksPerZone;
   }
 
   /**
-   * Whether all constraints except capacity permit one more task of the job on the machine. `zones` counts the job's
-   * other tasks; `onlyZone`, unless it is null, is the only zone considered.
+   * Whether all constraints except capacity permit one more task of the job on the machine. `tasksPerZone` counts
+   * the job's other tasks; `onlyZone`, unless it is null, is the only zone considered.
    */
-  allows(job: Job, candidate: CandidateMachine, zones: ZoneCounts, onlyZone: Zone | null): boolean {
+  allows(job: Job, candidate: CandidateMachine, tasksPerZone: ZoneCounts, onlyZone: Zone | null): boolean {
     const { info } = candidate.machine;
     const { spec } = job;
     if (candidate.reservedFor !== null && candidate.reservedFor !== job) return false;
     if (onlyZone !== null && info.zone !== onlyZone) return false;
     if (!mayRunOn(spec, info.type, info.zone, info.spot)) return false;
     if (job.errorMachines.has(info.id)) return false;
-    return zoneAllowsOneMore(spec, info.zone, zones);
+    return zoneAllowsOneMore(spec, info.zone, tasksPerZone);
   }
 
   /** Whether the job's team stays within its limit with this number of additional tasks of the job. */
@@ -109,13 +109,13 @@
   }
 
   /** Records a task as placed, whether it can start at once or must wait for its victims to stop. */
-  assumeTask(job: Job, candidate: CandidateMachine, zones: ZoneCounts): void {
+  assumeTask(job: Job, candidate: CandidateMachine, tasksPerZone: ZoneCounts): void {
     this.allocate(job, candidate);
     const used = this.usage.get(job.spec.team) ?? noResources();
     addResources(used, job.spec);
     this.usage.set(job.spec.team, used);
     const { zone } = candidate.machine.info;
-    zones.set(zone, (zones.get(zone) ?? 0) + 1);
+    tasksPerZone.set(zone, (tasksPerZone.get(zone) ?? 0) + 1);
   }
 
   /** Reverts `assumeTask`, except for the zone counts. */
@@ -137,7 +137,12 @@
   }
 
   /** Records a task as placed on capacity that victims will release, so that no later job in the queue can take it. */
-  reserveWithVictims(job: Job, candidate: CandidateMachine, victims: Victim[], zones: ZoneCounts): void {
+  reserveWithVictims(
+    job: Job,
+    candidate: CandidateMachine,
+    victims: Victim[],
+    tasksPerZone: ZoneCounts,
+  ): void {
     for (const victim of victims) {
       this.nominated.add(victim.placement);
       addResources(candidate.releasing, victim.job.spec);
@@ -148,7 +153,7 @@
       candidate.hasStoppingTasks = true;
       this.preemptionCandidatesByRank = [];
     }
-    this.assumeTask(job, candidate, zones);
+    this.assumeTask(job, candidate, tasksPerZone);
   }
 
   /** Reverts the nomination of victims for a placement that could not be completed. */
--- a/src/core/scheduler/unschedulable-signatures.ts
+++ b/src/core/scheduler/unschedulable-signatures.ts
@@ -6,7 +6,7 @@
 const zoneSignature = (signature: string, zone: Zone): string => `${signature}|${zone}`;
 
 /**
- * The signatures for which no machine was found. Capacity only shrinks within a cycle, so the failure holds for all
+ * The signatures for which no machine was found. Capacity only shrinks within a cycle, so this result holds for all
  * tasks with the same signature, until a tentative placement is reverted.
  */
 export class UnschedulableSignatures {
@@ -20,16 +20,19 @@
     return onlyZone !== null && this.unschedulable.has(zoneSignature(signature, onlyZone));
   }
 
-  /** Records a failure, unless the zones of the job's other tasks or the machines that it avoids may have caused it. */
-  record(job: Job, zones: ZoneCounts, onlyZone: Zone | null): void {
+  /**
+   * Records that no machine was found for a task with the job's signature, unless the zones of the job's other tasks or
+   * the machines that the job avoids may be the reason.
+   */
+  record(job: Job, tasksPerZone: ZoneCounts, onlyZone: Zone | null): void {
     const { spread, oneZone } = job.spec;
-    const zonesMatter = zones.size > 0 && (spread || oneZone);
+    const zonesMatter = tasksPerZone.size > 0 && (spread || oneZone);
     if (zonesMatter || job.errorMachines.size > 0) return;
     const signature = this.signatureOf(job);
     this.unschedulable.add(onlyZone === null ? signature : zoneSignature(signature, onlyZone));
   }
 
-  /** Discards the failures recorded for the job's signature, for any zone and for the given one. */
+  /** Discards the records for the job's signature, for any zone and for the given one. */
   forget(job: Job, onlyZone: Zone | null): void {
     const signature = this.signatureOf(job);
     this.unschedulable.delete(signature);
--- a/src/core/worker-timings.ts
+++ b/src/core/worker-timings.ts
@@ -7,8 +7,8 @@
   leaseS: number;
   /** How long the members of a gang wait for one another. */
   gangWaitS: number;
-  /** Members of a gang detect within this time that another one is gone, and must all have stopped within it. */
-  gangPeerS: number;
+  /** Once a member of a gang is gone, the other members must have detected this and stopped within this time. */
+  gangMemberLossTimeoutS: number;
   /** All tasks of a job must be gone within this time of its confirmed cancellation. */
   cancelS: number;
 }
--- a/src/runtime/cancellations/cancellation-feed.ts
+++ b/src/runtime/cancellations/cancellation-feed.ts
@@ -102,7 +102,7 @@
     return now <= this.cancellationLog.provenUntil(now) + this.renewalWindowMs;
   }
 
-  /** Age of the instant up to which all cancellations are proven to be known; null if there is no such proof. */
+  /** All cancellations confirmed at least this long ago are provably known; null if this isn't proven for any age. */
   coverageAgeMs(now: MonotonicTime): number | null {
     const until = this.cancellationLog.provenUntil(now);
     return until === -Infinity ? null : Math.round(now - until);
@@ -144,10 +144,15 @@
     if (added.length > 0) this.dependencies.onCancelled(added);
   }
 
-  /** Logs a malformed page. The page is dropped and proves nothing. */
+  /** Logs a malformed page or push. The message is dropped and proves nothing. */
   onMalformedPage(peer: NodeName | null, cause: string): void {
     const { log } = this.dependencies;
-    log.rateLimited('peer-frame', 'info', { peer, cause }, 'malformed cancellations of a peer dropped');
+    log.rateLimited(
+      'peer-frame',
+      'info',
+      { peer, cause },
+      'malformed cancellation message from a peer dropped',
+    );
   }
 
   private addAll(jobs: JobId[]): void {
--- a/src/runtime/leadership/effect-executor.ts
+++ b/src/runtime/leadership/effect-executor.ts
@@ -71,9 +71,9 @@
 
   private async readFinalRecord(leader: Leader, { job }: EffectOf<'read-final-record'>): Promise<void> {
     const { records, isStopped, onOutcome } = this.dependencies;
-    const state = await records.readFinalRecord(job);
+    const finalState = await records.readFinalRecord(job);
     if (isStopped()) return;
-    leader.onFinalRecordRead(job, state, monotonicNow());
+    leader.onFinalRecordRead(job, finalState, monotonicNow());
     onOutcome();
   }
 
--- a/src/runtime/leadership/leader-election.ts
+++ b/src/runtime/leadership/leader-election.ts
@@ -76,7 +76,7 @@
   start(): void {
     const { store, log, leaseMs } = this.dependencies;
     void watchLeaderKey(store, {
-      checkLeaderKey: () => this.checkLeaderKey(),
+      readOrAcquireLeaderKey: () => this.readOrAcquireLeaderKey(),
       onLeader: (node, term) => this.updateLeader(node, term),
     });
     void renewHeldLease({
@@ -116,7 +116,7 @@
     this.dependencies.events.onLeadershipLost(reason);
   }
 
-  private async checkLeaderKey(): Promise<void> {
+  private async readOrAcquireLeaderKey(): Promise<void> {
     const current = await this.dependencies.store.get(keys.leader, budgetReserves.urgent);
     if (current.kind === 'gone') await this.acquire();
     else if (current.kind === 'ok') {
@@ -150,7 +150,8 @@
       await sleep(PROBE_INTERVAL_MS);
       const responseIsStale =
         monotonicNow() - this.dependencies.store.lastResponseAt >= STORE_RESPONSE_FRESH_MS;
-      if (responseIsStale || (!this.holdsLease && !this.hasOtherLeader())) await this.checkLeaderKey();
+      if (responseIsStale || (!this.holdsLease && !this.hasOtherLeader()))
+        await this.readOrAcquireLeaderKey();
     }
   }
 
--- a/src/runtime/leadership/leader-key-watch.ts
+++ b/src/runtime/leadership/leader-key-watch.ts
@@ -11,7 +11,7 @@
 /** Callbacks of the leader key watch. */
 export interface LeaderKeyListener {
   /** Reads the leader key, and runs for election if it doesn't exist. */
-  checkLeaderKey: () => Promise<void>;
+  readOrAcquireLeaderKey: () => Promise<void>;
   /** The leader key was written and names this leader. */
   onLeader: (node: NodeName, term: Term) => void;
 }
@@ -30,7 +30,7 @@
         continue;
       }
       since = listing.value.storeRevision;
-      await listener.checkLeaderKey();
+      await listener.readOrAcquireLeaderKey();
     }
     const outcome = await store.watch(keys.leaderPrefix, since, LEADER_KEY_WATCH_TIMEOUT_MS);
     if (outcome.kind === 'ok') {
@@ -44,7 +44,7 @@
 const onChange = (change: ChangeEvent, listener: LeaderKeyListener): void => {
   if (change.key !== keys.leader) return;
   if (change.kind === 'deleted') {
-    void listener.checkLeaderKey();
+    void listener.readOrAcquireLeaderKey();
     return;
   }
   const leader = parseLeaderRecord(change.data);
--- a/src/runtime/leadership/leader-records.ts
+++ b/src/runtime/leadership/leader-records.ts
@@ -92,8 +92,8 @@
 
   /** Returns null if there is no final record or the store gave no usable response. */
   async readFinalRecord(job: JobId): Promise<FinalState | null> {
-    const final = await this.dependencies.store.get(keys.finalRecord(job), budgetReserves.urgent);
-    return final.kind === 'ok' ? (parseFinalRecord(final.value.data)?.state ?? null) : null;
+    const outcome = await this.dependencies.store.get(keys.finalRecord(job), budgetReserves.urgent);
+    return outcome.kind === 'ok' ? (parseFinalRecord(outcome.value.data)?.state ?? null) : null;
   }
 
   /** Writes a page of the machine registry, or deletes an empty one; returns false if this must be retried. */
@@ -114,8 +114,8 @@
   }
 
   /** Deletes unused records at low priority; the next leadership deletes those that are left when this one ends. */
-  async deleteKeys(unused: string[]): Promise<void> {
-    let remaining = unused;
+  async deleteKeys(unusedKeys: string[]): Promise<void> {
+    let remaining = unusedKeys;
     while (remaining.length > 0 && !this.stopped) {
       const batch = remaining.slice(0, this.dependencies.limits.maxTransactionChanges);
       const changes = batch.map((key) => ({ delete: key }));
@@ -130,11 +130,11 @@
    * whose response was lost, was executed.
    */
   private async readChangedRecord(job: JobId): Promise<FinalRecordOutcome> {
-    const active = await this.dependencies.store.get(keys.jobRecord(job), budgetReserves.urgent);
-    const record = active.kind === 'ok' ? parseJobRecord(active.value.data) : null;
-    if (active.kind === 'ok' && record) return { kind: 'changed', record, revision: active.value.revision };
-    const final = active.kind === 'gone' ? await this.readFinalRecord(job) : null;
-    return final === null ? { kind: 'retry' } : { kind: 'ok', state: final };
+    const outcome = await this.dependencies.store.get(keys.jobRecord(job), budgetReserves.urgent);
+    const record = outcome.kind === 'ok' ? parseJobRecord(outcome.value.data) : null;
+    if (outcome.kind === 'ok' && record) return { kind: 'changed', record, revision: outcome.value.revision };
+    const finalState = outcome.kind === 'gone' ? await this.readFinalRecord(job) : null;
+    return finalState === null ? { kind: 'retry' } : { kind: 'ok', state: finalState };
   }
 
   /** Makes each write conditional on this leadership's leader key, so that a late write of a former leader fails. */
--- a/src/runtime/leadership/progress-store.ts
+++ b/src/runtime/leadership/progress-store.ts
@@ -58,7 +58,9 @@
     if (current.kind === 'gone') this.revisions.delete(key);
     if (current.kind !== 'ok') return { kind: 'retry' };
     this.revisions.set(key, current.value.revision);
-    const bits = parseProgressRecord(current.value.data);
-    return bits === null ? { kind: 'retry' } : { kind: 'changed', bytes: Buffer.from(bits, 'base64') };
+    const bitsBase64 = parseProgressRecord(current.value.data);
+    return bitsBase64 === null
+      ? { kind: 'retry' }
+      : { kind: 'changed', bytes: Buffer.from(bitsBase64, 'base64') };
   }
 }
--- a/src/runtime/leadership/stored-state.ts
+++ b/src/runtime/leadership/stored-state.ts
@@ -62,8 +62,8 @@
 const loadProgress = (item: Item, { leader, records }: StoredStateLoadDependencies): void => {
   const { job, segment } = progressKeyParts(item.key);
   records.recordLoadedProgress(item.key, item.revision);
-  const bits = parseProgressRecord(item.data);
-  if (bits !== null) leader.loadProgress(job, segment, Buffer.from(bits, 'base64'));
+  const bitsBase64 = parseProgressRecord(item.data);
+  if (bitsBase64 !== null) leader.loadProgress(job, segment, Buffer.from(bitsBase64, 'base64'));
 };
 
 const progressKeyParts = (key: string): { job: JobId; segment: SegmentName } => {
--- a/src/runtime/workers/heartbeat-handler.ts
+++ b/src/runtime/workers/heartbeat-handler.ts
@@ -54,15 +54,15 @@
 /** A reply to a heartbeat that a peer forwarded. */
 export interface ForwardedHeartbeatResult extends HttpReply {
   /**
-   * The leader has no command for the machine and awaits no change of it: the next heartbeats need not be forwarded
-   * while they are unchanged.
+   * The leader has no command for the machine and expects no change from it. The peer need not forward the worker's
+   * next heartbeats until one differs from this one.
    */
   inSync: boolean;
 }
 
 /** The result of a heartbeat, and its machine if this controller holds the leader lease. */
 interface RoutedHeartbeat extends HeartbeatResult {
-  machineIfLeader?: MachineId;
+  machineHandledAsLeader?: MachineId;
 }
 
 /** Replies to heartbeats, and records which workers send them to this controller. */
@@ -125,7 +125,7 @@
   /** Handles a heartbeat that a peer forwarded. */
   async handleForwarded(body: Buffer): Promise<ForwardedHeartbeatResult> {
     const now = this.clock();
-    const { outcome, reply, machineIfLeader: machine } = await this.process(body, 'peer', now);
+    const { outcome, reply, machineHandledAsLeader: machine } = await this.process(body, 'peer', now);
     this.countOutcome(outcome, now);
     const leader = this.dependencies.leaderLoop()?.leader;
     const inSync = machine !== undefined && (leader?.isInSync(machine) ?? false);
@@ -138,8 +138,8 @@
   }
 
   /** Machines whose last heartbeat to this controller is at least this old, with the tasks that it reported. */
-  machinesWithoutHeartbeatFor(ms: number, now: MonotonicTime): MachineTasks[] {
-    return this.lastHeartbeats.olderThan(ms, now);
+  machinesWithoutHeartbeatFor(minAgeMs: number, now: MonotonicTime): MachineTasks[] {
+    return this.lastHeartbeats.olderThan(minAgeMs, now);
   }
 
   /** Returns those of the machines that sent a heartbeat to this controller within the last lease duration. */
@@ -163,7 +163,7 @@
     const heartbeat = parsed.value;
     if (from === 'worker') this.lastHeartbeats.record(heartbeat, now);
     if (election.holdsLease)
-      return { ...this.respondAsLeader(heartbeat, from, now), machineIfLeader: heartbeat.id };
+      return { ...this.respondAsLeader(heartbeat, from, now), machineHandledAsLeader: heartbeat.id };
     const route = this.leaderRoute(now);
     if (route) {
       if (route.leader.leading) this.leaderlessRenewal.recordLeaderSeen(now);
@@ -230,7 +230,7 @@
     const { term, leading } = route.leader;
     if (
       this.mayConfirmUnchanged(heartbeat, now) &&
-      this.unchangedHeartbeats.tryConfirmUnchanged(heartbeat, route)
+      this.unchangedHeartbeats.tryQueueConfirmation(heartbeat, route)
     )
       return leaseRenewed('confirmed unchanged', heartbeatReply(term, []));
     const response = await route.sendRequest(
--- a/src/runtime/workers/leaderless-fencing.ts
+++ b/src/runtime/workers/leaderless-fencing.ts
@@ -113,7 +113,7 @@
     );
     if (unreachable.length === 0) return;
     const ok = await cloud.deleteMachines(unreachable);
-    log.info({ machines: unreachable, ok }, 'machines fenced without a leader');
+    log.info({ machines: unreachable, ok }, 'machine deletion requested without a leader');
     if (ok) for (const id of unreachable) heartbeatHandler.removeHeartbeat(id);
   }
 
--- a/src/runtime/workers/leaderless-renewal.ts
+++ b/src/runtime/workers/leaderless-renewal.ts
@@ -36,7 +36,7 @@
 
   constructor(private readonly dependencies: LeaderlessRenewalDependencies) {}
 
-  /** Records that there was a leader at this time, from which the renewal of leases without a leader is bounded. */
+  /** Records that a leader existed at this time. The time limit for renewals without a leader starts then. */
   recordLeaderSeen(at: number): void {
     this.leaderSeenAt = Math.max(this.leaderSeenAt, at);
   }
@@ -71,8 +71,8 @@
     if (this.isIsolated(now) && redirection.tryClaimRedirect(heartbeat.id, now)) return redirected(null);
     const term = highestKnownTerm(election.electionState);
     // A fencing token above the known term means that another controller has a newer leader. A worker that returns
-    // after a redirect has not found that leader. It gets its own token in the reply, because it would ignore a lower
-    // one and still stay at this controller.
+    // after a redirect has not found that leader. The reply contains the token of the worker's heartbeat, because the
+    // worker ignores replies with a lower token but would continue to send heartbeats to this controller.
     const newerLeader = heartbeat.fencingToken > term;
     if (newerLeader && (storeAvailable() || redirection.tryClaimRedirect(heartbeat.id, now)))
       return redirected(null);
--- a/src/runtime/workers/unchanged-heartbeats.ts
+++ b/src/runtime/workers/unchanged-heartbeats.ts
@@ -13,7 +13,7 @@
 /** Bounds the memory use, because requests may contain an unlimited number of different machine ids. */
 const MAX_SYNCED_MACHINES = 5000;
 
-/** A machine for which the leader has no command and from which it awaits no change. */
+/** A machine for which the leader has no command and from which it expects no change. */
 interface SyncedMachine {
   term: Term;
   /** The heartbeat that the leader has processed in full. */
@@ -29,8 +29,8 @@
   private batchRoute: LeaderRoute | null = null;
 
   /**
-   * Records that the leader processed this heartbeat; `inSync`: it has no command for the machine and awaits no change
-   * of it.
+   * Records that the leader processed this heartbeat; `inSync`: it has no command for the machine and expects no change
+   * from it.
    */
   recordFullHeartbeat(heartbeat: Heartbeat, term: Term, inSync: boolean): void {
     if (!inSync || heartbeat.interruptionNoticeS !== null || !equalUint64(heartbeat.fencingToken, term)) {
@@ -41,8 +41,11 @@
     this.synced.set(heartbeat.id, { term, base: heartbeat, confirmedSequence: heartbeat.sequence });
   }
 
-  /** Returns whether this controller may reply to the heartbeat; if so, the next batch confirms it to the leader. */
-  tryConfirmUnchanged(heartbeat: Heartbeat, route: LeaderRoute): boolean {
+  /**
+   * If the heartbeat is unchanged, adds it to the next batch of confirmations to the leader and returns true: this
+   * controller may then reply to it.
+   */
+  tryQueueConfirmation(heartbeat: Heartbeat, route: LeaderRoute): boolean {
     const machine = this.synced.get(heartbeat.id);
     if (!machine || !isUnchanged(heartbeat, machine, route.leader.term)) return false;
     machine.confirmedSequence = heartbeat.sequence;
--- a/src/runtime/workers/worker-redirection.ts
+++ b/src/runtime/workers/worker-redirection.ts
@@ -11,7 +11,7 @@
 const REDIRECT_INTERVAL_MS = 20_000;
 /** Bounds the memory use, because requests may contain an unlimited number of different machine ids. */
 const MAX_REDIRECTED_MACHINES = 5000;
-/** Direct heartbeats that a leader accepts, per second and processor core of its limit. */
+/** Direct heartbeats per second, for each core of its CPU limit, above which a leader redirects workers. */
 const DIRECT_HEARTBEATS_PER_S_PER_CORE = 200;
 const MIN_DIRECT_HEARTBEATS_PER_S = 10;
 
--- a/src/test/mutations-fault-combinations.test.ts
+++ b/src/test/mutations-fault-combinations.test.ts
@@ -27,7 +27,7 @@
 };
 
 test('mutation: placement ignores the zone of the other tasks of a single-zone job', async (t: TestContext) => {
-  t.mock.method(Snapshot.prototype, 'zonesOf', () => new Map());
+  t.mock.method(Snapshot.prototype, 'tasksPerZone', () => new Map());
   assert.match(await violationsOf(zoneBoundJobsLoseMachines), /wrong_place/);
 });
 
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -239,7 +239,7 @@
   const want = (over: Partial<JobSpec>, tasks: number, isForecast = false) => ({
     spec: jobSpec('wk-1', over),
     tasks,
-    zones: new Map<Zone, number>(),
+    tasksPerZone: new Map<Zone, number>(),
     isForecast,
   });
   const plan = (wants: ReturnType<typeof want>[], refused: string[] = []) =>
@@ -278,7 +278,7 @@
   const big = makeJob('wk-1', { tasks: 100_000 });
   assert.deepEqual(big.firstPending(2), [0, 1]);
   const bits = new Uint8Array(2048).fill(255);
-  for (let i = 0; i < 6; i++) big.confirmCompletions(String(i) as SegmentName, i * bits.length, bits);
+  for (let i = 0; i < 6; i++) big.recordPersistedCompletions(String(i) as SegmentName, i * bits.length, bits);
   assert.equal(big.completedCount, 98_304);
   assert.deepEqual(big.firstPending(1), [98_304]);
   const machine = makeMachine('a', 'small', 'east');
@@ -287,6 +287,6 @@
   big.removePlacement(98_304);
   assert.deepEqual(big.firstPending(2), [98_304, 98_305]);
   big.markCompleted(99_999);
-  assert.deepEqual([...big.progress.unpersisted], [99_999]);
+  assert.deepEqual([...big.progress.completionsToPersist], [99_999]);
   assert.ok(!big.isDurable(99_999));
 });
--- a/src/test/sim/cluster-setup.ts
+++ b/src/test/sim/cluster-setup.ts
@@ -62,7 +62,7 @@
   heartbeatIntervalS: 1.5,
   leaseS: 10,
   gangWaitS: 40,
-  gangPeerS: 4,
+  gangMemberLossTimeoutS: 4,
   cancelS: 40,
   ...workers,
 });
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -25,7 +25,7 @@
 const TICK_MS = 200;
 /** How long a worker fetches an image. */
 export const FETCH_MS = 500;
-const times = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
+const times = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangMemberLossTimeoutS: 6, cancelS: 40 };
 
 /** The commands of one request straight to a worker. */
 export type DirectCommands = Extract<Effect, { kind: 'send-direct-commands' }>;
--- a/src/test/sim/leader-simulation.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -26,7 +26,13 @@
 /** A leader with its surroundings; tests inject faults by setting fields and calling methods. */
 export class LeaderSimulation {
   readonly clock = new VirtualClock();
-  readonly timings = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
+  readonly timings = {
+    heartbeatIntervalS: 2,
+    leaseS: 12,
+    gangWaitS: 30,
+    gangMemberLossTimeoutS: 6,
+    cancelS: 40,
+  };
   readonly checker: InvariantChecker;
   readonly specs = new Map<JobId, JobSpec>();
   readonly finalStates = new Map<JobId, FinalState>();
--- a/src/test/sim/production-version.ts
+++ b/src/test/sim/production-version.ts
@@ -84,7 +84,7 @@
 }
 
 const productionSettings = (settings: PlatformSettings): ProductionSettings => {
-  const { leaseS, gangWaitS, gangPeerS, cancelS } = settings.workers;
+  const { leaseS, gangWaitS, gangMemberLossTimeoutS: gangPeerS, cancelS } = settings.workers;
   const { keyValueStoreLimits: storeLimits, cloudProviderLimits: cloudLimits } = settings;
   return {
     name: settings.name,
--- a/src/test/sim/simulated-worker.ts
+++ b/src/test/sim/simulated-worker.ts
@@ -244,7 +244,7 @@
     const gang = task.gang;
     task.gang = null;
     if (!gang?.members.delete(task) || !gang.started) return;
-    this.environment.clock.after(this.environment.timings.gangPeerS * 1000, () => {
+    this.environment.clock.after(this.environment.timings.gangMemberLossTimeoutS * 1000, () => {
       for (const task of [...gang.members]) if (task.state === 'running') this.exit(task, 'peers');
     });
   }
