--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -241,7 +241,7 @@
   const makeDemand = (overrides: Partial<JobSpec>, tasks: number, isForecast = false) => ({
     spec: jobSpec('wk-1', overrides),
     tasks,
-    zones: new Map<Zone, number>(),
+    tasksPerZone: new Map<Zone, number>(),
     isForecast,
   });
   const planRequests = (demands: ReturnType<typeof makeDemand>[], unavailablePools: string[] = []) =>
@@ -285,7 +285,8 @@
   const largeArray = makeJob('wk-1', { tasks: 100_000 });
   assert.deepEqual(largeArray.firstPending(2), [0, 1]);
   const bits = new Uint8Array(2048).fill(255);
-  for (let i = 0; i < 6; i++) largeArray.confirmCompletions(String(i) as SegmentName, i * bits.length, bits);
+  for (let i = 0; i < 6; i++)
+    largeArray.recordPersistedCompletions(String(i) as SegmentName, i * bits.length, bits);
   assert.equal(largeArray.completedCount, 98_304);
   assert.deepEqual(largeArray.firstPending(1), [98_304]);
   const machine = makeMachine('a', 'small', 'east');
@@ -294,6 +295,6 @@
   largeArray.removePlacement(98_304);
   assert.deepEqual(largeArray.firstPending(2), [98_304, 98_305]);
   largeArray.markCompleted(99_999);
-  assert.deepEqual([...largeArray.progress.unpersisted], [99_999]);
+  assert.deepEqual([...largeArray.progress.completionsToPersist], [99_999]);
   assert.ok(!largeArray.isDurable(99_999));
 });
