--- a/src/test/sim/written-bodies.ts
+++ b/src/test/sim/written-bodies.ts
@@ -25,8 +25,8 @@
 
 /** A value of any branded type. */
 const branded = (value: string | number) => value as never;
-/** An object of which the test needs only a part. */
-const standIn = <T>(part: Partial<T>): T => part as T;
+/** A stub that has only the members that the test needs. */
+const stub = <T>(part: Partial<T>): T => part as T;
 
 const jobId = jobSpec('wk-7').id;
 const [node, term, now, attempt] = [branded('stable-1'), branded(3), branded(100), branded(2 ** 33)];
@@ -79,26 +79,26 @@
 const statusPage = (waitReason: WaitReason): unknown => {
   const job = Object.assign(new Job(jobId, plainRecord, 1, false, now), { waitReason, predictedLateS: 5 });
   job.unfinishedDependencies.add(branded('wk-6'));
-  const state = new LeaderState({ term, keyRevision: 1 }, standIn({}), now);
+  const state = new LeaderState({ term, keyRevision: 1 }, stub({}), now);
   state.jobs.set(jobId, job);
   const page = new StatusPage({
-    peerStatus: standIn<StatusPageDependencies['peerStatus']>({ ownStatus: () => peerStatus }),
-    election: standIn<StatusPageDependencies['election']>({ authorityLeftMs: 900 }),
-    leadership: standIn<StatusPageDependencies['leadership']>({
-      leader: standIn<Leader>({ status: () => new LeaderSummary(state).status() }),
+    peerStatus: stub<StatusPageDependencies['peerStatus']>({ ownStatus: () => peerStatus }),
+    election: stub<StatusPageDependencies['election']>({ authorityLeftMs: 900 }),
+    leadership: stub<StatusPageDependencies['leadership']>({
+      leader: stub<Leader>({ status: () => new LeaderSummary(state).status() }),
     }),
-    admission: standIn<StatusPageDependencies['admission']>({ openRequests: 1, refusedCount: 2 }),
-    cancellations: standIn<StatusPageDependencies['cancellations']>({ coverageAgeMs: () => 7 }),
+    admission: stub<StatusPageDependencies['admission']>({ openRequests: 1, refusedCount: 2 }),
+    cancellations: stub<StatusPageDependencies['cancellations']>({ coverageAgeMs: () => 7 }),
     userLatency: new RequestLatency(),
     heartbeatLatency: new RequestLatency(),
   });
-  return decode(page.handle(standIn<HttpMessage>({ method: 'GET', target: '/queue' })).body!);
+  return decode(page.handle(stub<HttpMessage>({ method: 'GET', target: '/queue' })).body!);
 };
 
 /** The transaction that makes a controller the leader. */
 const leaderTransaction = async (): Promise<unknown> => {
   let body: unknown;
-  const client = standIn<KeyValueStoreClient>({
+  const client = stub<KeyValueStoreClient>({
     grantLease: () => Promise.resolve({ kind: 'ok', value: 2 ** 33 }),
     get: () => Promise.resolve({ kind: 'gone' }),
     transact: (transaction) => {
