--- a/src/test/progress-store.test.ts
+++ b/src/test/progress-store.test.ts
@@ -30,7 +30,7 @@
       return Promise.resolve(
         apply(then, conditions)
           ? { kind: 'ok', revision: server.value!.revision }
-          : { kind: 'conflict', failed: ['p/wk-1/0'] },
+          : { kind: 'conflict', conflictingKeys: ['p/wk-1/0'] },
       );
     },
     (key) =>
--- a/src/test/sim/heartbeat-handler-fixtures.ts
+++ b/src/test/sim/heartbeat-handler-fixtures.ts
@@ -25,7 +25,7 @@
   gangMemberLossTimeoutS: 6,
   cancelS: 40,
 };
-const platform = { zone: 'east', workers, processLimits: { cpu: 0.25 } } as unknown as PlatformSettings;
+const platform = { zone: 'east', workers, processLimits: { cpuCores: 0.25 } } as unknown as PlatformSettings;
 
 const heartbeatBody = {
   stall: 'host-1',
