--- a/src/runtime/controller.ts
+++ b/src/runtime/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: puts its parts together, and starts them. */
+/** Composition root of a controller process: creates the components, connects them and starts them. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { OperatorSettings } from '../config/operator.js';
@@ -13,7 +13,7 @@
 import { KeyValueStoreClient } from './key-value-store/key-value-store-client.js';
 import { LeaderElection } from './leadership/leader-election.js';
 import { LeadershipManager } from './leadership/leadership-manager.js';
-import { listenInternally, listenPublicly } from './listeners.js';
+import { startInternalListener, startPublicListener } from './listeners.js';
 import { Logger } from './logger.js';
 import { ImageLocationStore, shareImageLocations } from './peers/image-locations.js';
 import { PeerHandler } from './peers/peer-handler.js';
@@ -29,20 +29,20 @@
 import { HeartbeatHandler } from './workers/heartbeat-handler.js';
 import { LeaderlessFencing } from './workers/leaderless-fencing.js';
 
-const MAX_USER_REQUESTS = 32;
-const RESERVED_USER_REQUESTS = 8;
-const IMAGE_LOCATIONS_MS = 1000;
-const FENCING_CHECK_MS = 1000;
-const REACHABILITY_CHECK_MS = 500;
+const MAX_CONCURRENT_USER_REQUESTS = 32;
+const RESERVED_RETRY_REQUESTS = 8;
+const IMAGE_LOCATIONS_INTERVAL_MS = 1000;
+const FENCING_CHECK_INTERVAL_MS = 1000;
+const REACHABILITY_CHECK_INTERVAL_MS = 500;
 
-/** Processes that start at the same time draw other numbers. */
-const PROCESS_ID_SHIFT = 16;
+/** The process id is part of the random seed, so that processes started at the same time draw different numbers. */
+const PROCESS_ID_SHIFT_BITS = 16;
 const createRandom = (): (() => number) => {
-  const generator = xoroshiro128plus((wallClockNow() ^ (process.pid << PROCESS_ID_SHIFT)) | 0);
+  const generator = xoroshiro128plus((wallClockNow() ^ (process.pid << PROCESS_ID_SHIFT_BITS)) | 0);
   return () => uniformFloat64(generator);
 };
 
-/** The parts live as long as the process. */
+/** One controller. Its components live as long as the process. */
 export class Controller {
   private readonly log: Logger;
   private readonly sockets: SocketBudget;
@@ -50,7 +50,7 @@
   private readonly cloud: CloudProviderClient;
   private readonly links: PeerLink[] = [];
   private readonly imageLocations = new ImageLocationStore();
-  private readonly admission = new AdmissionControl(MAX_USER_REQUESTS, RESERVED_USER_REQUESTS);
+  private readonly admission = new AdmissionControl(MAX_CONCURRENT_USER_REQUESTS, RESERVED_RETRY_REQUESTS);
   private readonly userLatency = new RequestLatency();
   private readonly heartbeatLatency = new RequestLatency();
   private readonly election: LeaderElection;
@@ -92,22 +92,22 @@
     this.peerStatus = this.createPeerStatus();
   }
 
-  /** Listens, and takes part in the cluster until the process ends. */
+  /** Opens the listeners, and takes part in the cluster until the process ends. */
   start(): void {
     this.listen();
     this.leadership.start();
     for (const link of this.links) link.start();
     this.election.start();
     this.cancellations.start();
-    setInterval(() => void this.leaderlessFencing.check(), FENCING_CHECK_MS);
+    setInterval(() => void this.leaderlessFencing.check(), FENCING_CHECK_INTERVAL_MS);
     this.machineTypes.start();
     setInterval(
       () => shareImageLocations(this.leadership.leader, this.imageLocations, this.links),
-      IMAGE_LOCATIONS_MS,
+      IMAGE_LOCATIONS_INTERVAL_MS,
     );
-    setInterval(() => this.leadership.resignIfUnreachable(), REACHABILITY_CHECK_MS);
-    for (const warning of platformWarnings(this.platform)) this.log.info({ warning }, 'settings');
-    this.log.info({ zone: this.platform.zone }, 'started');
+    setInterval(() => this.leadership.resignIfUnreachable(), REACHABILITY_CHECK_INTERVAL_MS);
+    for (const warning of platformWarnings(this.platform)) this.log.info({ warning }, 'settings warning');
+    this.log.info({ zone: this.platform.zone }, 'controller started');
   }
 
   private createElection(): LeaderElection {
@@ -121,8 +121,8 @@
       events: {
         onElected: () => this.leadership.onElected(),
         onLeadershipLost: (reason) => this.leadership.onLeadershipLost(reason),
-        // The key's lease is alive, so there was a leader at most a lease ago. Guards against workers of a controller
-        // just restarted, which would lose their leases for want of an answer.
+        // The leader key exists only while its lease is alive, so a leader existed at most one lease ago. Without this
+        // record, a controller that has just restarted would let its workers' leases expire until a leader responds.
         onLeaderKeyRead: () => this.heartbeatHandler.recordLeaderSeen(leaseMs),
       },
     });
@@ -157,8 +157,8 @@
       platform: this.platform,
       store: this.store,
       machineTypes: () => this.machineTypes.current,
-      taskCounts: (id) => this.taskCounts.counts(id),
-      onCancellationTold: (id) => this.cancellations.recordConfirmed(id),
+      taskCounts: (id) => this.taskCounts.find(id),
+      onCancellationReported: (id) => this.cancellations.recordConfirmed(id),
       knownJobs: this.cancellations,
     });
   }
@@ -201,7 +201,7 @@
       ownStatus: () => this.peerStatus.ownStatus(),
       onStatus: (status) => this.peerStatus.onPeerStatus(status),
       cancellations: this.cancellations,
-      onMalformed: (name, cause) => this.logMalformed(name, cause),
+      onMalformed: (name, cause) => this.logMalformedPeerMessage(name, cause),
     });
   }
 
@@ -210,18 +210,18 @@
     const router = this.createRouter();
     const statusPage = this.createStatusPage();
     const peerHandler = this.createPeerHandler();
-    listenPublicly(
+    startPublicListener(
       platform.publicAddress,
       sockets,
       (request, reply) => void router.handle(request, reply),
       log,
     );
-    listenInternally(
+    startInternalListener(
       platform.internalAddress,
       {
         statusPage: (request) => statusPage.handle(request),
-        peerRequest: (request) => peerHandler.answer(request),
-        onMalformedPeerRequest: (cause) => this.logMalformed(null, cause),
+        peerRequest: (request) => peerHandler.handle(request),
+        onMalformedPeerRequest: (cause) => this.logMalformedPeerMessage(null, cause),
       },
       log,
     );
@@ -259,11 +259,11 @@
       leaderLoop: () => this.leadership.leaderLoop,
       status: () => this.peerStatus.ownStatus(),
       onPeerStatus: (status) => this.peerStatus.onPeerStatus(status),
-      taskCounts: (id) => this.taskCounts.ownCounts(id),
+      taskCounts: (id) => this.taskCounts.localCounts(id),
     });
   }
 
-  private logMalformed(peer: NodeName | null, cause: string): void {
-    this.log.rateLimited('peer-message', 'info', { peer, cause }, 'malformed message of a peer dropped');
+  private logMalformedPeerMessage(peer: NodeName | null, cause: string): void {
+    this.log.rateLimited('peer-message', 'info', { peer, cause }, 'malformed peer message dropped');
   }
 }
--- a/src/runtime/http/http-server.ts
+++ b/src/runtime/http/http-server.ts
@@ -1,39 +1,39 @@
-/** The server's side of HTTP/1.1 connections: one request at a time for each, a bounded number of connections. */
+/** HTTP/1.1 server: a bounded number of connections, with one request at a time on each. */
 import type { Socket } from 'node:net';
 import type { Logger } from '../logger.js';
 import { ConnectionPool, UNKNOWN_GROUP, type PooledConnection } from './connection-pool.js';
 import { HttpParser } from './http-parser.js';
 import { HttpError, type HttpMessage } from './http-message.js';
-import { renderReply, type HttpReply } from './http-reply.js';
+import { encodeReply, type HttpReply } from './http-reply.js';
 import { HTTP_STATUS } from './http-status.js';
 
-/** Answers a request by calling `reply` once, at once or later; further calls are ignored. */
-export type HttpHandler = (request: HttpMessage, reply: (answer: HttpReply) => void) => void;
+/** Handles a request and calls `reply` once, synchronously or later; further calls are ignored. */
+export type HttpRequestHandler = (request: HttpMessage, reply: (reply: HttpReply) => void) => void;
 
-/** Bounds of what clients may take up. */
+/** Limits on the resources that clients can use. */
 export interface HttpServerLimits {
   connections: number;
   idleMs: number;
   bodyBytes: number;
-  /** Who a connection belongs to, by its last request; the larger group is shed first. */
+  /** Client group of a connection, from its last request; at the limit, the largest group loses connections first. */
   clientGroup?: (request: HttpMessage) => string;
 }
 
 const MAX_HEADER_BYTES = 8192;
-const MAX_HEADERS = 64;
+const MAX_HEADER_FIELDS = 64;
 
 interface ServerContext {
   limits: HttpServerLimits;
   log: Logger;
-  handler: HttpHandler;
+  handler: HttpRequestHandler;
   pool: ConnectionPool;
 }
 
-/** Serves requests on the sockets that the returned function is given, within limits that hold for all together. */
+/** Returns a connection handler for a server. The limits apply to all its connections together. */
 export const httpConnectionHandler = (
   limits: HttpServerLimits,
   log: Logger,
-  handler: HttpHandler,
+  handler: HttpRequestHandler,
 ): ((socket: Socket) => void) => {
   const pool = new ConnectionPool(limits.connections);
   const context: ServerContext = { limits, log, handler, pool };
@@ -43,16 +43,16 @@
       new ServerConnection(socket, pooled, context).start();
       return;
     }
-    log.rateLimited('sockets', 'info', { open: pool.size }, 'connection refused, all are busy');
+    log.rateLimited('sockets', 'info', { open: pool.size }, 'connection rejected: all connections are busy');
     socket.on('error', () => socket.destroy());
     socket.destroy();
   };
 };
 
-/** Handles one request at a time; later ones wait, and a sender that pipelines is held back. */
+/** Handles one request at a time; pipelined requests are queued, and reading is paused while requests wait. */
 class ServerConnection {
-  private state: 'idle' | 'handling' | 'ending' = 'idle';
-  private readonly waiting: HttpMessage[] = [];
+  private state: 'idle' | 'handling' | 'closing' = 'idle';
+  private readonly queuedRequests: HttpMessage[] = [];
   private readonly parser: HttpParser;
 
   constructor(
@@ -62,17 +62,17 @@
   ) {
     this.parser = new HttpParser('request', {
       headerBytes: MAX_HEADER_BYTES,
-      headerCount: MAX_HEADERS,
+      headerCount: MAX_HEADER_FIELDS,
       bodyBytes: context.limits.bodyBytes,
     });
   }
 
-  /** Begins to read requests. */
+  /** Starts reading requests. */
   start(): void {
     const { socket, pooled, context } = this;
     socket.setNoDelay(true);
     socket.on('data', (chunk) => this.receive(chunk));
-    // Guards against slow senders: a connection that sends nothing for long is dropped.
+    // Limits slow senders: a connection is closed after the idle timeout, unless a request is being handled.
     socket.setTimeout(context.limits.idleMs, () => {
       if (this.state !== 'handling') socket.destroy();
     });
@@ -81,30 +81,30 @@
   }
 
   private receive(chunk: Buffer): void {
-    if (this.state === 'ending') return;
+    if (this.state === 'closing') return;
     try {
-      this.waiting.push(...this.parser.push(chunk));
+      this.queuedRequests.push(...this.parser.push(chunk));
     } catch (error) {
-      this.refuse(error);
+      this.rejectMalformed(error);
       return;
     }
-    if (this.state === 'handling' || this.waiting.length > 1) this.socket.pause();
+    if (this.state === 'handling' || this.queuedRequests.length > 1) this.socket.pause();
     if (this.state === 'idle') this.handleNext();
   }
 
-  private refuse(error: unknown): void {
+  private rejectMalformed(error: unknown): void {
     const status = error instanceof HttpError ? error.status : HTTP_STATUS.badRequest;
     const cause = String(error);
     const handling = this.state === 'handling';
-    this.state = 'ending';
-    this.context.log.rateLimited('bad-request', 'debug', { status, cause }, 'malformed request refused');
-    // A reply now would be taken for that of the request in progress: the connection ends without either.
+    this.state = 'closing';
+    this.context.log.rateLimited('bad-request', 'debug', { status, cause }, 'malformed request rejected');
+    // An error reply would be taken for the reply to the request in progress, so the connection is closed without one.
     if (handling) this.socket.destroy();
-    else this.socket.end(renderReply({ status }, false));
+    else this.socket.end(encodeReply({ status }, false));
   }
 
   private handleNext(): void {
-    const request = this.waiting.shift();
+    const request = this.queuedRequests.shift();
     if (!request) {
       this.context.pool.markIdle(this.pooled);
       this.socket.resume();
@@ -113,26 +113,26 @@
     this.state = 'handling';
     const { limits, pool, handler } = this.context;
     pool.markBusy(this.pooled, limits.clientGroup?.(request) ?? UNKNOWN_GROUP);
-    let answered = false;
-    handler(request, (answer) => {
-      if (answered) return;
-      answered = true;
-      this.reply(request, answer);
+    let replied = false;
+    handler(request, (reply) => {
+      if (replied) return;
+      replied = true;
+      this.sendReply(request, reply);
     });
   }
 
-  private reply(request: HttpMessage, answer: HttpReply): void {
+  private sendReply(request: HttpMessage, reply: HttpReply): void {
     if (this.state === 'handling') this.state = 'idle';
     if (this.socket.destroyed) return;
     const { pool } = this.context;
-    const keepAlive = request.keepAlive && (!pool.underPressure || this.waiting.length > 0);
-    this.socket.write(renderReply(answer, keepAlive));
+    const keepAlive = request.keepAlive && (!pool.underPressure || this.queuedRequests.length > 0);
+    this.socket.write(encodeReply(reply, keepAlive));
     if (keepAlive) {
       this.handleNext();
       return;
     }
-    this.state = 'ending';
+    this.state = 'closing';
     this.socket.end();
-    pool.markIdle(this.pooled); // may be evicted if the other side never closes it
+    pool.markIdle(this.pooled); // can be evicted if the client never closes it
   }
 }
--- a/src/runtime/key-value-store/list-until-answered.ts
+++ b/src/runtime/key-value-store/list-with-retry.ts
@@ -1,11 +1,11 @@
-/** Lists a prefix of the store for those that can't begin without it. */
+/** Listing of a key prefix with retries, for components that cannot start without it. */
 import { sleep } from '../clock.js';
 import type { KeyValueStoreClient, Listing } from './key-value-store-client.js';
 
-const RETRY_MS = 200;
+const RETRY_DELAY_MS = 200;
 
-/** Tries until the store answers; null once stopped. */
-export const listUntilAnswered = async (
+/** Lists a prefix, and retries until the store responds. Returns null once `isStopped` returns true. */
+export const listWithRetry = async (
   store: KeyValueStoreClient,
   prefix: string,
   isStopped: () => boolean,
@@ -13,7 +13,7 @@
   while (!isStopped()) {
     const outcome = await store.list(prefix);
     if (outcome.kind === 'ok') return outcome.value;
-    await sleep(RETRY_MS);
+    await sleep(RETRY_DELAY_MS);
   }
   return null;
 };
--- a/src/runtime/peers/image-locations.ts
+++ b/src/runtime/peers/image-locations.ts
@@ -1,45 +1,49 @@
-/** Which machine caches which images, as the leader tells its peers page by page; kept for the next leader. */
+/**
+ * The images that each machine caches. The leader sends them to its peers in pages, and the next leader starts with the
+ * copy that its controller holds.
+ */
 import type { ImageLocations } from '../../core/leader/effects.js';
 import type { Leader } from '../../core/leader/leader.js';
 import { monotonicNow } from '../clock.js';
 import type { PeerLink } from './peer-link.js';
 
-const PAGE_MACHINES = 100;
+const MACHINES_PER_MESSAGE = 100;
 const RETENTION_MS = 60_000;
-const SHARE_TIMEOUT_MS = 1000;
+const IMAGE_LOCATIONS_TIMEOUT_MS = 1000;
 
-/** What this controller knows of the caches of machines. */
+/** This controller's copy of the image locations. */
 export class ImageLocationStore {
-  private readonly known = new Map<string, { images: ImageLocations[string]; at: number }>();
-  private nextMachine = 0;
+  private readonly byMachine = new Map<string, { images: ImageLocations[string]; receivedAt: number }>();
+  private nextMachineIndex = 0;
 
   /**
-   * The next page of all. Guards against a message that outgrows a frame: a peer that gets one too large ends the
-   * connection.
+   * Returns the next page of `all`, starting over at the end. Pages keep each message below the maximum frame size: a
+   * peer closes the connection when it receives a larger frame.
    */
   nextPage(all: ImageLocations): ImageLocations {
     const ids = Object.keys(all);
-    if (this.nextMachine >= ids.length) this.nextMachine = 0;
-    const pageIds = ids.slice(this.nextMachine, this.nextMachine + PAGE_MACHINES);
-    this.nextMachine += PAGE_MACHINES;
+    if (this.nextMachineIndex >= ids.length) this.nextMachineIndex = 0;
+    const pageIds = ids.slice(this.nextMachineIndex, this.nextMachineIndex + MACHINES_PER_MESSAGE);
+    this.nextMachineIndex += MACHINES_PER_MESSAGE;
     return Object.fromEntries(pageIds.map((id) => [id, all[id]]));
   }
 
-  /** Adds to what is known; machines that were not named for long are forgotten. */
+  /** Stores the locations of a page, and drops machines that no page has contained within the retention time. */
   merge(page: ImageLocations, now: number): void {
-    for (const [id, images] of Object.entries(page)) this.known.set(id, { images, at: now });
-    for (const [id, { at }] of this.known) if (now - at > RETENTION_MS) this.known.delete(id);
+    for (const [id, images] of Object.entries(page)) this.byMachine.set(id, { images, receivedAt: now });
+    for (const [id, { receivedAt }] of this.byMachine)
+      if (now - receivedAt > RETENTION_MS) this.byMachine.delete(id);
   }
 
-  /** What a new leader is loaded with. */
+  /** All locations, for a new leader of this controller. */
   all(): ImageLocations {
-    return Object.fromEntries([...this.known].map(([id, { images }]) => [id, images]));
+    return Object.fromEntries([...this.byMachine].map(([id, { images }]) => [id, images]));
   }
 }
 
 /**
- * Tells every peer the leader's next page: a new leader finds out by heartbeats what runs where, but not which images are
- * cached.
+ * Sends the leader's next page to every peer. Heartbeats report the tasks of each machine to a new leader, but not its
+ * cached images.
  */
 export const shareImageLocations = (
   leader: Leader | null,
@@ -49,5 +53,6 @@
   if (!leader) return;
   const locations = store.nextPage(leader.imageLocations());
   store.merge(locations, monotonicNow());
-  for (const link of links) void link.ask({ kind: 'image-locations', locations }, SHARE_TIMEOUT_MS);
+  for (const link of links)
+    void link.sendRequest({ kind: 'image-locations', locations }, IMAGE_LOCATIONS_TIMEOUT_MS);
 };
--- a/src/runtime/peers/peer-link.ts
+++ b/src/runtime/peers/peer-link.ts
@@ -1,4 +1,4 @@
-/** The connection to one peer. Each controller dials every peer, and sends its requests and heartbeats there. */
+/** The connection to one peer. Each controller connects to every peer and sends its requests and heartbeats there. */
 import { connect, type Socket } from 'node:net';
 import type { PlatformSettings } from '../../config/platform.js';
 import type { CancellationLogPosition, CancellationLogPage } from '../../core/cancellation-log.js';
@@ -16,20 +16,21 @@
 import { FrameWriter } from './frame-writer.js';
 import { PendingRequests } from './pending-requests.js';
 
-const HEARTBEAT_MS = 400;
-/** Without a heartbeat's response for so long the peer counts as unreachable. */
+const HEARTBEAT_INTERVAL_MS = 400;
+/** A peer counts as unreachable after this time without a response to a heartbeat. */
 const DETECTION_TIMEOUT_MS = 2000;
-const REDIAL_MS = 500;
-const DIAL_TIMEOUT_MS = 1500;
+const RECONNECT_DELAY_MS = 500;
+const CONNECT_TIMEOUT_MS = 1500;
 
-/** What each heartbeat asks a peer about cancellations, and where its answer goes. */
+/** Exchange of the cancellation logs, which is part of each heartbeat. */
 export interface CancellationExchange {
+  /** The position up to which this controller holds the peer's cancellation log. */
   positionOf: (peer: NodeName) => CancellationLogPosition | null;
-  onPeerPage: (peer: NodeName, page: CancellationLogPage, askedAt: MonotonicTime) => void;
+  onPeerPage: (peer: NodeName, page: CancellationLogPage, requestedAt: MonotonicTime) => void;
   onMalformedPage: (peer: NodeName, cause: string) => void;
 }
 
-/** What a link needs. */
+/** Dependencies of a link. */
 export interface PeerLinkDependencies {
   peer: PlatformSettings['peers'][number];
   ownStatus: () => PeerStatus;
@@ -39,20 +40,20 @@
 }
 
 type Connection =
-  { state: 'closed' } | { state: 'dialling' } | { state: 'connected'; socket: Socket; writer: FrameWriter };
+  { state: 'closed' } | { state: 'connecting' } | { state: 'connected'; socket: Socket; writer: FrameWriter };
 
 const CLOSED: Connection = { state: 'closed' };
-const DIALLING: Connection = { state: 'dialling' };
+const CONNECTING: Connection = { state: 'connecting' };
 
-/** One for each peer, for as long as the process runs. */
+/** The link to one peer; lives as long as the process. */
 export class PeerLink {
-  /** What the peer said last of itself. */
+  /** The last status that the peer reported. */
   status: PeerStatus | null = null;
   private connection: Connection = CLOSED;
   private readonly pending = new PendingRequests();
-  private lastHeartbeatAt = -Infinity;
+  private lastHeartbeatResponseAt = -Infinity;
   private heartbeatPending = false;
-  private refusedAt = -Infinity;
+  private connectionRefusedAt = -Infinity;
 
   constructor(private readonly dependencies: PeerLinkDependencies) {}
 
@@ -66,28 +67,31 @@
     return this.dependencies.peer.zone;
   }
 
-  /** It answered a heartbeat lately. */
+  /** Whether the peer has responded to a heartbeat within the detection timeout. */
   isAlive(now: number): boolean {
-    return now - this.lastHeartbeatAt < DETECTION_TIMEOUT_MS;
+    return now - this.lastHeartbeatResponseAt < DETECTION_TIMEOUT_MS;
   }
 
   /**
-   * Its address answers with a refusal: the network in between works, unlike in a partition, and a worker may well
-   * reach it. It may also be dead.
+   * Whether the peer's address actively refused a connection recently. Unlike in a partition, the network to the peer
+   * works, so workers may be able to reach the peer. The peer may also be down.
    */
   refusesConnections(now: number): boolean {
-    return this.connection.state !== 'connected' && now - this.refusedAt < DETECTION_TIMEOUT_MS;
+    return this.connection.state !== 'connected' && now - this.connectionRefusedAt < DETECTION_TIMEOUT_MS;
   }
 
-  /** Dials, again and again, and sends heartbeats. */
+  /** Connects, reconnects whenever the connection is closed, and sends periodic heartbeats. */
   start(): void {
-    this.dial();
-    setInterval(() => void this.sendHeartbeat(), HEARTBEAT_MS);
+    this.openConnection();
+    setInterval(() => void this.sendHeartbeat(), HEARTBEAT_INTERVAL_MS);
   }
 
-  /** Null without a response in time, or with one of another shape. */
-  async ask<R extends PeerRequest>(request: R, timeoutMs: number): Promise<PeerResponses[R['kind']] | null> {
-    const raw = await this.send(request, timeoutMs);
+  /** Sends a request. Resolves to null if there is no response within the timeout, or if the response is malformed. */
+  async sendRequest<R extends PeerRequest>(
+    request: R,
+    timeoutMs: number,
+  ): Promise<PeerResponses[R['kind']] | null> {
+    const raw = await this.sendEncoded(request, timeoutMs);
     if (raw === null || raw === undefined) return null;
     const kind: R['kind'] = request.kind;
     const response = parsePeerResponse(kind, raw);
@@ -96,9 +100,9 @@
     return null;
   }
 
-  private send(request: PeerRequest, timeoutMs: number): Promise<unknown> {
+  private sendEncoded(request: PeerRequest, timeoutMs: number): Promise<unknown> {
     const { connection, pending } = this;
-    // Heartbeats pass: a link full of other requests is not a dead one.
+    // Heartbeats are exempt from the limit: a link with many pending requests must not count as unreachable.
     const full = pending.isFull && request.kind !== 'heartbeat';
     if (connection.state !== 'connected' || full) return Promise.resolve(null);
     return pending.send(connection.writer, encodePeerRequest(request), timeoutMs);
@@ -108,42 +112,42 @@
     if (this.heartbeatPending) return;
     this.heartbeatPending = true;
     const { ownStatus, onStatus, cancellations } = this.dependencies;
-    const askedAt = monotonicNow();
+    const requestedAt = monotonicNow();
     const logPosition = cancellations.positionOf(this.name);
-    const response = await this.ask(
+    const response = await this.sendRequest(
       { kind: 'heartbeat', status: ownStatus(), logPosition },
       DETECTION_TIMEOUT_MS,
     );
     this.heartbeatPending = false;
     if (response === null) {
-      this.dropUnanswering();
+      this.closeIfUnresponsive();
       return;
     }
-    this.lastHeartbeatAt = monotonicNow();
+    this.lastHeartbeatResponseAt = monotonicNow();
     this.status = response.status;
     onStatus(response.status);
     const page = parseCancellationLogPage(response.cancellationPage);
-    if (page.ok) cancellations.onPeerPage(this.name, page.value, askedAt);
+    if (page.ok) cancellations.onPeerPage(this.name, page.value, requestedAt);
     else cancellations.onMalformedPage(this.name, page.cause);
   }
 
-  /** A connection without answers may be cut off: a new one works as soon as the partition ends. */
-  private dropUnanswering(): void {
+  /** Closes a connection without responses: after a partition, a new connection works sooner than the old one. */
+  private closeIfUnresponsive(): void {
     if (this.connection.state === 'connected' && !this.isAlive(monotonicNow()))
       this.connection.socket.destroy();
   }
 
-  private dial(): void {
+  private openConnection(): void {
     const socket = connect({ ...this.dependencies.peer.address, noDelay: true });
     const writer = new FrameWriter(socket);
     const reader = new FrameReader();
-    this.connection = DIALLING;
+    this.connection = CONNECTING;
     const timer = setTimeout(() => {
       if (this.connection.state !== 'connected') socket.destroy();
-    }, DIAL_TIMEOUT_MS);
+    }, CONNECT_TIMEOUT_MS);
     socket.on('connect', () => {
       this.connection = { state: 'connected', socket, writer };
-      this.refusedAt = -Infinity;
+      this.connectionRefusedAt = -Infinity;
       void this.sendHeartbeat();
     });
     socket.on('data', (chunk) => {
@@ -152,14 +156,14 @@
       else for (const frame of frames) this.pending.onResponse(frame);
     });
     socket.on('error', (error) => {
-      if ('code' in error && error.code === 'ECONNREFUSED') this.refusedAt = monotonicNow();
+      if ('code' in error && error.code === 'ECONNREFUSED') this.connectionRefusedAt = monotonicNow();
       socket.destroy();
     });
     socket.on('close', () => {
       clearTimeout(timer);
       this.connection = CLOSED;
       this.pending.failAll();
-      setTimeout(() => this.dial(), REDIAL_MS);
+      setTimeout(() => this.openConnection(), RECONNECT_DELAY_MS);
     });
   }
 }
--- a/src/runtime/users/admission-control.ts
+++ b/src/runtime/users/admission-control.ts
@@ -1,21 +1,24 @@
 /**
- * Admission of users' requests: so many at once, and others are answered at once with a time to come back. Guards
- * against requests that are refused again and again: one that was refused before has capacity that others don't get.
+ * Admission control for user requests: a bounded number run concurrently, and others are rejected immediately with a
+ * retry time. Capacity reserved for retries prevents a request from being rejected repeatedly while others are served.
  */
 
-/** Guards against names without end from outside. */
-const MAX_REFUSED_KEPT = 5000;
+/** Bounds the memory for subjects, which are chosen by clients. */
+const MAX_REJECTED_SUBJECTS = 5000;
 
-/** Bounds the requests in progress. A request's subject names what it asks about; null where only the body says. */
+/**
+ * Bounds the number of requests in progress. The subject of a request identifies it across retries: its target, or null
+ * if the target alone does not identify it.
+ */
 export class AdmissionControl {
   private inProgress = 0;
-  private readonly refusedBefore = new Set<string>();
-  private refused = 0;
+  private readonly rejectedSubjects = new Set<string>();
+  private rejected = 0;
 
   constructor(
     private readonly limit: number,
-    /** Beyond the limit, for requests that were refused before. */
-    private readonly reserved: number,
+    /** Additional capacity beyond the limit, for requests that were rejected before. */
+    private readonly reservedForRetries: number,
   ) {}
 
   /** The number of requests in progress. */
@@ -23,30 +26,30 @@
     return this.inProgress;
   }
 
-  /** How many requests were refused since the start. */
-  get refusedCount(): number {
-    return this.refused;
+  /** The number of requests rejected since the process started. */
+  get rejectedCount(): number {
+    return this.rejected;
   }
 
-  /** Admits a request or refuses it; one that is admitted is to be released. */
+  /** Returns whether the request is admitted. The caller must release each admitted request. */
   tryAdmit(subject: string | null): boolean {
-    const again = subject !== null && this.refusedBefore.has(subject);
-    if (this.inProgress < this.limit + (again ? this.reserved : 0)) {
+    const isRetry = subject !== null && this.rejectedSubjects.has(subject);
+    if (this.inProgress < this.limit + (isRetry ? this.reservedForRetries : 0)) {
       this.inProgress++;
       return true;
     }
-    this.refused++;
+    this.rejected++;
     if (subject === null) return false;
-    if (this.refusedBefore.size >= MAX_REFUSED_KEPT) this.refusedBefore.clear();
-    this.refusedBefore.add(subject);
+    if (this.rejectedSubjects.size >= MAX_REJECTED_SUBJECTS) this.rejectedSubjects.clear();
+    this.rejectedSubjects.add(subject);
     return false;
   }
 
-  /** A request ends; `served`: it was answered with something other than "come back". */
+  /** Ends an admitted request. `served` is false if the response only requested a retry. */
   release(subject: string | null, served: boolean): void {
     this.inProgress--;
     if (subject === null) return;
-    if (served) this.refusedBefore.delete(subject);
-    else if (this.refusedBefore.size < MAX_REFUSED_KEPT) this.refusedBefore.add(subject);
+    if (served) this.rejectedSubjects.delete(subject);
+    else if (this.rejectedSubjects.size < MAX_REJECTED_SUBJECTS) this.rejectedSubjects.add(subject);
   }
 }
--- a/src/runtime/users/user-api.ts
+++ b/src/runtime/users/user-api.ts
@@ -1,6 +1,6 @@
 /**
- * Users' requests. Any controller takes them: the job's record in the key-value store is the truth, and nothing is told
- * to a user that it doesn't hold.
+ * The user API, served by every controller. The job's record in the key-value store is authoritative: a response never
+ * reports a state that the record does not contain.
  */
 import type { PlatformSettings } from '../../config/platform.js';
 import type { JobRecord, JobSpec } from '../../core/job-spec.js';
@@ -16,28 +16,28 @@
 import { budgetReserves, type KeyValueStoreClient } from '../key-value-store/key-value-store-client.js';
 import { JobLookup, type JobLookupResult, type KnownJobs } from './job-lookup.js';
 import { checkSubmission } from './submission-check.js';
-import { jobState, refused, unavailable } from './user-replies.js';
+import { jobStatusReply, errorReply, unavailableReply } from './user-replies.js';
 import { HTTP_STATUS } from '../http/http-status.js';
 
 const JOBS_PATH = '/v1/jobs';
 const JOB_PATH = /^\/v1\/jobs\/([^/]+)(\/abort)?$/;
-/** Of a write that meets others of the same record. */
+/** Limits the retries of a transaction that conflicts with other writes to the same record. */
 const MAX_WRITE_ATTEMPTS = 3;
 const NO_COUNTS: StatusCounts = { done: 0, running: 0 };
 
-/** What the users' requests depend on. */
+/** Dependencies of the user API. */
 export interface UserApiDependencies {
   platform: PlatformSettings;
   store: KeyValueStoreClient;
   machineTypes: () => MachineType[];
-  /** The numbers of a job's tasks; null where nobody can tell. */
+  /** The numbers of a job's tasks by state; null if no leader reports them. */
   taskCounts: (id: JobId) => Promise<StatusCounts | null>;
-  /** A user is about to be told that this job, whose tasks may still be there, is cancelled. */
-  onCancellationTold: (id: JobId) => void;
+  /** Called just before a response reports this job as cancelled; its tasks may still be running. */
+  onCancellationReported: (id: JobId) => void;
   knownJobs: KnownJobs;
 }
 
-/** Answers submissions, status requests and cancellations. */
+/** Handles submissions, status requests and cancellations. */
 export class UserApi {
   private readonly jobs: JobLookup;
   private readonly teams: Map<Team, TeamQuota>;
@@ -47,44 +47,46 @@
     this.teams = new Map(dependencies.platform.teams.map((team) => [team.name, team]));
   }
 
-  /** Answers one request; 503 where nothing certain can be said. */
+  /** Handles one request. The response is 503 if the state of the job cannot be determined. */
   async handle(request: HttpMessage): Promise<HttpReply> {
     const path = request.target.split('?', 1)[0];
     if (path === JOBS_PATH) {
       return request.method === 'POST'
         ? this.submit(request.body)
-        : refused(HTTP_STATUS.methodNotAllowed, 'use POST');
+        : errorReply(HTTP_STATUS.methodNotAllowed, 'use POST');
     }
     const match = JOB_PATH.exec(path);
-    if (!match) return refused(HTTP_STATUS.notFound, 'no such path');
+    if (!match) return errorReply(HTTP_STATUS.notFound, 'no such path');
     const id = match[1];
     const abort = match[2] !== undefined;
     if (request.method !== (abort ? 'POST' : 'GET'))
-      return refused(HTTP_STATUS.methodNotAllowed, abort ? 'use POST' : 'use GET');
-    if (!isJobId(id)) return refused(HTTP_STATUS.notFound, 'no such job');
-    return abort ? this.abort(id) : this.status(id);
+      return errorReply(HTTP_STATUS.methodNotAllowed, abort ? 'use POST' : 'use GET');
+    if (!isJobId(id)) return errorReply(HTTP_STATUS.notFound, 'no such job');
+    return abort ? this.cancel(id) : this.status(id);
   }
 
   private async submit(body: Buffer): Promise<HttpReply> {
     const raw = tryDecode(body);
     if (typeof raw !== 'object' || raw === null || Array.isArray(raw))
-      return refused(HTTP_STATUS.badRequest, 'expected a CBOR map');
+      return errorReply(HTTP_STATUS.badRequest, 'expected a CBOR map');
     const parsed = parseJob(raw);
-    if (!parsed.ok) return this.unlessKnown(raw, refused(HTTP_STATUS.badRequest, parsed.cause));
+    if (!parsed.ok) return this.rejectUnlessAccepted(raw, errorReply(HTTP_STATUS.badRequest, parsed.cause));
     const spec = parsed.value;
     const check = checkSubmission(spec, this.teams.get(spec.team), this.dependencies.machineTypes());
-    if (check.kind === 'undecided') return unavailable('machine types not known yet');
+    if (check.kind === 'unknown') return unavailableReply('machine types not known yet');
     if (check.kind === 'never-runnable')
-      return this.unlessKnown(raw, refused(HTTP_STATUS.unprocessable, check.cause));
+      return this.rejectUnlessAccepted(raw, errorReply(HTTP_STATUS.unprocessable, check.cause));
     const final = this.jobs.cachedFinalRecord(spec.id);
-    if (final) return jobState(spec.id, final.state);
-    const refusal = await this.refuseDependencies(spec);
-    if (refusal)
-      return refusal.status === HTTP_STATUS.unprocessable ? this.unlessKnown(raw, refusal) : refusal;
+    if (final) return jobStatusReply(spec.id, final.state);
+    const rejection = await this.rejectDependencies(spec);
+    if (rejection)
+      return rejection.status === HTTP_STATUS.unprocessable
+        ? this.rejectUnlessAccepted(raw, rejection)
+        : rejection;
     const record: JobRecord = { spec, submittedAt: wallClockNow(), cancelledAt: null };
     const largest = jobRecordData({ ...record, cancelledAt: record.submittedAt });
     if (!fitsValueLimit(largest, this.maxValueKb))
-      return this.unlessKnown(raw, refused(HTTP_STATUS.badRequest, 'job description too large'));
+      return this.rejectUnlessAccepted(raw, errorReply(HTTP_STATUS.badRequest, 'job description too large'));
     return this.create(record);
   }
 
@@ -97,74 +99,81 @@
       ],
       changes: [{ put: keys.jobRecord(id), data: jobRecordData(record) }],
     });
-    if (result.kind === 'ok') return jobState(id, 'pending', undefined, HTTP_STATUS.created);
+    if (result.kind === 'ok') return jobStatusReply(id, 'pending', undefined, HTTP_STATUS.created);
     if (result.kind === 'refused' || result.kind === 'lease-gone' || result.kind === 'invalid')
-      return unavailable('state service refuses');
-    // Known already, or the answer was lost: what is recorded decides.
-    const known = await this.jobs.find(id);
-    if (known.kind === 'none' || known.kind === 'undecided') return unavailable('not certain to be recorded');
-    return this.describe(id, known);
+      return unavailableReply('state service refuses');
+    // The job exists already, or the store's response was lost: the stored record determines the response.
+    const existing = await this.jobs.find(id);
+    if (existing.kind === 'not-found' || existing.kind === 'unknown')
+      return unavailableReply('not certain to be recorded');
+    return this.statusReply(id, existing);
   }
 
-  /** Null if every job that the job depends on was accepted. */
-  private async refuseDependencies({ id, dependsOn }: JobSpec): Promise<HttpReply | null> {
+  /** Returns the error response, or null if all dependencies of the job were accepted. */
+  private async rejectDependencies({ id, dependsOn }: JobSpec): Promise<HttpReply | null> {
     if (dependsOn.length === 0) return null;
-    if (dependsOn.includes(id)) return refused(HTTP_STATUS.unprocessable, 'awaits itself');
+    if (dependsOn.includes(id)) return errorReply(HTTP_STATUS.unprocessable, 'awaits itself');
     const accepted = await this.jobs.checkAccepted(dependsOn);
     switch (accepted.kind) {
       case 'accepted':
         return null;
-      case 'undecided':
-        return unavailable('state service does not answer');
+      case 'unknown':
+        return unavailableReply('state service does not answer');
       case 'missing':
-        return refused(HTTP_STATUS.unprocessable, `awaits ${accepted.job}, which was never accepted`);
+        return errorReply(HTTP_STATUS.unprocessable, `awaits ${accepted.job}, which was never accepted`);
     }
   }
 
-  /** An accepted job is never refused when it is submitted again, whatever has changed since. */
-  private async unlessKnown(raw: object, refusal: HttpReply): Promise<HttpReply> {
+  /**
+   * Returns the rejection, unless the job was accepted before: a repeated submission of an accepted job reports its
+   * status, even if it would be rejected now.
+   */
+  private async rejectUnlessAccepted(raw: object, rejection: HttpReply): Promise<HttpReply> {
     const id = submittedJobId(raw);
-    if (id === null) return refusal;
-    const known = await this.jobs.find(id);
-    if (known.kind === 'undecided') return unavailable('state service does not answer');
-    return known.kind === 'none' ? refusal : this.describe(id, known);
+    if (id === null) return rejection;
+    const existing = await this.jobs.find(id);
+    if (existing.kind === 'unknown') return unavailableReply('state service does not answer');
+    return existing.kind === 'not-found' ? rejection : this.statusReply(id, existing);
   }
 
   private async status(id: JobId): Promise<HttpReply> {
     const found = await this.jobs.find(id);
-    if (found.kind === 'none') return refused(HTTP_STATUS.notFound, 'no such job');
-    if (found.kind === 'undecided') return unavailable('state service does not answer');
-    return this.describe(id, found);
+    if (found.kind === 'not-found') return errorReply(HTTP_STATUS.notFound, 'no such job');
+    if (found.kind === 'unknown') return unavailableReply('state service does not answer');
+    return this.statusReply(id, found);
   }
 
-  private async describe(id: JobId, found: JobLookupResult): Promise<HttpReply> {
+  private async statusReply(id: JobId, found: JobLookupResult): Promise<HttpReply> {
     if (found.kind === 'final')
-      return jobState(id, found.record.state, { done: found.record.tasks, running: 0 });
-    if (found.kind === 'damaged') return jobState(id, 'pending', NO_COUNTS);
-    if (found.kind !== 'active') return unavailable('not certain');
-    if (found.record.cancelledAt !== null) return this.describeCancelled(id);
+      return jobStatusReply(id, found.record.state, { done: found.record.tasks, running: 0 });
+    if (found.kind === 'malformed') return jobStatusReply(id, 'pending', NO_COUNTS);
+    if (found.kind !== 'active') return unavailableReply('not certain');
+    if (found.record.cancelledAt !== null) return this.reportCancelled(id);
     const cancelled = await this.jobs.dependencyCancelled(found.record.spec.dependsOn);
-    if (cancelled === 'undecided') return unavailable('state service does not answer');
-    // Recorded before it is told, so that no controller answers anything older afterwards.
+    if (cancelled === 'unknown') return unavailableReply('state service does not answer');
+    // The cancellation is recorded before it is reported, so that no controller reports an older state afterwards.
     if (cancelled) return this.recordCancelled(id, found);
     const counts = (await this.dependencies.taskCounts(id)) ?? NO_COUNTS;
     const status: UserStatus = counts.running > 0 ? 'running' : 'pending';
-    return jobState(id, status, counts);
+    return jobStatusReply(id, status, counts);
   }
 
-  private async abort(id: JobId): Promise<HttpReply> {
+  private async cancel(id: JobId): Promise<HttpReply> {
     const found = await this.jobs.find(id);
-    if (found.kind === 'none') return refused(HTTP_STATUS.notFound, 'no such job');
+    if (found.kind === 'not-found') return errorReply(HTTP_STATUS.notFound, 'no such job');
     return this.recordCancelled(id, found);
   }
 
-  /** Done against cancelled is decided here: whoever writes either compares the job's record. */
+  /**
+   * Records the cancellation, unless the job is finished. Completion and cancellation exclude each other, because both
+   * are written on the condition that the job's active record is unchanged.
+   */
   private async recordCancelled(id: JobId, first: JobLookupResult): Promise<HttpReply> {
     let found = first;
     for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
-      if (found.kind === 'final') return jobState(id, found.record.state);
-      if (found.kind !== 'active') return unavailable('not certain');
-      if (found.record.cancelledAt !== null) return this.describeCancelled(id);
+      if (found.kind === 'final') return jobStatusReply(id, found.record.state);
+      if (found.kind !== 'active') return unavailableReply('not certain');
+      if (found.record.cancelledAt !== null) return this.reportCancelled(id);
       const record = this.cancelledRecord(found.record);
       const result = await this.dependencies.store.transact(
         {
@@ -173,16 +182,17 @@
         },
         budgetReserves.urgent,
       );
-      if (result.kind === 'ok') return this.describeCancelled(id);
-      if (result.kind === 'refused' || result.kind === 'invalid') return unavailable('state service refuses');
+      if (result.kind === 'ok') return this.reportCancelled(id);
+      if (result.kind === 'refused' || result.kind === 'invalid')
+        return unavailableReply('state service refuses');
       found = await this.jobs.find(id);
     }
-    return unavailable('not certain to be recorded');
+    return unavailableReply('not certain to be recorded');
   }
 
   /**
-   * Guards against a record from before a limit on values was lowered, which could not be written again: a cancelled
-   * job starts nowhere any more, so the list of its types, alone of unbounded length, may go.
+   * The record with its cancellation time. A record written before the limit on value sizes was lowered may no longer
+   * fit. Its list of machine types is then dropped: only that list can be long, and a cancelled job no longer needs it.
    */
   private cancelledRecord(record: JobRecord): JobRecord {
     const cancelled = { ...record, cancelledAt: wallClockNow() };
@@ -190,9 +200,9 @@
     return { ...cancelled, spec: { ...record.spec, types: null } };
   }
 
-  private describeCancelled(id: JobId): HttpReply {
-    this.dependencies.onCancellationTold(id);
-    return jobState(id, 'cancelled', NO_COUNTS);
+  private reportCancelled(id: JobId): HttpReply {
+    this.dependencies.onCancellationReported(id);
+    return jobStatusReply(id, 'cancelled', NO_COUNTS);
   }
 
   private get maxValueKb(): number {
--- a/src/runtime/users/user-request-handler.ts
+++ b/src/runtime/users/user-request-handler.ts
@@ -1,4 +1,4 @@
-/** Users' requests as they come from outside: admitted, answered here or by a peer, and counted. */
+/** Handles user requests on the public address: admission, local handling or forwarding to a peer, statistics. */
 import type { PeerResponses } from '../../wire/peer-messages.js';
 import { monotonicNow } from '../clock.js';
 import type { HttpMessage } from '../http/http-message.js';
@@ -10,11 +10,11 @@
 import type { AdmissionControl } from './admission-control.js';
 import type { UserApi } from './user-api.js';
 
-const FORWARD_TIMEOUT_MS = 2000;
-const LOG_INTERVAL_MS = 10_000;
+const USER_REQUEST_FORWARD_TIMEOUT_MS = 2000;
+const OUTCOMES_LOG_INTERVAL_MS = 10_000;
 const RETRY_AFTER_S = 1;
 
-/** What user requests need. */
+/** Dependencies of the handler. */
 export interface UserRequestDependencies {
   users: UserApi;
   links: readonly PeerLink[];
@@ -23,64 +23,67 @@
   log: Logger;
 }
 
-/** Sits between the public address and the user API. */
+/** Applies admission control in front of the user API. */
 export class UserRequestHandler {
   private readonly outcomes = new Map<string, number>();
-  private loggedAt = -Infinity;
+  private outcomesLoggedAt = -Infinity;
 
   constructor(private readonly dependencies: UserRequestDependencies) {}
 
-  /** `beganAt`: the monotonic time at which the request came. */
-  async handle(request: HttpMessage, reply: (reply: HttpReply) => void, beganAt: number): Promise<void> {
+  /** Handles a request that was received at the monotonic time `receivedAt`. */
+  async handle(request: HttpMessage, reply: (reply: HttpReply) => void, receivedAt: number): Promise<void> {
     const { admission, latency, log } = this.dependencies;
-    // Only a request without a body names what it asks about.
+    // The target of a GET request identifies it across retries; other requests depend on their bodies.
     const subject = request.method === 'GET' ? request.target : null;
     if (!admission.tryAdmit(subject)) {
-      this.countOutcome({ status: HTTP_STATUS.unavailable, refusalCause: 'admission limit reached' });
+      this.countOutcome({ status: HTTP_STATUS.unavailable, rejectionCause: 'admission limit reached' });
       reply({ status: HTTP_STATUS.unavailable, retryAfterS: RETRY_AFTER_S });
       return;
     }
     let served = false;
     try {
-      const answer = await this.serve(request);
-      served = answer.status !== HTTP_STATUS.unavailable;
+      const response = await this.handleOrForward(request);
+      served = response.status !== HTTP_STATUS.unavailable;
       const { method, target } = request;
-      const { status, jobStatus, refusalCause } = answer;
-      log.debug({ method, target, status, jobStatus, cause: refusalCause }, 'user answered');
-      this.countOutcome(answer);
-      reply(answer);
-      latency.record(beganAt);
+      const { status, jobStatus, rejectionCause } = response;
+      log.debug({ method, target, status, jobStatus, cause: rejectionCause }, 'user request completed');
+      this.countOutcome(response);
+      reply(response);
+      latency.record(receivedAt);
     } finally {
       admission.release(subject, served);
     }
   }
 
-  /** Refused here for want of the store alone: a peer that the store answers takes the request in the user's place. */
-  private async serve(request: HttpMessage): Promise<HttpReply> {
+  /** Handles the request here; if that fails with 503, forwards it to a peer that can reach the key-value store. */
+  private async handleOrForward(request: HttpMessage): Promise<HttpReply> {
     const { users, links } = this.dependencies;
-    const own = await users.handle(request);
-    if (own.status !== HTTP_STATUS.unavailable) return own;
+    const localReply = await users.handle(request);
+    if (localReply.status !== HTTP_STATUS.unavailable) return localReply;
     const now = monotonicNow();
     const peer = links.find((link) => link.isAlive(now) && link.status?.storeAvailable);
-    if (!peer) return own;
+    if (!peer) return localReply;
     const { method, target, body } = request;
-    const response = await peer.ask({ kind: 'user-request', method, target, body }, FORWARD_TIMEOUT_MS);
-    return response === null ? own : replyOf(response);
+    const response = await peer.sendRequest(
+      { kind: 'user-request', method, target, body },
+      USER_REQUEST_FORWARD_TIMEOUT_MS,
+    );
+    return response === null ? localReply : toHttpReply(response);
   }
 
-  /** Now and then they are logged: what users were answered, and why they were refused. */
-  private countOutcome({ status, refusalCause }: HttpReply): void {
-    const outcome = refusalCause ?? String(status);
+  /** Counts responses by status or rejection cause, and logs the counts periodically. */
+  private countOutcome({ status, rejectionCause }: HttpReply): void {
+    const outcome = rejectionCause ?? String(status);
     this.outcomes.set(outcome, (this.outcomes.get(outcome) ?? 0) + 1);
     const now = monotonicNow();
-    if (now - this.loggedAt < LOG_INTERVAL_MS) return;
-    this.loggedAt = now;
-    this.dependencies.log.info({ outcomes: Object.fromEntries(this.outcomes) }, 'user requests');
+    if (now - this.outcomesLoggedAt < OUTCOMES_LOG_INTERVAL_MS) return;
+    this.outcomesLoggedAt = now;
+    this.dependencies.log.info({ outcomes: Object.fromEntries(this.outcomes) }, 'user request outcomes');
     this.outcomes.clear();
   }
 }
 
-const replyOf = ({ status, body, retryAfterS }: PeerResponses['user-request']): HttpReply => ({
+const toHttpReply = ({ status, body, retryAfterS }: PeerResponses['user-request']): HttpReply => ({
   status,
   ...(body === null ? {} : { body: Buffer.from(body) }),
   ...(retryAfterS === null ? {} : { retryAfterS }),
--- a/src/test/sim/production-version.ts
+++ b/src/test/sim/production-version.ts
@@ -96,7 +96,13 @@
     state: settings.keyValueStore,
     zones: settings.zones,
     clockErrorMs: settings.clockErrorMs,
-    teams: settings.teams,
+    teams: settings.teams.map((team) => ({
+      name: team.name,
+      cpus: team.guaranteedCpus,
+      cpusMax: team.maxCpus,
+      gpus: team.guaranteedGpus,
+      gpusMax: team.maxGpus,
+    })),
     objectives: settings.objectives.map(({ withinS, ...objective }) => ({ ...objective, within_s: withinS })),
     workers: { reportS: settings.workers.heartbeatIntervalS, leaseS, gangWaitS, gangPeerS, cancelS },
     stateLimits: {
--- a/src/test/sim/written-bodies.ts
+++ b/src/test/sim/written-bodies.ts
@@ -13,7 +13,7 @@
 import { encodeRequestFrame, encodeResponseFrame } from '../../runtime/peers/frame-codec.js';
 import { RequestLatency } from '../../runtime/request-latency.js';
 import { StatusPage, type StatusPageDependencies } from '../../runtime/status-page.js';
-import { refused } from '../../runtime/users/user-replies.js';
+import { errorReply } from '../../runtime/users/user-replies.js';
 import { malformed } from '../../runtime/workers/heartbeat-outcome.js';
 import { decode } from '../../wire/cbor.js';
 import * as cloud from '../../wire/cloud-provider.js';
@@ -87,7 +87,7 @@
     leadership: stub<StatusPageDependencies['leadership']>({
       leader: stub<Leader>({ status: () => new LeaderSummary(state).status() }),
     }),
-    admission: stub<StatusPageDependencies['admission']>({ openRequests: 1, refusedCount: 2 }),
+    admission: stub<StatusPageDependencies['admission']>({ openRequests: 1, rejectedCount: 2 }),
     cancellations: stub<StatusPageDependencies['cancellations']>({ coverageAgeMs: () => 7 }),
     userLatency: new RequestLatency(),
     heartbeatLatency: new RequestLatency(),
@@ -118,7 +118,7 @@
     statusBody(jobId, status),
   ),
   'user status with counts': statusBody(jobId, 'running', { done: 1, running: 2 }),
-  'user error': decode(refused(400, 'cause').body!),
+  'user error': decode(errorReply(400, 'cause').body!),
   'heartbeat reply': workers.heartbeatReply(3, [
     { op: 'start', ...task },
     { op: 'stop', ...task, gracePeriodS: 2.5 },
