--- a/src/test/fault-combinations-pipeline-cancellation.test.ts
+++ b/src/test/fault-combinations-pipeline-cancellation.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FAULTS_AT_MS, LONG_OUTAGE_MS } from './sim/cancellation-scenarios.js';
-import { cancelBeforeOutage, submitDiamond } from './sim/pipeline-scenarios.js';
+import { cancelBeforeOutage, submitDiamondPipeline } from './sim/pipeline-scenarios.js';
 import { WORK_STARTS_AT_MS, assertScenarioPasses, runScenario, type Scenario } from './sim/scenario.js';
 import type { JobId } from '../core/units.js';
 
@@ -14,7 +14,7 @@
 test('the key-value store refuses the leader as a job is cancelled, the leader crashes, and users query all controllers', () =>
   assertScenarioPasses(times, (scenario) => {
     let jobs: JobId[] = [];
-    scenario.cluster.at(WORK_STARTS_AT_MS, () => (jobs = submitDiamond(scenario, 60_000)));
+    scenario.cluster.at(WORK_STARTS_AT_MS, () => (jobs = submitDiamondPipeline(scenario, 60_000)));
     scenario.cluster.at(FAULTS_AT_MS, () => {
       scenario.cluster.refuseLeader(14_000);
       scenario.cluster.cancel(jobs[0]);
@@ -31,7 +31,8 @@
     let jobs: JobId[] = [];
     scenario.cluster.at(
       WORK_STARTS_AT_MS,
-      () => (jobs = [submitDiamond(scenario, 90_000), submitDiamond(scenario, 90_000)].flat()),
+      () =>
+        (jobs = [submitDiamondPipeline(scenario, 90_000), submitDiamondPipeline(scenario, 90_000)].flat()),
     );
     scenario.cluster.at(FAULTS_AT_MS, () => {
       const isolated = scenario.cluster.controllers.find(
--- a/src/test/fault-combinations.test.ts
+++ b/src/test/fault-combinations.test.ts
@@ -89,7 +89,7 @@
     scenario.cluster.at(EARLY_FAULTS_AT_MS, () => {
       const ips = scenario.cluster.machinesOf(jobs[3]).map((workerHost) => workerHost.host.ip);
       const controllers = scenario.cluster.controllers.map((controller) => controller.ip);
-      scenario.cluster.network.cut(ips, controllers, 'hold', 7000);
+      scenario.cluster.network.injectFault(ips, controllers, 'hold', 7000);
       scenario.cluster.restart(scenario.cluster.leader!, 4000);
     });
     scenario.cluster.at(EARLY_FAULTS_AT_MS + 25_000, () => {
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -283,7 +283,7 @@
       });
       scenario.cluster.at(
         STARTED_MS,
-        () => (running = owed.flatMap((id) => scenario.cluster.checker.machinesOf(id)).length),
+        () => (running = owed.flatMap((id) => scenario.cluster.checker.machineIdsOf(id)).length),
       );
     },
   );
--- a/src/test/hung-machines.test.ts
+++ b/src/test/hung-machines.test.ts
@@ -1,6 +1,6 @@
 /** Cancelled tasks on machines that hang during consecutive leader failures, on whole controllers. */
 import { test } from 'node:test';
-import { assertConsecutiveLeaderFailuresPass, someMachinesOfEachZone } from './sim/hung-machine-scenarios.js';
+import { assertConsecutiveLeaderFailuresPass, machinesInEachZone } from './sim/hung-machine-scenarios.js';
 
 test('consecutive leader failures leave no cancelled task on hung machines', () =>
-  assertConsecutiveLeaderFailuresPass(someMachinesOfEachZone));
+  assertConsecutiveLeaderFailuresPass(machinesInEachZone));
--- a/src/test/in-flight-starts.test.ts
+++ b/src/test/in-flight-starts.test.ts
@@ -1,7 +1,7 @@
 /** What a message proves of a start in flight: the leader must not give a task up while one may still arrive. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FETCH_MS, LeaderHarness, startsJob } from './sim/leader-harness.js';
+import { FETCH_MS, LeaderHarness, containsStartOf } from './sim/leader-harness.js';
 
 const LONG_MS = 60_000;
 const SHORT_MS = 1000;
@@ -16,7 +16,7 @@
   const second = harness.submit('wk-2', { cpus: 0, gpus: 1, types: null });
   harness.tick();
   const slowAnswer = harness.sendHeartbeat(worker);
-  assert.ok(startsJob(direct.commands, first) && startsJob(slowAnswer.commands, second));
+  assert.ok(containsStartOf(direct.commands, first) && containsStartOf(slowAnswer.commands, second));
   return { harness, worker, direct, slowAnswer, second };
 };
 
@@ -41,7 +41,7 @@
   harness.exchangeHeartbeat(other);
   harness.advance(FETCH_MS);
   assert.deepEqual(harness.checker.violations, []);
-  assert.deepEqual(harness.checker.machinesOf(second), [other.info.id]);
+  assert.deepEqual(harness.checker.machineIdsOf(second), [other.info.id]);
 });
 
 test('a cancelled task stays known while its start may still arrive', () => {
@@ -67,7 +67,7 @@
   harness.onCommandsUnanswered(late);
   harness.submit('wk-2');
   const repeated = harness.tickWithCommands(worker);
-  assert.ok(startsJob(late.commands, job) && startsJob(repeated.commands, job));
+  assert.ok(containsStartOf(late.commands, job) && containsStartOf(repeated.commands, job));
   harness.onCommandsUnsent(repeated);
   harness.exchangeHeartbeat(worker);
   for (let i = 0; i < 2; i++) {
--- a/src/test/mutations-fault-combinations.test.ts
+++ b/src/test/mutations-fault-combinations.test.ts
@@ -10,14 +10,14 @@
   partitionZoneDuringFailover,
   zoneBoundJobsLoseMachines,
 } from './sim/fault-scenarios.js';
-import { runScenario, type Script } from './sim/scenario.js';
+import { runScenario, type ScenarioScript } from './sim/scenario.js';
 import { Recovery } from '../core/leader/recovery.js';
 import { MachinePool } from '../core/leader/machine-pool.js';
 import { LeaderState } from '../core/leader/leader-state.js';
 import { Snapshot } from '../core/scheduler/snapshot.js';
 
 /** The violations with several seeds: any of them may be the one that needs the safeguard. */
-const violationsOf = async (script: Script, seeds = [1]): Promise<string> => {
+const violationsOf = async (script: ScenarioScript, seeds = [1]): Promise<string> => {
   const violations: string[] = [];
   for (const seed of seeds)
     violations.push(
--- a/src/test/mutations-pipelines.test.ts
+++ b/src/test/mutations-pipelines.test.ts
@@ -3,7 +3,7 @@
 import { test, type TestContext } from 'node:test';
 import { FAULTS_AT_MS, LONG_OUTAGE_MS } from './sim/cancellation-scenarios.js';
 import { cancelBeforeOutage, submitPipelines } from './sim/pipeline-scenarios.js';
-import { WORK_STARTS_AT_MS, runScenario, type Script } from './sim/scenario.js';
+import { WORK_STARTS_AT_MS, runScenario, type ScenarioScript } from './sim/scenario.js';
 import { Job } from '../core/job.js';
 import { JobDependencies } from '../core/leader/job-dependencies.js';
 import { JobLookup } from '../runtime/users/job-lookup.js';
@@ -11,7 +11,7 @@
 import { UserApi } from '../runtime/users/user-api.js';
 import type { JobId } from '../core/units.js';
 
-const violationsOf = async (script: Script, seed = 1): Promise<string> =>
+const violationsOf = async (script: ScenarioScript, seed = 1): Promise<string> =>
   (await runScenario(seed, { faultsEndMs: 140_000, endMs: 330_000 }, script)).violations.join('; ');
 
 test('mutation: jobs are placed before their dependencies are done', async (t: TestContext) => {
@@ -31,7 +31,7 @@
       onFinalRecordRead.call(this, id, 'done', now);
     },
   );
-  const script: Script = (scenario) => {
+  const script: ScenarioScript = (scenario) => {
     scenario.cluster.at(WORK_STARTS_AT_MS, () => {
       const first = scenario.submit({ tasks: 1 }, 60_000);
       scenario.cluster.at(WORK_STARTS_AT_MS + 3000, () => scenario.cluster.cancel(first));
--- a/src/test/mutations-safeguards.test.ts
+++ b/src/test/mutations-safeguards.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 import { FAULTS_AT_MS, cancelAtTeamLimit, cancelWhileMachinesHang } from './sim/cancellation-scenarios.js';
-import { runScenario, startMixedWork, type Script } from './sim/scenario.js';
+import { runScenario, startMixedWork, type ScenarioScript } from './sim/scenario.js';
 import type { Job } from '../core/job.js';
 import { Leader } from '../core/leader/leader.js';
 import { MachinePool } from '../core/leader/machine-pool.js';
@@ -17,7 +17,7 @@
 const times = { faultsEndMs: 140_000, endMs: 260_000 };
 
 /** The invariant must be violated when this scenario runs without the safeguard. */
-const assertViolates = async (rule: string, script: Script, seed = 1): Promise<void> => {
+const assertViolates = async (rule: string, script: ScenarioScript, seed = 1): Promise<void> => {
   const { violations } = await runScenario(seed, times, script);
   assert.ok(
     violations.some((violation) => violation.startsWith(rule)),
--- a/src/test/sim/cancellation-scenarios.ts
+++ b/src/test/sim/cancellation-scenarios.ts
@@ -1,5 +1,5 @@
 /** Scenarios in which jobs are cancelled while the leader is refused, machines hang or a team is at its limit. */
-import { WORK_STARTS_AT_MS, startMixedWork, type Scenario, type Script } from './scenario.js';
+import { WORK_STARTS_AT_MS, startMixedWork, type Scenario, type ScenarioScript } from './scenario.js';
 import type { JobId, Team } from '../../core/units.js';
 
 /** When the faults of these scenarios begin. */
@@ -9,7 +9,7 @@
 
 /** Jobs are cancelled as the key-value store refuses the leader, their machines hang, and a second later an outage begins. */
 export const cancelWhileMachinesHang =
-  (then: Script = () => undefined): Script =>
+  (then: ScenarioScript = () => undefined): ScenarioScript =>
   (scenario) => {
     const jobs = startMixedWork(scenario);
     scenario.cluster.at(FAULTS_AT_MS, () => {
@@ -44,7 +44,7 @@
 
 /** The key-value store refuses the leader, and that much later everybody for longer than cancel_s; jobs are cancelled meanwhile. */
 export const leaderRefusedThenOutage =
-  (gapMs: number): Script =>
+  (gapMs: number): ScenarioScript =>
   (scenario) => {
     const jobs = startMixedWork(scenario);
     scenario.cluster.at(FAULTS_AT_MS, () => scenario.cluster.refuseLeader(14_000));
--- a/src/test/sim/cluster-setup.ts
+++ b/src/test/sim/cluster-setup.ts
@@ -73,19 +73,19 @@
   ...setup.keyValueStoreLimits,
 });
 
-const nameOf = (index: number): NodeName => `stable-${index}` as NodeName;
-const ipOf = (index: number): string => `10.0.0.${index + 1}`;
+const controllerName = (index: number): NodeName => `stable-${index}` as NodeName;
+const controllerIp = (index: number): string => `10.0.0.${index + 1}`;
 
 const platformSettings = (setup: ClusterSetup, index: number): PlatformSettings => ({
-  name: nameOf(index),
+  name: controllerName(index),
   zone: setup.controllers[index] as Zone,
-  publicAddress: { host: ipOf(index), port: 8080 },
-  internalAddress: { host: ipOf(index), port: 8081 },
+  publicAddress: { host: controllerIp(index), port: 8080 },
+  internalAddress: { host: controllerIp(index), port: 8081 },
   peers: setup.controllers
     .map((zone, peer) => ({
-      name: nameOf(peer),
+      name: controllerName(peer),
       zone: zone as Zone,
-      address: { host: ipOf(peer), port: 8081 },
+      address: { host: controllerIp(peer), port: 8081 },
     }))
     .filter((_peer, peerIndex) => peerIndex !== index),
   cloudProvider: { host: CLOUD_PROVIDER_IP, port: 8443 },
@@ -101,11 +101,14 @@
 });
 
 /** The controllers of this cluster, none of them started yet. */
-export const controllerProcesses = (setup: ClusterSetup, runtime: SimulationRuntime): ControllerProcess[] =>
+export const createControllerProcesses = (
+  setup: ClusterSetup,
+  runtime: SimulationRuntime,
+): ControllerProcess[] =>
   setup.controllers.map((_zone, index) => ({
-    name: nameOf(index),
-    ip: ipOf(index),
+    name: controllerName(index),
+    ip: controllerIp(index),
     platform: platformSettings(setup, index),
-    host: runtime.createHost(ipOf(index)),
+    host: runtime.createHost(controllerIp(index)),
     version: setup.version ?? null,
   }));
--- a/src/test/sim/cluster-simulation.ts
+++ b/src/test/sim/cluster-simulation.ts
@@ -8,7 +8,7 @@
   CLOCK_ERROR_MS,
   CLOUD_PROVIDER_IP,
   KEY_VALUE_STORE_IP,
-  controllerProcesses,
+  createControllerProcesses,
   keyValueStoreLimits,
   workerTimings,
   type ClusterSetup,
@@ -76,7 +76,7 @@
       this.random,
     );
     this.keyValueStore.limits = keyValueStoreLimits(setup);
-    this.controllers = controllerProcesses(setup, this.runtime);
+    this.controllers = createControllerProcesses(setup, this.runtime);
     this.cloudProvider = this.createCloudProvider();
     clock.every(INVARIANT_CHECK_INTERVAL_MS, () => this.checker.checkPeriodically());
     this.startInitialMachines();
@@ -188,7 +188,7 @@
   }
 
   /** The key-value store accepts no more than was announced, from now on and without notice. */
-  lowerLimits(): void {
+  applyAnnouncedLimits(): void {
     this.keyValueStore.limits = {
       ...keyValueStoreLimits(this.setup),
       ...this.setup.announcedKeyValueStoreLimits,
@@ -203,12 +203,12 @@
   /** Cuts a controller off from its peers. */
   isolateFromPeers(controller: ControllerProcess, fault: LinkFault, forMs: number): void {
     const others = this.controllers.filter((peer) => peer !== controller).map((peer) => peer.ip);
-    this.network.cut([controller.ip], others, fault, forMs);
+    this.network.injectFault([controller.ip], others, fault, forMs);
   }
 
   /** Cuts a controller off from the key-value store. */
   isolateFromKeyValueStore(controller: ControllerProcess, forMs: number): void {
-    this.network.cut([controller.ip], [KEY_VALUE_STORE_IP], 'hold', forMs);
+    this.network.injectFault([controller.ip], [KEY_VALUE_STORE_IP], 'hold', forMs);
   }
 
   /** Cuts the machines and controllers of a zone off from everything outside of it. */
@@ -216,7 +216,7 @@
     const outside = this.controllers
       .filter((controller) => controller.platform.zone !== zone)
       .map((controller) => controller.ip);
-    this.network.cut(
+    this.network.injectFault(
       this.addressesIn(zone),
       [...outside, KEY_VALUE_STORE_IP, CLOUD_PROVIDER_IP, USERS_IP],
       fault,
@@ -226,7 +226,7 @@
 
   /** Cuts the machines and controllers of two zones off from one another. */
   partitionZones(one: string, other: string, fault: LinkFault, forMs: number): void {
-    this.network.cut(this.addressesIn(one), this.addressesIn(other), fault, forMs);
+    this.network.injectFault(this.addressesIn(one), this.addressesIn(other), fault, forMs);
   }
 
   /** A duplicate of that fraction of the heartbeats arrives at some controller, up to well over a lease later. */
@@ -256,7 +256,7 @@
 
   /** Machines on which a task of this job is. */
   machinesOf(id: JobId): WorkerHost[] {
-    const ids = new Set(this.checker.machinesOf(id));
+    const ids = new Set(this.checker.machineIdsOf(id));
     return [...this.workers.values()].filter((workerHost) => ids.has(workerHost.info.id));
   }
 
@@ -266,7 +266,7 @@
   }
 
   /** Runs on after the last fault: from now on no job may be forgotten or left waiting. */
-  async runUntilSettled(untilMs: number): Promise<void> {
+  async runAfterFaults(untilMs: number): Promise<void> {
     const settlingSince = this.now;
     const { checker, users, workers, specs } = this;
     const { teams, zones } = this.setup;
--- a/src/test/sim/fault-scenarios.ts
+++ b/src/test/sim/fault-scenarios.ts
@@ -1,5 +1,5 @@
 /** Fault scenarios that one test runs as they are, and a mutation test with a safeguard taken out. */
-import { WORK_STARTS_AT_MS, startMixedWork, type Scenario, type Script } from './scenario.js';
+import { WORK_STARTS_AT_MS, startMixedWork, type Scenario, type ScenarioScript } from './scenario.js';
 import type { WorkerHost } from './worker-host.js';
 import type { JobId, Team, Zone } from '../../core/units.js';
 
@@ -32,7 +32,7 @@
 
 /** Ten failovers, with an outage of that length in between; 0: none. */
 export const leadersChangeTenTimes =
-  (outageMs: number): Script =>
+  (outageMs: number): ScenarioScript =>
   (scenario) => {
     const jobs = startMixedWork(scenario);
     for (let i = 0; i < 10; i++)
--- a/src/test/sim/fixtures.ts
+++ b/src/test/sim/fixtures.ts
@@ -39,7 +39,7 @@
 ];
 
 /** A single-task array; a test overrides what it is about. */
-export const jobSpec = (id: string, over: Partial<JobSpec> = {}): JobSpec => ({
+export const jobSpec = (id: string, overrides: Partial<JobSpec> = {}): JobSpec => ({
   id: id as JobId,
   class: 'batch',
   team: 'green' as Team,
@@ -61,5 +61,5 @@
   saveS: 2,
   deadlineS: null,
   dependsOn: [],
-  ...over,
+  ...overrides,
 });
--- a/src/test/sim/heartbeat-handler-fixtures.ts
+++ b/src/test/sim/heartbeat-handler-fixtures.ts
@@ -151,10 +151,13 @@
     clock: () => environment.now as MonotonicTime,
   });
   /** The kinds of requests to the leader that this heartbeat has led to. */
-  const sendHeartbeat = async (sequence: number, over: Record<string, unknown> = {}): Promise<string> => {
+  const sendHeartbeat = async (
+    sequence: number,
+    overrides: Record<string, unknown> = {},
+  ): Promise<string> => {
     environment.now += 2000;
     requests.length = 0;
-    const body = { ...heartbeatBody, tally: sequence, ...over };
+    const body = { ...heartbeatBody, tally: sequence, ...overrides };
     assert.equal((await heartbeatHandler.handle(encode(body))).status, 200);
     await new Promise((resolve) => setImmediate(resolve));
     mock.timers.tick(BATCH_INTERVAL_MS);
--- a/src/test/sim/hung-machine-scenarios.ts
+++ b/src/test/sim/hung-machine-scenarios.ts
@@ -2,7 +2,7 @@
  * Consecutive leader failures while machines hang with a cancelled task
  * (docs/incidents/2026-12-02-rules-broken-at-production-size.md).
  */
-import { assertScenarioPasses, startMixedWork, type Scenario, type Script } from './scenario.js';
+import { assertScenarioPasses, startMixedWork, type Scenario, type ScenarioScript } from './scenario.js';
 import { workerHosts } from './fault-scenarios.js';
 import type { WorkerHost } from './worker-host.js';
 import type { JobId } from '../../core/units.js';
@@ -21,7 +21,7 @@
 export type HungMachineSelection = (scenario: Scenario, cancelled: JobId) => WorkerHost[];
 
 /** So many at once that the leader does not give them up at once, but less than half of a zone. */
-export const someMachinesOfEachZone: HungMachineSelection = (scenario, cancelled) => {
+export const machinesInEachZone: HungMachineSelection = (scenario, cancelled) => {
   const hung = new Set(scenario.cluster.machinesOf(cancelled));
   for (const zone of ['east', 'west']) {
     const inZone = workerHosts(scenario).filter((worker) => worker.info.zone === zone);
@@ -39,7 +39,7 @@
 
 /** Machines hang with a cancelled task; the leader fails, and its successor too before it has given them up. */
 const leadersFailWhileMachinesHang =
-  (secondMs: number, select: HungMachineSelection): Script =>
+  (secondMs: number, select: HungMachineSelection): ScenarioScript =>
   (scenario) => {
     const jobs = startMixedWork(scenario);
     scenario.cluster.at(FAULTS_AT_MS, () => {
--- a/src/test/sim/invariant-checker.ts
+++ b/src/test/sim/invariant-checker.ts
@@ -8,7 +8,7 @@
 const QUOTA_TOLERANCE = 1e-6;
 
 /** A task on a machine. */
-interface Place {
+interface TaskPlacement {
   machine: MachineInfo;
   job: JobId;
   index: number;
@@ -22,7 +22,7 @@
   startsAfterCancellation = 0;
   /** Called when the last task of a job has completed. */
   onJobCompleted: (job: JobId) => void = () => undefined;
-  private readonly places = new Set<Place>();
+  private readonly places = new Set<TaskPlacement>();
   private readonly cancelledAt = new Map<JobId, number>();
   private readonly cancellationsRequested = new Set<JobId>();
   private readonly completed = new Map<JobId, Set<number>>();
@@ -42,7 +42,7 @@
   ) {}
 
   /** A task has its image and starts: from here on it is on the machine. */
-  onTaskStarted(machine: MachineInfo, job: JobId, index: number): Place {
+  onTaskStarted(machine: MachineInfo, job: JobId, index: number): TaskPlacement {
     this.startCount++;
     const spec = this.specs.get(job)!;
     const others = [...this.places].filter((place) => place.job === job);
@@ -67,7 +67,7 @@
   }
 
   /** A task is no longer on its machine. */
-  onTaskEnded(place: Place | null): void {
+  onTaskEnded(place: TaskPlacement | null): void {
     if (place) this.places.delete(place);
   }
 
@@ -106,7 +106,7 @@
   }
 
   /** The machines on which tasks of the job are. */
-  machinesOf(job: JobId): string[] {
+  machineIdsOf(job: JobId): string[] {
     return [...this.places].filter((place) => place.job === job).map((place) => place.machine.id);
   }
 
@@ -213,7 +213,7 @@
     return since !== undefined && this.now() - since > this.cancelS * 1000;
   }
 
-  private checkPlacement(spec: JobSpec, machine: MachineInfo, others: Place[]): void {
+  private checkPlacement(spec: JobSpec, machine: MachineInfo, others: TaskPlacement[]): void {
     const { id } = spec;
     if (spec.types !== null && !spec.types.includes(machine.type)) this.report('wrong_place', `${id} type`);
     if (spec.zone !== null && spec.zone !== machine.zone) this.report('wrong_place', `${id} zone`);
@@ -222,7 +222,7 @@
       this.report('wrong_place', `${id} in two zones`);
   }
 
-  private checkSpread(spec: JobSpec, machine: MachineInfo, others: Place[]): void {
+  private checkSpread(spec: JobSpec, machine: MachineInfo, others: TaskPlacement[]): void {
     const inZone = others.filter((place) => place.machine.zone === machine.zone).length + 1;
     if (spec.spread && inZone > Math.ceil(spec.tasks / 2))
       this.report('wrong_place', `${spec.id} not spread`);
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -22,10 +22,10 @@
 } from '../../core/units.js';
 
 const TERM = 3 as Term;
-const TICK_MS = 200;
+const TICK_INTERVAL_MS = 200;
 /** How long a worker fetches an image. */
 export const FETCH_MS = 500;
-const times = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
+const timings = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
 
 /** The commands of one request straight to a worker. */
 export type DirectCommands = Extract<Effect, { kind: 'send-direct-commands' }>;
@@ -38,7 +38,7 @@
 }
 
 /** Whether one of the commands starts a task of the job. */
-export const startsJob = (commands: Command[], job: JobId): boolean =>
+export const containsStartOf = (commands: Command[], job: JobId): boolean =>
   commands.some((command) => command.op === 'start' && command.job === job);
 
 /** One leader with machines that are up and registered. */
@@ -53,11 +53,11 @@
   private revision = 1;
 
   constructor(machines: number, runMs: number) {
-    this.checker = new InvariantChecker(this.specs, teams, times.cancelS, () => this.clock.now);
-    const view: WorkerEnvironment = {
+    this.checker = new InvariantChecker(this.specs, teams, timings.cancelS, () => this.clock.now);
+    const environment: WorkerEnvironment = {
       clock: this.clock,
       checker: this.checker,
-      timings: times,
+      timings,
       specs: this.specs,
       gangs: new Map(),
       capacity: (name) => types.find((type) => type.name === name)!,
@@ -67,12 +67,12 @@
     this.workers = Array.from({ length: machines }, (_item, i) => {
       const endpoint = `10.1.0.${i}:9000` as Endpoint;
       const place = { type: 'large' as MachineTypeName, zone: 'east' as Zone, spot: true };
-      return new SimulatedWorker({ id: `host-${i}` as MachineId, endpoint, ...place }, view);
+      return new SimulatedWorker({ id: `host-${i}` as MachineId, endpoint, ...place }, environment);
     });
     this.leader = new Leader(
       { term: TERM, keyRevision: 1 },
       {
-        workers: times,
+        workers: timings,
         teams,
         objectives: [],
         idleHoldS: 600,
@@ -89,7 +89,7 @@
       this.now,
     );
     this.leader.setMachineTypes(types);
-    this.enroll();
+    this.registerMachines();
   }
 
   private get now(): MonotonicTime {
@@ -97,7 +97,7 @@
   }
 
   /** All machines are known, under this leader's fencing token, and in the durable registry. */
-  private enroll(): void {
+  private registerMachines(): void {
     const listed = this.workers.map(({ info }) => ({ ...info, status: 'running' as const, ageS: 60 }));
     this.leader.onMachineList(listed, this.now);
     for (let round = 0; round < 2; round++) for (const worker of this.workers) this.exchangeHeartbeat(worker);
@@ -106,8 +106,8 @@
   }
 
   /** A user submits a job of spot tasks without checkpoints. */
-  submit(id: string, over: Partial<JobSpec> = {}): JobId {
-    const spec = jobSpec(id, { spot: true, checkpointS: 0, ...over });
+  submit(id: string, overrides: Partial<JobSpec> = {}): JobId {
+    const spec = jobSpec(id, { spot: true, checkpointS: 0, ...overrides });
     this.specs.set(spec.id, spec);
     const wall = this.clock.now as WallTime;
     const record = { spec, submittedAt: wall, cancelledAt: null };
@@ -137,7 +137,7 @@
 
   /** Some time passes, and the leader acts; its effects are returned and not executed. */
   tick(): Effect[] {
-    this.advance(TICK_MS);
+    this.advance(TICK_INTERVAL_MS);
     this.leader.tick(this.now, this.clock.now as WallTime);
     const effects = this.leader.takeEffects();
     for (const effect of effects) if (effect.kind === 'log') this.logEntries.push(effect);
--- a/src/test/sim/leader-simulation.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -152,7 +152,7 @@
   }
 
   /** Runs the action later, if this leader still leads then. */
-  laterFor(leader: Leader, ms: number, action: () => void): void {
+  scheduleForLeader(leader: Leader, ms: number, action: () => void): void {
     this.clock.after(ms, () => {
       if (this.leader === leader) action();
     });
@@ -209,12 +209,16 @@
       case 'write-registry-page':
         if (effect.machines.length === 0) this.registry.delete(effect.page);
         else this.registry.set(effect.page, effect.machines);
-        this.laterFor(leader, NETWORK_LATENCY_MS, () => leader.onRegistryPageWritten(effect.page, ok));
+        this.scheduleForLeader(leader, NETWORK_LATENCY_MS, () =>
+          leader.onRegistryPageWritten(effect.page, ok),
+        );
         return;
       case 'write-progress': {
         const { job, segment, bytes } = effect;
         this.progress.set(`${job}/${segment}`, { job, segment, bytes });
-        this.laterFor(leader, NETWORK_LATENCY_MS, () => leader.onProgressWritten(job, segment, bytes, ok));
+        this.scheduleForLeader(leader, NETWORK_LATENCY_MS, () =>
+          leader.onProgressWritten(job, segment, bytes, ok),
+        );
         return;
       }
       case 'write-final-record':
@@ -222,18 +226,18 @@
         return;
       case 'read-final-record': {
         const final = ok ? (this.finalStates.get(effect.job) ?? null) : null;
-        this.laterFor(leader, NETWORK_LATENCY_MS, () =>
+        this.scheduleForLeader(leader, NETWORK_LATENCY_MS, () =>
           leader.onFinalRecordRead(effect.job, final, this.monotonicNow),
         );
         return;
       }
       case 'create-machines':
-        this.laterFor(leader, CLOUD_LATENCY_MS, () => this.createMachinesFor(leader, effect));
+        this.scheduleForLeader(leader, CLOUD_LATENCY_MS, () => this.createMachinesFor(leader, effect));
         return;
       case 'delete-machines': {
         const deleted = !this.cloudUnavailable;
         if (deleted) for (const id of effect.machines) this.machines.remove(id);
-        this.laterFor(leader, CLOUD_LATENCY_MS, () =>
+        this.scheduleForLeader(leader, CLOUD_LATENCY_MS, () =>
           leader.onDeletionResult(effect.machines, deleted, this.monotonicNow),
         );
         return;
@@ -249,7 +253,7 @@
     const known = this.records.get(job);
     if (known && known.revision !== effect.revision) {
       const outcome = { kind: 'changed', record: known.record, revision: known.revision } as const;
-      this.laterFor(leader, NETWORK_LATENCY_MS, () =>
+      this.scheduleForLeader(leader, NETWORK_LATENCY_MS, () =>
         leader.onFinalRecordWritten(job, outcome, this.monotonicNow),
       );
       return;
@@ -258,7 +262,7 @@
     this.finalStates.set(job, state);
     this.checker.onStatusReported(job, state);
     this.addTraceLine(`${job} is ${state}`);
-    this.laterFor(leader, NETWORK_LATENCY_MS, () =>
+    this.scheduleForLeader(leader, NETWORK_LATENCY_MS, () =>
       leader.onFinalRecordWritten(job, { kind: 'ok', state }, this.monotonicNow),
     );
   }
--- a/src/test/sim/pipeline-scenarios.ts
+++ b/src/test/sim/pipeline-scenarios.ts
@@ -1,11 +1,11 @@
 /** Pipelines as users submit them: stage by stage, each as soon as its dependencies are accepted. */
-import { WORK_STARTS_AT_MS, type Scenario, type Script } from './scenario.js';
+import { WORK_STARTS_AT_MS, type Scenario, type ScenarioScript } from './scenario.js';
 import type { JobId } from '../../core/units.js';
 
 const smallTask = { gpus: 0, cpus: 1, memoryGb: 4, imageGb: 1, checkpointS: 0, saveS: 0 } as const;
 
 /** Four jobs: the second and third need the first, the last needs both and is urgent. */
-export const submitDiamond = (scenario: Scenario, runMs: number): JobId[] => {
+export const submitDiamondPipeline = (scenario: Scenario, runMs: number): JobId[] => {
   const first = scenario.submit({ ...smallTask, tasks: 3, priority: 'low' }, runMs);
   const left = scenario.submitAfter([first], { ...smallTask, tasks: 4, priority: 'low' }, runMs / 2);
   const right = scenario.submitAfter(
@@ -29,7 +29,7 @@
 export const submitPipelines = (scenario: Scenario, count: number): void => {
   for (let i = 0; i < count; i++)
     scenario.cluster.at(WORK_STARTS_AT_MS + i * 10_000, () => {
-      const jobs = submitDiamond(scenario, 8000 + scenario.random() * 8000);
+      const jobs = submitDiamondPipeline(scenario, 8000 + scenario.random() * 8000);
       if (i % 3 === 2)
         scenario.cluster.at(scenario.cluster.now + 6000, () => cancelIfSubmitted(scenario, jobs[i % 4]));
     });
@@ -40,10 +40,10 @@
 
 /** The first job is cancelled, an outage follows at once, and then all users query all controllers. */
 export const cancelBeforeOutage =
-  (atMs: number, outageMs: number): Script =>
+  (atMs: number, outageMs: number): ScenarioScript =>
   (scenario) => {
     let jobs: JobId[] = [];
-    scenario.cluster.at(WORK_STARTS_AT_MS, () => (jobs = submitDiamond(scenario, 90_000)));
+    scenario.cluster.at(WORK_STARTS_AT_MS, () => (jobs = submitDiamondPipeline(scenario, 90_000)));
     scenario.cluster.at(atMs, () => scenario.cluster.cancel(jobs[0]));
     scenario.cluster.at(atMs + BEFORE_LEADER_WRITES_MS, () =>
       scenario.cluster.keyValueStore.startOutage(outageMs),
--- a/src/test/sim/scenario.ts
+++ b/src/test/sim/scenario.ts
@@ -12,7 +12,7 @@
 
 /** When most scenarios submit their work. */
 export const WORK_STARTS_AT_MS = 10_000;
-const LONG_RUN_MS = 100_000;
+const DEFAULT_TASK_DURATION_MS = 100_000;
 const DEPENDENCY_CHECK_INTERVAL_MS = 50;
 const MAX_VIOLATIONS_SHOWN = 5;
 
@@ -26,14 +26,14 @@
 export interface Scenario {
   cluster: ClusterSimulation;
   /** Submits a job; runMs: how long each of its tasks runs. */
-  submit: (over?: Partial<JobSpec>, runMs?: number) => JobId;
+  submit: (overrides?: Partial<JobSpec>, runMs?: number) => JobId;
   /** Submits a job as soon as those that it depends on are accepted; its id is known at once. */
-  submitAfter: (dependsOn: JobId[], over?: Partial<JobSpec>, runMs?: number) => JobId;
+  submitAfter: (dependsOn: JobId[], overrides?: Partial<JobSpec>, runMs?: number) => JobId;
   random: () => number;
 }
 
 /** Schedules the work and the faults of a scenario. */
-export type Script = (scenario: Scenario) => void;
+export type ScenarioScript = (scenario: Scenario) => void;
 
 interface ScenarioOptions {
   seeds?: number[];
@@ -67,7 +67,7 @@
 };
 
 const createScenario = (seed: number, setup: Partial<ClusterSetup>): Scenario => {
-  const durations = new Map<JobId, number>();
+  const taskDurations = new Map<JobId, number>();
   const cluster = new ClusterSimulation({
     seed,
     zones: ['east', 'west'],
@@ -76,22 +76,26 @@
     types,
     capacity: 40,
     initialMachines: { type: 'small', perZone: 8 },
-    runMs: (job) => durations.get(job)!,
+    runMs: (job) => taskDurations.get(job)!,
     ...setup,
   });
   let jobCount = 0;
-  const prepare = (spec: Partial<JobSpec>, runMs: number): JobSpec => {
+  const createSpec = (spec: Partial<JobSpec>, runMs: number): JobSpec => {
     const id = `wk-${++jobCount}` as JobId;
-    durations.set(id, runMs);
+    taskDurations.set(id, runMs);
     return jobSpec(id, spec);
   };
-  const submit = (over: Partial<JobSpec> = {}, runMs = LONG_RUN_MS): JobId => {
-    const spec = prepare(over, runMs);
+  const submit = (overrides: Partial<JobSpec> = {}, runMs = DEFAULT_TASK_DURATION_MS): JobId => {
+    const spec = createSpec(overrides, runMs);
     cluster.submit(spec);
     return spec.id;
   };
-  const submitAfter = (dependsOn: JobId[], over: Partial<JobSpec> = {}, runMs = LONG_RUN_MS): JobId => {
-    const spec = prepare({ ...over, dependsOn }, runMs);
+  const submitAfter = (
+    dependsOn: JobId[],
+    overrides: Partial<JobSpec> = {},
+    runMs = DEFAULT_TASK_DURATION_MS,
+  ): JobId => {
+    const spec = createSpec({ ...overrides, dependsOn }, runMs);
     const accepted = (id: JobId): boolean => cluster.users.get(id)?.accepted ?? false;
     const submitOnceAccepted = (): void => {
       if (dependsOn.every(accepted)) cluster.submit(spec);
@@ -113,14 +117,14 @@
 export const runScenario = async (
   seed: number,
   { setup = {}, faultsEndMs, endMs }: ScenarioOptions,
-  script: Script,
+  script: ScenarioScript,
 ): Promise<ScenarioResult> => {
   const scenario = createScenario(seed, setup);
   const { cluster } = scenario;
   try {
     script(scenario);
     await cluster.run(faultsEndMs);
-    await cluster.runUntilSettled(endMs);
+    await cluster.runAfterFaults(endMs);
     cluster.checker.checkAtEnd();
     return { cluster, violations: cluster.checker.violations, unfinished: unfinishedJobs(cluster) };
   } finally {
@@ -129,11 +133,14 @@
 };
 
 /** Runs a scenario with several seeds: no invariant may be violated, and every job not cancelled must have ended. */
-export const assertScenarioPasses = async (options: ScenarioOptions, script: Script): Promise<void> => {
+export const assertScenarioPasses = async (
+  options: ScenarioOptions,
+  script: ScenarioScript,
+): Promise<void> => {
   for (const seed of options.seeds ?? [1, 2, 3]) {
     const { cluster, violations, unfinished } = await runScenario(seed, options, script);
-    const found = { seed, violations: violations.slice(0, MAX_VIOLATIONS_SHOWN), unfinished };
-    assert.deepEqual(found, { seed, violations: [], unfinished: [] }, cluster.notes.join('; '));
+    const actual = { seed, violations: violations.slice(0, MAX_VIOLATIONS_SHOWN), unfinished };
+    assert.deepEqual(actual, { seed, violations: [], unfinished: [] }, cluster.notes.join('; '));
     assert.ok(cluster.checker.startCount > 0);
   }
 };
--- a/src/test/sim/scheduling-cycle-fixtures.ts
+++ b/src/test/sim/scheduling-cycle-fixtures.ts
@@ -1,5 +1,5 @@
 /** Single scheduling cycles on machines and jobs made for a test. */
-import { teams as dayTeams } from './fixtures.js';
+import { teams as defaultTeams } from './fixtures.js';
 import { jobSpec, types } from './fixtures.js';
 import { Machine } from '../../core/machine.js';
 import { addResources, type Resources } from '../../core/resources.js';
@@ -42,8 +42,8 @@
 };
 
 /** A job known since `now`. */
-export const makeJob = (id: string, over: Partial<JobSpec> = {}): Job => {
-  const spec = jobSpec(id, over);
+export const makeJob = (id: string, overrides: Partial<JobSpec> = {}): Job => {
+  const spec = jobSpec(id, overrides);
   return new Job(spec.id, { spec, submittedAt: 0 as WallTime, cancelledAt: null }, 1, false, now);
 };
 
@@ -61,7 +61,7 @@
 export const runTestCycle = (
   machines: Machine[],
   jobs: Job[],
-  teams: TeamQuota[] = dayTeams,
+  teams: TeamQuota[] = defaultTeams,
 ): CycleResult => {
   const teamLimits = new Map(teams.map((t) => [t.name, t]));
   const byId = new Map(jobs.map((j) => [j.id, j]));
--- a/src/test/sim/simulated-network.ts
+++ b/src/test/sim/simulated-network.ts
@@ -14,10 +14,10 @@
 const CONNECT_RETRY_MS = 500;
 
 /** The same for both directions. */
-const linkOf = (a: string, b: string): string => (a < b ? `${a}|${b}` : `${b}|${a}`);
+const linkKey = (a: string, b: string): string => (a < b ? `${a}|${b}` : `${b}|${a}`);
 
 const linksBetween = (some: string[], others: string[]): string[] =>
-  some.flatMap((a) => others.filter((b) => b !== a).map((b) => linkOf(a, b)));
+  some.flatMap((a) => others.filter((b) => b !== a).map((b) => linkKey(a, b)));
 
 /** Delivers packets between hosts, which are named by their addresses. */
 export class SimulatedNetwork {
@@ -31,7 +31,7 @@
   constructor(readonly runtime: SimulationRuntime) {}
 
   /** A fault between each of some hosts and each of others; held packets arrive when it ends. */
-  cut(some: string[], others: string[], fault: LinkFault, forMs: number): void {
+  injectFault(some: string[], others: string[], fault: LinkFault, forMs: number): void {
     const links = linksBetween(some, others);
     for (const link of links) this.faults.set(link, fault);
     this.runtime.clock.after(forMs, () => {
@@ -44,7 +44,7 @@
   }
 
   /** A longer latency between each of some hosts and each of others, drawn for each pair. */
-  slow(some: string[], others: string[], latencyMs: () => number, forMs: number): void {
+  addLatency(some: string[], others: string[], latencyMs: () => number, forMs: number): void {
     const links = linksBetween(some, others);
     for (const link of links) this.slowLatencyMs.set(link, latencyMs());
     this.runtime.clock.after(forMs, () => {
@@ -54,7 +54,7 @@
 
   /** Runs `arrive` when a packet sent now arrives, if it does. */
   deliver(from: string, to: string, arrive: () => void): void {
-    const link = linkOf(from, to);
+    const link = linkKey(from, to);
     const fault = this.faults.get(link);
     if (fault === 'hold' || fault === 'refuse') {
       const held = this.held.get(link) ?? [];
@@ -68,7 +68,7 @@
     const local = new SimulatedSocket(this, host, ip);
     const attempt = (): void => {
       if (local.destroyed) return;
-      const fault = this.faults.get(linkOf(host.ip, ip));
+      const fault = this.faults.get(linkKey(host.ip, ip));
       const listener = this.listeners.get(`${ip}:${port}`);
       // Behind a partition the attempt is repeated until the caller gives it up.
       if (fault === 'hold' || fault === 'lose') this.runtime.clock.after(CONNECT_RETRY_MS, attempt);
@@ -99,7 +99,7 @@
 
   private schedule(from: string, to: string, arrive: () => void): void {
     const { clock } = this.runtime;
-    const latencyMs = this.slowLatencyMs.get(linkOf(from, to)) ?? LATENCY_MS;
+    const latencyMs = this.slowLatencyMs.get(linkKey(from, to)) ?? LATENCY_MS;
     const direction = `${from}>${to}`;
     const arrival = Math.max(clock.now + latencyMs, this.lastArrival.get(direction) ?? 0);
     this.lastArrival.set(direction, arrival);
--- a/src/test/sim/simulated-worker-link.ts
+++ b/src/test/sim/simulated-worker-link.ts
@@ -44,7 +44,7 @@
     }
     // Held back by the network: the leader gives up, and the commands are perhaps delivered minutes later.
     if (!worker?.inboundPartitioned) this.held.push(() => worker?.alive && execute(worker));
-    this.simulation.laterFor(leader, COMMAND_TIMEOUT_MS, () => {
+    this.simulation.scheduleForLeader(leader, COMMAND_TIMEOUT_MS, () => {
       leader.onDirectCommandResult(
         effect.machine,
         effect.commands,
@@ -102,7 +102,7 @@
     if (this.isDuplicated())
       this.deliverDuplicate(() => worker.alive && !worker.unreachable && execute(worker));
     const kind = executed ? 'executed' : 'refused';
-    this.simulation.laterFor(leader, NETWORK_LATENCY_MS, () => {
+    this.simulation.scheduleForLeader(leader, NETWORK_LATENCY_MS, () => {
       leader.onDirectCommandResult(
         effect.machine,
         effect.commands,
--- a/src/test/sim/simulated-worker.ts
+++ b/src/test/sim/simulated-worker.ts
@@ -21,7 +21,7 @@
   state: TaskState;
   cause: ExitCause | null;
   saved: boolean;
-  place: ReturnType<InvariantChecker['onTaskStarted']> | null;
+  placement: ReturnType<InvariantChecker['onTaskStarted']> | null;
   gang: GangAttempt | null;
 }
 
@@ -143,8 +143,8 @@
 
   private dropAll(): void {
     for (const t of this.tasks.values()) {
-      this.environment.checker.onTaskEnded(t.place);
-      t.place = null;
+      this.environment.checker.onTaskEnded(t.placement);
+      t.placement = null;
       this.leaveGang(t);
     }
     this.tasks.clear();
@@ -178,7 +178,7 @@
       state: 'fetching',
       cause: null,
       saved: false,
-      place: null,
+      placement: null,
       gang: null,
     };
     const refuse = (cause: ExitCause): void => {
@@ -203,7 +203,7 @@
     }
     this.environment.clock.after(this.environment.fetchMs(this.info, job), () => {
       if (this.tasks.get(key) !== task || task.state !== 'fetching') return;
-      task.place = this.environment.checker.onTaskStarted(this.info, job, index);
+      task.placement = this.environment.checker.onTaskStarted(this.info, job, index);
       if (spec.kind === 'gang' && !this.failsTasks) {
         this.joinGang(task, spec);
         return;
@@ -280,8 +280,8 @@
     task.state = 'exited';
     task.cause = cause;
     this.leaveGang(task);
-    this.environment.checker.onTaskEnded(task.place);
-    task.place = null;
+    this.environment.checker.onTaskEnded(task.placement);
+    task.placement = null;
   }
 
   /** How many tasks of the job it holds that have not exited. */
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -66,7 +66,7 @@
 const upgradeOneByOne = (scenario: Scenario): void => {
   for (const [i, controller] of scenario.cluster.controllers.entries())
     scenario.cluster.at(ROLL + i * EVERY_MS, () => scenario.cluster.upgrade(controller, 4000));
-  scenario.cluster.at(LOWERED, () => scenario.cluster.lowerLimits());
+  scenario.cluster.at(LOWERED, () => scenario.cluster.applyAnnouncedLimits());
   scenario.cluster.at(LOWERED + 5000, () => submitPipelines(scenario, 3));
 };
 
--- a/src/test/zone-partition.test.ts
+++ b/src/test/zone-partition.test.ts
@@ -47,7 +47,7 @@
       cluster.partitionZones(near, far, fault, PARTITION_MS);
     });
     cluster.at(SUBMITTED_AT_MS, () => (bound = scenario.submit({ tasks: 4, zone: far as Zone }, 120_000)));
-    cluster.at(RUNNING_AT_MS, () => (running = cluster.checker.machinesOf(bound).length));
+    cluster.at(RUNNING_AT_MS, () => (running = cluster.checker.machineIdsOf(bound).length));
     cluster.at(FENCED_AT_MS, () => {
       fenced = [...cluster.cloudProvider.deletedAt.values()].filter((at) => at > PARTITIONED_AT_MS).length;
     });
