--- a/src/test/sim/cluster-simulation.ts
+++ b/src/test/sim/cluster-simulation.ts
@@ -1,6 +1,6 @@
 /**
- * Whole controllers on virtual time, between stand-ins for everything they talk to, with an invariant checker: faults can
- * coincide here as they do between real hosts.
+ * Runs complete controllers on virtual time against simulated workers, users, key-value store and cloud provider, under
+ * an invariant checker. Several faults can be active at the same time.
  */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -36,14 +36,14 @@
 
 const USERS_IP = '10.3.0.1';
 const DUPLICATING_HOST_IP = '10.3.0.2';
-/** A job whose users get no response for so long is forgotten. */
+/** A job is forgotten if its user gets no response for longer than this. */
 const FORGOTTEN_AFTER_MS = 75_000;
-/** Machines that run at the start have been up for so long. */
+/** Age, at the start of the simulation, of the machines that already run then. */
 const INITIAL_MACHINE_AGE_MS = 600_000;
 const CLOUD_LIST_LAG_MS = 4000;
 const INVARIANT_CHECK_INTERVAL_MS = 500;
 
-/** A simulated cluster; tests inject faults through its methods. */
+/** A simulated cluster. Tests inject faults through its methods. */
 export class ClusterSimulation {
   readonly runtime = new SimulationRuntime();
   readonly network = new SimulatedNetwork(this.runtime);
@@ -80,7 +80,7 @@
     this.cloudProvider = this.createCloudProvider();
     clock.every(INVARIANT_CHECK_INTERVAL_MS, () => this.checker.checkPeriodically());
     this.startInitialMachines();
-    for (const controller of this.controllers) this.boot(controller);
+    for (const controller of this.controllers) this.startController(controller);
   }
 
   private createCloudProvider(): SimulatedCloudProvider {
@@ -121,8 +121,8 @@
         this.cloudProvider.addMachine(type!.name, zone, false, 0, -INITIAL_MACHINE_AGE_MS);
   }
 
-  private boot(controller: ControllerProcess): void {
-    // Killed twice before it was back: there is still one process.
+  private startController(controller: ControllerProcess): void {
+    // If the controller was killed twice before it was restarted, it is started twice. The first process has to end.
     controller.host.kill();
     const wallClockOffsetMs = (this.random() - 0.5) * 2 * CLOCK_ERROR_MS;
     controller.host = this.runtime.createHost(controller.ip, wallClockOffsetMs);
@@ -140,7 +140,7 @@
     controller.host.run(() => new Controller(platform, parseOperatorSettings(operator)).start());
   }
 
-  /** Runs the action at that time of the simulation. */
+  /** Schedules the action for the given simulated time. */
   at(ms: number, action: () => void): void {
     this.runtime.clock.after(ms - this.now, action);
   }
@@ -149,7 +149,7 @@
     return this.runtime.clock.now;
   }
 
-  /** A user submits the job, and asks about it until it has ended. */
+  /** Creates a user that submits the job and polls its status until it is done or cancelled. */
   submit(spec: JobSpec): SimulatedUser {
     this.specs.set(spec.id, spec);
     const addresses = this.controllers.map((controller) => `${controller.ip}:8080`);
@@ -159,35 +159,35 @@
     return user;
   }
 
-  /** The job's user asks to cancel it. */
+  /** Makes the job's user request its cancellation. */
   cancel(id: JobId): void {
     this.users.get(id)!.cancel();
   }
 
-  /** A note on what happened, for the message of a test that fails. */
-  addNote(what: string): void {
-    this.notes.push(`${(this.now / 1000).toFixed(1)} ${what}`);
+  /** Adds a note with the current time. Failed assertions print the notes. */
+  addNote(text: string): void {
+    this.notes.push(`${(this.now / 1000).toFixed(1)} ${text}`);
   }
 
-  /** The controller that the key-value store names as the leader. */
+  /** The controller named by the leader key in the key-value store. */
   get leader(): ControllerProcess | null {
     const node = (this.keyValueStore.items.get('l/leader')?.data as { node?: string } | undefined)?.node;
     return this.controllers.find((controller) => controller.name === node) ?? null;
   }
 
-  /** Kills a controller, and starts it again later. */
+  /** Kills a controller and starts it again after `afterMs`. */
   restart(controller: ControllerProcess, afterMs: number): void {
     controller.host.kill();
-    this.runtime.clock.after(afterMs, () => this.boot(controller));
+    this.runtime.clock.after(afterMs, () => this.startController(controller));
   }
 
-  /** Kills a controller, and starts it later with the present version. */
+  /** Kills a controller and starts it with the present version after `afterMs`. */
   upgrade(controller: ControllerProcess, afterMs: number): void {
     controller.version = null;
     this.restart(controller, afterMs);
   }
 
-  /** The key-value store accepts no more than was announced, from now on and without notice. */
+  /** Makes the key-value store enforce the announced limits from now on, without notifying the controllers. */
   applyAnnouncedLimits(): void {
     this.keyValueStore.limits = {
       ...keyValueStoreLimits(this.setup),
@@ -195,23 +195,26 @@
     };
   }
 
-  /** The key-value store refuses the present leader, and nobody else. */
+  /** Makes the key-value store refuse the requests of the present leader only. */
   refuseLeader(forMs: number): void {
     if (this.leader) this.keyValueStore.refuseHost(this.leader.ip, forMs);
   }
 
-  /** Cuts a controller off from its peers. */
+  /** Injects a fault on the links between a controller and its peers. */
   isolateFromPeers(controller: ControllerProcess, fault: LinkFault, forMs: number): void {
     const others = this.controllers.filter((peer) => peer !== controller).map((peer) => peer.ip);
     this.network.injectFault([controller.ip], others, fault, forMs);
   }
 
-  /** Cuts a controller off from the key-value store. */
+  /** Partitions a controller from the key-value store. */
   isolateFromKeyValueStore(controller: ControllerProcess, forMs: number): void {
     this.network.injectFault([controller.ip], [KEY_VALUE_STORE_IP], 'hold', forMs);
   }
 
-  /** Cuts the machines and controllers of a zone off from everything outside of it. */
+  /**
+   * Injects a fault on the links from the machines and controllers of a zone to the controllers of other zones, the
+   * key-value store, the cloud provider and the users.
+   */
   isolateZone(zone: string, fault: LinkFault, forMs: number): void {
     const outside = this.controllers
       .filter((controller) => controller.platform.zone !== zone)
@@ -224,12 +227,12 @@
     );
   }
 
-  /** Cuts the machines and controllers of two zones off from one another. */
-  partitionZones(one: string, other: string, fault: LinkFault, forMs: number): void {
-    this.network.injectFault(this.addressesIn(one), this.addressesIn(other), fault, forMs);
+  /** Injects a fault on the links between the machines and controllers of two zones. */
+  partitionZones(zoneA: string, zoneB: string, fault: LinkFault, forMs: number): void {
+    this.network.injectFault(this.addressesIn(zoneA), this.addressesIn(zoneB), fault, forMs);
   }
 
-  /** A duplicate of that fraction of the heartbeats arrives at some controller, up to well over a lease later. */
+  /** Delivers a duplicate of the given fraction of heartbeats to a random controller, up to two leases and 2 s later. */
   duplicateHeartbeats(fraction: number, forMs: number): void {
     const until = this.now + forMs;
     const duplicatingHost = this.runtime.createHost(DUPLICATING_HOST_IP);
@@ -248,44 +251,44 @@
     }
   }
 
-  /** That fraction of the direct commands is executed late and gets no response. */
+  /** Makes workers execute the given fraction of direct commands late and without a response. */
   delayDirectCommands(fraction: number, forMs: number): void {
     for (const workerHost of this.workers.values())
       workerHost.delayedCommands = { fraction, until: this.now + forMs };
   }
 
-  /** Machines on which a task of this job is. */
+  /** The machines on which tasks of this job run. */
   machinesOf(id: JobId): WorkerHost[] {
     const ids = new Set(this.checker.machineIdsOf(id));
     return [...this.workers.values()].filter((workerHost) => ids.has(workerHost.info.id));
   }
 
-  /** Runs the simulation until then. */
+  /** Runs the simulation until `untilMs`. */
   async run(untilMs: number): Promise<void> {
     await this.runtime.runUntil(untilMs);
   }
 
-  /** Runs on after the last fault: from now on no job may be forgotten or left waiting. */
+  /** Runs the simulation after the last fault has ended. In this phase no job may be forgotten or left waiting. */
   async runAfterFaults(untilMs: number): Promise<void> {
-    const settlingSince = this.now;
+    const faultsEndedAt = this.now;
     const { checker, users, workers, specs } = this;
     const { teams, zones } = this.setup;
     new PendingJobMonitor({ checker, users, workers, specs, teams, zones }).start(this.runtime.clock);
     await this.run(untilMs);
     for (const [id, user] of this.users) {
       if (!user.accepted || user.status === 'done' || user.status === 'cancelled') continue;
-      if (this.now - Math.max(settlingSince, user.lastResponseAt) > FORGOTTEN_AFTER_MS)
-        this.checker.reportForgottenJob(id, 'no question answered');
+      if (this.now - Math.max(faultsEndedAt, user.lastResponseAt) > FORGOTTEN_AFTER_MS)
+        this.checker.reportForgottenJob(id, 'no response to the status requests');
     }
   }
 
-  /** Ends all controllers, and gives Node its own timers, clocks and connections back. */
+  /** Kills all controllers and restores the timers, clocks and connections of Node.js. */
   dispose(): void {
     for (const controller of this.controllers) controller.host.kill();
     this.restoreNodeGlobals();
   }
 
-  /** The addresses of a zone's machines and controllers. */
+  /** The IP addresses of a zone's machines and controllers. */
   private addressesIn(zone: string): string[] {
     const workerHosts = [...this.workers.values()].filter(({ info }) => info.zone === zone);
     const controllers = this.controllers.filter(({ platform }) => platform.zone === zone);
--- a/src/test/sim/invariant-checker.ts
+++ b/src/test/sim/invariant-checker.ts
@@ -1,24 +1,24 @@
-/** The rules of the protocol, checked against what the simulated workers and users really saw. */
+/** Checks the rules of the protocol against the events that the simulated workers and users observe. */
 import type { JobSpec } from '../../core/job-spec.js';
 import type { MachineInfo } from '../../core/machine-info.js';
 import type { TeamQuota } from '../../core/team-quota.js';
 import type { JobId } from '../../core/units.js';
 
-const LARGEST_JOBS_START_WITHIN_MS = 240_000;
+const MAX_LARGEST_JOB_START_DELAY_MS = 240_000;
 const QUOTA_TOLERANCE = 1e-6;
 
-/** A task on a machine. */
+/** A started task and the machine on which it runs. */
 interface TaskPlacement {
   machine: MachineInfo;
   job: JobId;
   index: number;
 }
 
-/** Collects violations, each of which begins with the name of its rule. */
+/** Collects violations of the rules. Each violation begins with the name of its rule. */
 export class InvariantChecker {
   readonly violations: string[] = [];
   startCount = 0;
-  /** Counted, though no violation: starts after a user was told that the job is cancelled. */
+  /** Tasks started after a user received a cancelled status for the job. Not a violation until `cancelS` has passed. */
   startsAfterCancellation = 0;
   /** Called when the last task of a job has completed. */
   onJobCompleted: (job: JobId) => void = () => undefined;
@@ -26,12 +26,12 @@
   private readonly cancelledAt = new Map<JobId, number>();
   private readonly cancellationsRequested = new Set<JobId>();
   private readonly completed = new Map<JobId, Set<number>>();
-  /** Completions that a controller has had the worker forget: the controllers must keep them. */
+  /** Completions that a worker has deleted at a controller's command. The controllers must keep them. */
   private readonly acknowledged = new Map<JobId, Set<number>>();
   private readonly doneReportedAt = new Map<JobId, number>();
   private readonly finalReported = new Map<JobId, string>();
   private readonly acceptedAt = new Map<JobId, number>();
-  /** When each task of a job was first started. */
+  /** The time of the first start of each task, by job and task index. */
   private readonly firstStarts = new Map<JobId, Map<number, number>>();
 
   constructor(
@@ -41,7 +41,7 @@
     private readonly now: () => number,
   ) {}
 
-  /** A task has its image and starts: from here on it is on the machine. */
+  /** Called when a task has its image and starts. The task occupies its machine until `onTaskEnded`. */
   onTaskStarted(machine: MachineInfo, job: JobId, index: number): TaskPlacement {
     this.startCount++;
     const spec = this.specs.get(job)!;
@@ -66,12 +66,12 @@
     return place;
   }
 
-  /** A task is no longer on its machine. */
+  /** Called when a task no longer occupies its machine. */
   onTaskEnded(place: TaskPlacement | null): void {
     if (place) this.places.delete(place);
   }
 
-  /** A task has run to its end. */
+  /** Called when a task has run to completion. */
   onTaskCompleted(job: JobId, index: number): void {
     const set = this.completed.get(job) ?? new Set();
     set.add(index);
@@ -79,20 +79,20 @@
     if (set.size === this.specs.get(job)!.tasks) this.onJobCompleted(job);
   }
 
-  /** A controller has had a worker forget the completion of this task. */
+  /** Called when a worker deletes the completion of this task at a controller's command. */
   onCompletionAcknowledged(job: JobId, index: number): void {
     const indexes = this.acknowledged.get(job) ?? new Set();
     indexes.add(index);
     this.acknowledged.set(job, indexes);
   }
 
-  /** A user who asked to cancel the job was told that it is cancelled. */
+  /** Called when a user who requested the cancellation receives a cancelled status. */
   onCancellationReported(job: JobId): void {
     if (!this.cancelledAt.has(job)) this.cancelledAt.set(job, this.now());
     this.onStatusReported(job, 'cancelled');
   }
 
-  /** A user was told the status of the job. */
+  /** Called when a user receives the status of the job. */
   onStatusReported(job: JobId, status: string): void {
     const before = this.finalReported.get(job);
     if (before !== undefined && before !== status)
@@ -105,50 +105,53 @@
     if (status === 'done' || status === 'cancelled') this.finalReported.set(job, status);
   }
 
-  /** The machines on which tasks of the job are. */
+  /** The ids of the machines on which tasks of the job run. */
   machineIdsOf(job: JobId): string[] {
     return [...this.places].filter((place) => place.job === job).map((place) => place.machine.id);
   }
 
-  /** Nobody answers for the job any more, or as if it had never been accepted. */
-  reportForgottenJob(job: JobId, how: string): void {
-    this.report('forgotten', `${job}: ${how}`);
+  /** Reports an accepted job whose requests get no response, or a response as if it had never been accepted. */
+  reportForgottenJob(job: JobId, detail: string): void {
+    this.report('forgotten', `${job}: ${detail}`);
   }
 
-  /** A task has been pending for so long although a machine has capacity for it and its team is under its limit. */
-  reportJobLeftWaiting(job: JobId, forMs: number): void {
-    this.report('left_waiting', `${job} for ${Math.round(forMs / 1000)} s`);
+  /** Reports a job with a task pending for `waitedMs`, although machines have room and its team is below its limit. */
+  reportJobLeftWaiting(job: JobId, waitedMs: number): void {
+    this.report('left_waiting', `${job} for ${Math.round(waitedMs / 1000)} s`);
   }
 
-  /** How many tasks of the job have run to their end. */
+  /** The number of tasks of the job that have run to completion. */
   completedTaskCount(job: JobId): number {
     return this.completed.get(job)?.size ?? 0;
   }
 
-  /** Reported as cancelled though its user never asked for it: right only for a dependent of a cancelled job. */
+  /**
+   * Called when a user receives a cancelled status without having requested the cancellation. This is correct only for a
+   * job that depends on a cancelled one.
+   */
   onUnrequestedCancellation(job: JobId): void {
     if (!this.ancestors(job).some((id) => this.cancellationsRequested.has(id)))
-      this.report('went_back', `${job}: cancelled unasked`);
+      this.report('went_back', `${job}: cancelled without a request`);
     this.onStatusReported(job, 'cancelled');
   }
 
-  /** A user has asked to cancel the job; the response may be lost. */
+  /** Called when a user requests the cancellation of the job. The response may be lost. */
   onCancellationRequested(job: JobId): void {
     this.cancellationsRequested.add(job);
   }
 
-  /** Reported as queued or running, in response to a request sent then. */
+  /** Called when a user receives a pending or running status in response to a request sent at `requestedAt`. */
   onUnfinishedReported(job: JobId, requestedAt: number): void {
     this.onStatusReported(job, 'unfinished');
-    const accepted = this.acceptedAt.get(job) ?? this.now();
+    const acceptedAt = this.acceptedAt.get(job) ?? this.now();
     for (const id of this.ancestors(job)) {
-      const at = this.cancelledAt.get(id);
-      if (at !== undefined && requestedAt - Math.max(at, accepted) > this.cancelS * 1000)
-        this.report('orphaned', `${job}: not called cancelled though ${id} is`);
+      const cancelledAt = this.cancelledAt.get(id);
+      if (cancelledAt !== undefined && requestedAt - Math.max(cancelledAt, acceptedAt) > this.cancelS * 1000)
+        this.report('orphaned', `${job}: reported as unfinished although ${id} is cancelled`);
     }
   }
 
-  /** All jobs that the job depends on, directly or through others. */
+  /** All direct and transitive dependencies of the job. */
   private ancestors(job: JobId): JobId[] {
     const found = new Set<JobId>();
     const toVisit = [...this.specs.get(job)!.dependsOn];
@@ -160,26 +163,26 @@
     return [...found];
   }
 
-  /** A user was told that the job is accepted. */
+  /** Called when a user receives the acceptance of the job. */
   onJobAccepted(job: JobId): void {
     if (!this.acceptedAt.has(job)) this.acceptedAt.set(job, this.now());
   }
 
   /**
-   * At the end of a run, over the jobs that nobody cancelled: every one ran; at least half of the tasks of each class and
-   * team were started; and each class's largest jobs started in time.
+   * Checks the accepted jobs that were not cancelled at the end of a run: each one ran, at least half of the tasks of
+   * each class and of each team were started, and the largest jobs of each class started within the limit.
    */
   checkAtEnd(): void {
     const groups = new Map<string, { tasks: number; started: number }>();
     const largest = new Map<string, number>();
     const cancelled = (id: JobId): boolean =>
       [id, ...this.ancestors(id)].some((each) => this.cancelledAt.has(each));
-    const kept = [...this.acceptedAt].filter(([id]) => !cancelled(id));
-    for (const [id] of kept) {
+    const notCancelled = [...this.acceptedAt].filter(([id]) => !cancelled(id));
+    for (const [id] of notCancelled) {
       const spec = this.specs.get(id)!;
       largest.set(spec.class, Math.max(largest.get(spec.class) ?? 0, spec.tasks));
     }
-    for (const [id, acceptedAt] of kept) {
+    for (const [id, acceptedAt] of notCancelled) {
       const spec = this.specs.get(id)!;
       const firstStarts = this.firstStarts.get(id) ?? new Map<number, number>();
       if (firstStarts.size === 0) this.report('forgotten', `${id} never ran`);
@@ -190,25 +193,25 @@
         groups.set(name, group);
       }
       if (spec.tasks < largest.get(spec.class)!) continue;
-      if (Math.min(...firstStarts.values()) - acceptedAt > LARGEST_JOBS_START_WITHIN_MS)
-        this.report('starved', `${id}, one of the largest, began too late`);
+      if (Math.min(...firstStarts.values()) - acceptedAt > MAX_LARGEST_JOB_START_DELAY_MS)
+        this.report('starved', `${id}, one of the largest jobs of its class, started too late`);
     }
     for (const [name, { tasks, started }] of groups) {
       if (started < tasks / 2) this.report('starved', `${name}: ${started} of ${tasks} tasks started`);
     }
   }
 
-  /** To be called regularly: finds tasks of cancelled and of finished jobs that stay. */
+  /** Checks that no task of a cancelled or done job is still running after `cancelS`. Called at a fixed interval. */
   checkPeriodically(): void {
     for (const { job, index, machine } of this.places) {
       if (this.isOverdue(this.doneReportedAt.get(job)))
-        this.report('orphaned', `${job}/${index} on ${machine.id} though its job is done`);
+        this.report('orphaned', `${job}/${index} on ${machine.id} although its job is done`);
       if (this.isOverdue(this.cancelledAt.get(job)))
         this.report('ran_cancelled', `${job}/${index} on ${machine.id}`);
     }
   }
 
-  /** Whether the time after which no task of a job may be left has passed since then. */
+  /** Whether `cancelS`, the time within which all tasks of a job must have ended, has passed since that time. */
   private isOverdue(since: number | undefined): boolean {
     return since !== undefined && this.now() - since > this.cancelS * 1000;
   }
@@ -238,11 +241,11 @@
       gpus += other.gpus;
       cpus += other.cpus;
     }
-    const over = (used: number, max: number): boolean => max > 0 && used > max + QUOTA_TOLERANCE;
-    if (over(gpus, team.maxGpus) || over(cpus, team.maxCpus)) this.report('quota', spec.team);
+    const exceeds = (used: number, max: number): boolean => max > 0 && used > max + QUOTA_TOLERANCE;
+    if (exceeds(gpus, team.maxGpus) || exceeds(cpus, team.maxCpus)) this.report('quota', spec.team);
   }
 
-  private report(rule: string, what: string): void {
-    this.violations.push(`${rule} at ${(this.now() / 1000).toFixed(1)}: ${what}`);
+  private report(rule: string, detail: string): void {
+    this.violations.push(`${rule} at ${(this.now() / 1000).toFixed(1)}: ${detail}`);
   }
 }
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -1,6 +1,6 @@
 /**
- * A leader and simulated workers, driven step by step: the test decides which message arrives when, and the invariant
- * checker sees what the workers' tasks do.
+ * Drives a leader and simulated workers step by step. The test controls when each message arrives, and the invariant
+ * checker observes the workers' tasks.
  */
 import { InvariantChecker } from './invariant-checker.js';
 import { VirtualClock } from './virtual-clock.js';
@@ -23,14 +23,14 @@
 
 const TERM = 3 as Term;
 const TICK_INTERVAL_MS = 200;
-/** How long a worker fetches an image. */
+/** The time that a worker needs to fetch an image. */
 export const FETCH_MS = 500;
 const timings = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
 
-/** The commands of one request straight to a worker. */
+/** The commands of one request from the leader to a worker. */
 export type DirectCommands = Extract<Effect, { kind: 'send-direct-commands' }>;
 
-/** The response to a worker's heartbeat, which the test delivers when it likes. */
+/** The response to a worker's heartbeat. The test chooses when to deliver it. */
 export interface HeartbeatResponse {
   heartbeat: Heartbeat;
   sentAt: number;
@@ -46,7 +46,7 @@
   readonly clock = new VirtualClock();
   readonly checker: InvariantChecker;
   readonly workers: SimulatedWorker[];
-  /** What the leader has logged, in order. */
+  /** The leader's log entries, in order. */
   readonly logEntries: { text: string; fields: Record<string, unknown> }[] = [];
   private readonly leader: Leader;
   private readonly specs = new Map<JobId, JobSpec>();
@@ -96,7 +96,7 @@
     return this.clock.now as MonotonicTime;
   }
 
-  /** All machines are known, under this leader's fencing token, and in the durable registry. */
+  /** Registers all machines with the leader: listed, reconciled under its fencing token, and in the stored registry. */
   private registerMachines(): void {
     const listed = this.workers.map(({ info }) => ({ ...info, status: 'running' as const, ageS: 60 }));
     this.leader.onMachineList(listed, this.now);
@@ -105,7 +105,7 @@
       if (effect.kind === 'write-registry-page') this.leader.onRegistryPageWritten(effect.page, true);
   }
 
-  /** A user submits a job of spot tasks without checkpoints. */
+  /** Submits a job as a user. By default its tasks may run on spot machines and don't write checkpoints. */
   submit(id: string, overrides: Partial<JobSpec> = {}): JobId {
     const spec = jobSpec(id, { spot: true, checkpointS: 0, ...overrides });
     this.specs.set(spec.id, spec);
@@ -119,23 +119,23 @@
     return spec.id;
   }
 
-  /** A user cancels the job, and is told so. */
+  /** Cancels the job as a user, who receives a cancelled status. */
   cancel(job: JobId): void {
     this.leader.applyCancellation(job, this.now);
     this.checker.onCancellationReported(job);
   }
 
-  /** A user is told that the job is done. */
+  /** Records that a user has received a done status for the job. */
   reportDoneToUser(job: JobId): void {
     this.checker.onStatusReported(job, 'done');
   }
 
-  /** Lets some time pass. */
+  /** Advances the virtual clock. */
   advance(ms: number): void {
     this.clock.runUntil(this.clock.now + ms);
   }
 
-  /** Some time passes, and the leader acts; its effects are returned and not executed. */
+  /** Advances the clock by one tick interval and runs the leader. Returns its effects without executing them. */
   tick(): Effect[] {
     this.advance(TICK_INTERVAL_MS);
     this.leader.tick(this.now, this.clock.now as WallTime);
@@ -144,7 +144,7 @@
     return effects;
   }
 
-  /** A tick that sends commands straight to this worker. */
+  /** Runs a tick that must send direct commands to this worker, and returns them. */
   tickWithCommands(worker: SimulatedWorker): DirectCommands {
     const sent = this.tick().find(
       (effect) => effect.kind === 'send-direct-commands' && effect.machine === worker.info.id,
@@ -153,30 +153,30 @@
     return sent;
   }
 
-  /** A heartbeat arrives at the leader; the response is not delivered yet. */
+  /** Delivers a heartbeat to the leader and returns the response, which is not delivered yet. */
   sendHeartbeat(worker: SimulatedWorker): HeartbeatResponse {
     const heartbeat = worker.nextHeartbeat();
     return { heartbeat, sentAt: this.clock.now, commands: this.leader.onHeartbeat(heartbeat, this.now) };
   }
 
-  /** The response arrives at the worker. */
+  /** Delivers the response to the worker. */
   deliverResponse(worker: SimulatedWorker, { heartbeat, sentAt, commands }: HeartbeatResponse): void {
     worker.onHeartbeatResponse(TERM, commands, sentAt, Number(heartbeat.incarnation));
   }
 
-  /** A heartbeat and its response arrive at once. */
+  /** Delivers a heartbeat and its response without delay. */
   exchangeHeartbeat(worker: SimulatedWorker): HeartbeatResponse {
     const response = this.sendHeartbeat(worker);
     this.deliverResponse(worker, response);
     return response;
   }
 
-  /** The worker executes the commands; the leader is told nothing of it. */
+  /** Makes the worker execute the commands. The leader receives no result. */
   executeCommands(worker: SimulatedWorker, sent: DirectCommands): Heartbeat {
     return worker.onDirectCommands(TERM, Number(sent.incarnation), sent.commands).report;
   }
 
-  /** The leader is told that the commands were executed. */
+  /** Delivers the result that the commands were executed to the leader. */
   onCommandsExecuted(sent: DirectCommands, report: Heartbeat): void {
     this.leader.onDirectCommandResult(
       sent.machine,
@@ -186,24 +186,24 @@
     );
   }
 
-  /** The leader is told that the commands got no response. */
+  /** Delivers the result that the commands got no response to the leader. */
   onCommandsUnanswered(sent: DirectCommands): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unknown' }, this.now);
   }
 
-  /** The leader is told that the commands were never sent. */
+  /** Delivers the result that the commands were never sent to the leader. */
   onCommandsUnsent(sent: DirectCommands): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unsent' }, this.now);
   }
 
-  /** The completions that the leader knows of are written to the key-value store. */
+  /** Delivers the successful result of each progress write among the effects to the leader. */
   saveProgress(effects: Effect[]): void {
     for (const effect of effects)
       if (effect.kind === 'write-progress')
         this.leader.onProgressWritten(effect.job, effect.segment, effect.bytes, true);
   }
 
-  /** Whether the leader counts a task of the job as being, or possibly being, on a machine. */
+  /** Whether the leader has a placement of the job: a task that runs, or may run, on a machine. */
   hasPlacement(job: JobId): boolean {
     return (this.leader.jobs.get(job)?.placements.size ?? 0) > 0;
   }
--- a/src/test/sim/leader-simulation.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -1,4 +1,4 @@
-/** The real leader on virtual time, between stand-ins for key-value store, cloud provider, workers and users. */
+/** Runs the real leader on virtual time against simulated key-value store, cloud provider, workers and users. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { teams, types } from './fixtures.js';
@@ -13,17 +13,17 @@
 
 const EPOCH_MS = 1_700_000_000_000;
 const TICK_INTERVAL_MS = 200;
-const CHECK_INTERVAL_MS = 1000;
-const FIRST_LIST_MS = 100;
-const LIST_INTERVAL_MS = 4000;
+const INVARIANT_CHECK_INTERVAL_MS = 1000;
+const FIRST_MACHINE_LIST_AT_MS = 100;
+const MACHINE_LIST_INTERVAL_MS = 4000;
 const CLOUD_LATENCY_MS = 100;
-/** A user whose submission was refused comes back. */
-const RESUBMIT_AFTER_MS = 1000;
-const WATCH_RETRY_MS = 500;
+/** A user repeats a refused submission after this time. */
+const RESUBMIT_DELAY_MS = 1000;
+const WATCH_RETRY_DELAY_MS = 500;
 
 type LeaderArguments = ConstructorParameters<typeof Leader>;
 
-/** A leader with its surroundings; tests inject faults by setting fields and calling methods. */
+/** A leader and its simulated environment. Tests inject faults by setting fields and calling methods. */
 export class LeaderSimulation {
   readonly clock = new VirtualClock();
   readonly timings = { heartbeatIntervalS: 2, leaseS: 12, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
@@ -35,7 +35,7 @@
   readonly link = new SimulatedWorkerLink(this);
   keyValueStoreUnavailable = false;
   cloudUnavailable = false;
-  /** Work of the most expensive scheduling cycle so far. */
+  /** Machine evaluations of the most expensive scheduling cycle so far. */
   maxCycleWork = 0;
   leader: Leader | null = null;
   term = 0;
@@ -53,11 +53,11 @@
     this.generator = xoroshiro128plus(seed);
     this.checker = new InvariantChecker(this.specs, teams, this.timings.cancelS, () => this.clock.now);
     this.machines = this.createMachines();
-    this.clock.every(CHECK_INTERVAL_MS, () => this.checker.checkPeriodically());
+    this.clock.every(INVARIANT_CHECK_INTERVAL_MS, () => this.checker.checkPeriodically());
     this.electLeader();
     this.clock.every(TICK_INTERVAL_MS, () => this.tick());
-    this.clock.after(FIRST_LIST_MS, () => this.listMachines());
-    this.clock.every(LIST_INTERVAL_MS, () => this.listMachines());
+    this.clock.after(FIRST_MACHINE_LIST_AT_MS, () => this.listMachines());
+    this.clock.every(MACHINE_LIST_INTERVAL_MS, () => this.listMachines());
   }
 
   private createMachines(): SimulatedMachines {
@@ -91,15 +91,15 @@
     return (EPOCH_MS + this.clock.now) as WallTime;
   }
 
-  /** Adds what happened to the trace. */
+  /** Adds an event with the current time to the trace. */
   addTraceLine(line: string): void {
     this.trace.push(`${(this.clock.now / 1000).toFixed(2).padStart(7)}  ${line}`);
   }
 
-  /** A user submits a job, again and again while the key-value store is unavailable. */
+  /** Submits a job as a user. The submission is repeated while the key-value store is unavailable. */
   submit(spec: JobSpec): void {
     if (this.keyValueStoreUnavailable) {
-      this.clock.after(RESUBMIT_AFTER_MS, () => this.submit(spec));
+      this.clock.after(RESUBMIT_DELAY_MS, () => this.submit(spec));
       return;
     }
     this.specs.set(spec.id, spec);
@@ -108,7 +108,7 @@
     this.addTraceLine(`user submits ${spec.id} (${spec.kind}, ${spec.tasks} tasks, ${spec.priority})`);
   }
 
-  /** A user cancels a job, unless it has ended or the key-value store is unavailable. */
+  /** Cancels a job as a user, unless it has ended or the key-value store is unavailable. */
   cancel(id: JobId): void {
     const known = this.records.get(id);
     if (!known || this.keyValueStoreUnavailable) return;
@@ -117,7 +117,7 @@
     this.addTraceLine(`user cancels ${id}`);
   }
 
-  /** A new leader takes over from what the key-value store holds; its predecessor ends without notice. */
+  /** Starts a new leader from the contents of the key-value store. Its predecessor, if any, is dropped without notice. */
   electLeader(): void {
     this.term++;
     const leader = this.createLeader(
@@ -139,26 +139,26 @@
       },
       this.monotonicNow,
     );
-    this.load(leader);
+    this.loadState(leader);
     this.leader = leader;
     this.addTraceLine(`leader of term ${this.term} begins`);
   }
 
-  /** The leader crashes; another one is elected later. */
+  /** Crashes the leader. Another one is elected after `electedAfterMs`. */
   crashLeader(electedAfterMs: number): void {
     this.leader = null;
     this.addTraceLine('leader crashes');
     this.clock.after(electedAfterMs, () => this.electLeader());
   }
 
-  /** Runs the action later, if this leader still leads then. */
+  /** Schedules an action that runs only if this leader still leads at that time. */
   scheduleForLeader(leader: Leader, ms: number, action: () => void): void {
     this.clock.after(ms, () => {
       if (this.leader === leader) action();
     });
   }
 
-  private load(leader: Leader): void {
+  private loadState(leader: Leader): void {
     leader.setMachineTypes(types);
     for (const [page, machines] of this.registry)
       for (const machine of machines) leader.loadMachine(machine, page, this.monotonicNow);
@@ -177,11 +177,11 @@
     this.sendWatchEvent(id, record, revision);
   }
 
-  /** An open watch waits through an outage and continues afterwards. */
+  /** Delivers a change to the leader. An open watch stays open during an outage and delivers the change afterwards. */
   private sendWatchEvent(id: JobId, record: JobRecord, revision: number): void {
     this.clock.after(NETWORK_LATENCY_MS, () => {
       if (this.keyValueStoreUnavailable)
-        this.clock.after(WATCH_RETRY_MS, () => this.sendWatchEvent(id, record, revision));
+        this.clock.after(WATCH_RETRY_DELAY_MS, () => this.sendWatchEvent(id, record, revision));
       else
         this.leader?.applyJobRecord(
           { id, record, revision, fromEarlierLeader: false },
--- a/src/test/sim/scenario.ts
+++ b/src/test/sim/scenario.ts
@@ -1,6 +1,6 @@
 /**
- * Scenarios for the tests: work of all kinds on machines that are up, then faults that coincide, then time without
- * faults in which every job has to end.
+ * Runs test scenarios: jobs of all kinds start on machines that are up, several faults occur at the same time, and in
+ * the phase without faults that follows every job has to end.
  */
 import assert from 'node:assert/strict';
 import type { ClusterSetup } from './cluster-setup.js';
@@ -10,36 +10,37 @@
 import type { TeamQuota } from '../../core/team-quota.js';
 import type { JobId, Team } from '../../core/units.js';
 
-/** When most scenarios submit their work. */
+/** The time at which most scenarios submit their jobs. */
 export const WORK_STARTS_AT_MS = 10_000;
 const DEFAULT_TASK_DURATION_MS = 100_000;
 const DEPENDENCY_CHECK_INTERVAL_MS = 50;
 const MAX_VIOLATIONS_SHOWN = 5;
 
-/** One team without a guarantee or a limit, one with both. */
+/** One team without a guarantee and a limit, and one with both. */
 export const teams: TeamQuota[] = [
   { name: 'green' as Team, guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 },
   { name: 'blue' as Team, guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 4, maxGpus: 8 },
 ];
 
-/** What a scenario's script acts on. */
+/** The simulated cluster and the helpers that a scenario's script uses. */
 export interface Scenario {
   cluster: ClusterSimulation;
-  /** Submits a job; runMs: how long each of its tasks runs. */
+  /** Submits a job. `runMs` is the duration of each of its tasks. */
   submit: (overrides?: Partial<JobSpec>, runMs?: number) => JobId;
-  /** Submits a job as soon as those that it depends on are accepted; its id is known at once. */
+  /** Submits a job as soon as the jobs that it depends on are accepted. Returns its id at once. */
   submitAfter: (dependsOn: JobId[], overrides?: Partial<JobSpec>, runMs?: number) => JobId;
   random: () => number;
 }
 
-/** Schedules the work and the faults of a scenario. */
+/** Schedules the jobs and the faults of a scenario. */
 export type ScenarioScript = (scenario: Scenario) => void;
 
 interface ScenarioOptions {
   seeds?: number[];
   setup?: Partial<ClusterSetup>;
-  /** When all faults are over, and when the run ends. */
+  /** The time at which all faults have ended. */
   faultsEndMs: number;
+  /** The time at which the run ends. */
   endMs: number;
 }
 
@@ -47,11 +48,11 @@
 export interface ScenarioResult {
   cluster: ClusterSimulation;
   violations: string[];
-  /** Accepted jobs that never ended though nobody cancelled them. */
+  /** Accepted jobs, services excepted, that were neither done nor cancelled at the end of the run. */
   unfinished: string[];
 }
 
-/** Jobs that run for long: arrays, gangs and a service. */
+/** Submits long-running arrays, gangs and a service. */
 export const submitMixedWork = (scenario: Scenario): JobId[] => [
   ...[1, 2, 3, 4].map((tasks) => scenario.submit({ tasks })),
   scenario.submit({ kind: 'gang', tasks: 2, team: 'blue' as Team }),
@@ -59,7 +60,7 @@
   scenario.submit({ kind: 'service', tasks: 2, spread: true, estimateS: 0, priority: 'production' }),
 ];
 
-/** Submits the mixed work at the usual time; the list is filled then. */
+/** Submits the mixed work at `WORK_STARTS_AT_MS`. The returned list is empty until then. */
 export const startMixedWork = (scenario: Scenario): JobId[] => {
   const jobs: JobId[] = [];
   scenario.cluster.at(WORK_STARTS_AT_MS, () => jobs.push(...submitMixedWork(scenario)));
@@ -132,7 +133,7 @@
   }
 };
 
-/** Runs a scenario with several seeds: no invariant may be violated, and every job not cancelled must have ended. */
+/** Runs a scenario with several seeds. Asserts that no invariant is violated and that every job ends. */
 export const assertScenarioPasses = async (
   options: ScenarioOptions,
   script: ScenarioScript,
--- a/src/test/sim/simulated-worker.ts
+++ b/src/test/sim/simulated-worker.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a worker, written from the published protocol. */
+/** A simulated worker, implemented from the published protocol. */
 import type { InvariantChecker } from './invariant-checker.js';
 import type { VirtualClock } from './virtual-clock.js';
 import type { Heartbeat } from '../../core/heartbeat.js';
@@ -9,11 +9,11 @@
 import type { WorkerTimings } from '../../core/worker-timings.js';
 import type { Attempt, JobId } from '../../core/units.js';
 
-const HUNG_RETRY_MS = 1000;
+const HUNG_COMPLETION_RETRY_MS = 1000;
 const FAILED_TASK_RUN_MS = 500;
 const CAPACITY_TOLERANCE = 1e-6;
 
-/** A task that the worker holds, until a controller has it forget it. */
+/** A task of the worker. The worker keeps it until a controller sends the command to forget it. */
 export interface WorkerTask {
   job: JobId;
   index: number;
@@ -25,13 +25,13 @@
   gang: GangAttempt | null;
 }
 
-/** The tasks of a gang's attempt find one another by its number. */
+/** The tasks of one attempt of a gang. They are matched by job and attempt number. */
 export interface GangAttempt {
   members: Set<WorkerTask>;
   started: boolean;
 }
 
-/** What surrounds a worker. */
+/** The clock, the cluster state and the timings that the simulated workers share. */
 export interface WorkerEnvironment {
   clock: VirtualClock;
   checker: InvariantChecker;
@@ -43,19 +43,19 @@
   fetchMs: (machine: MachineInfo, job: JobId) => number;
 }
 
-/** The worker of one machine: its tasks, its lease and its incarnation. */
+/** The worker of one machine, with its tasks, lease and incarnation. */
 export class SimulatedWorker {
   incarnation = 1;
   private sequence = 0;
   fencingToken = 0;
   alive = true;
-  /** A machine that can't be reached keeps working; one that hangs doesn't. */
+  /** No message passes between the worker and the leader. Unlike on a hung machine, tasks continue to run. */
   unreachable = false;
   interruptionNoticeS: number | null = null;
   failsTasks = false;
-  /** Its heartbeats arrive, but responses and commands don't reach it. */
+  /** Heartbeats reach the controllers, but responses and commands don't reach the worker. */
   inboundPartitioned = false;
-  /** Executes nothing, its tasks included, until it resumes. */
+  /** Neither the worker nor its tasks make progress until the machine resumes. */
   hung = false;
   private readonly tasks = new Map<string, WorkerTask>();
   private leaseRenewedAt: number;
@@ -71,13 +71,13 @@
     return this.environment.timings.heartbeatIntervalS * 1000;
   }
 
-  /** Changes whenever a heartbeat would report something new. */
+  /** A summary of the state that a heartbeat reports. It changes whenever that state changes. */
   describeState(): string {
     const tasks = [...this.tasks].map(([key, t]) => `${key} ${t.state}`);
     return `${this.incarnation} ${this.fencingToken} ${this.interruptionNoticeS !== null} ${tasks.join(',')}`;
   }
 
-  /** The heartbeat that the worker sends now. */
+  /** Returns the next heartbeat, after a check of the lease. */
   nextHeartbeat(): Heartbeat {
     this.checkLease();
     return {
@@ -92,7 +92,7 @@
     };
   }
 
-  /** The response to a heartbeat sent at `sentAt`. */
+  /** Renews the lease and executes the commands of the response to a heartbeat sent at `sentAt`, unless it is outdated. */
   onHeartbeatResponse(fencingToken: number, commands: Command[], sentAt: number, incarnation: number): void {
     this.checkLease();
     if (
@@ -107,7 +107,7 @@
     this.execute(commands);
   }
 
-  /** Executes commands that came straight from a leader, unless they are outdated. */
+  /** Executes direct commands from a leader, unless they are outdated. */
   onDirectCommands(
     fencingToken: number,
     incarnation: number,
@@ -122,7 +122,7 @@
     return { executed, report: this.nextHeartbeat() };
   }
 
-  /** Ends all tasks and begins a new incarnation if the lease has expired. */
+  /** Ends all tasks and starts a new incarnation if the lease has expired. */
   checkLease(): void {
     if (
       !this.alive ||
@@ -132,16 +132,16 @@
       return;
     this.incarnation++;
     this.leaseRenewedAt = this.environment.clock.now;
-    this.dropAll();
+    this.discardAllTasks();
   }
 
-  /** The worker ends with its tasks. */
+  /** Ends the worker and its tasks. */
   kill(): void {
     this.alive = false;
-    this.dropAll();
+    this.discardAllTasks();
   }
 
-  private dropAll(): void {
+  private discardAllTasks(): void {
     for (const t of this.tasks.values()) {
       this.environment.checker.onTaskEnded(t.placement);
       t.placement = null;
@@ -232,14 +232,14 @@
   }
 
   private completeGang(gang: GangAttempt, spec: JobSpec): void {
-    const whole =
+    const allRunning =
       gang.members.size === spec.tasks && [...gang.members].every((task) => task.state === 'running');
-    if (!whole) return;
+    if (!allRunning) return;
     for (const task of gang.members) this.environment.checker.onTaskCompleted(task.job, task.index);
     for (const task of [...gang.members]) this.exit(task, 'done');
   }
 
-  /** Out of its gang: of a running one, the others notice within gang_peer_s and exit. */
+  /** Removes the task from its gang. If the gang was running, the other tasks exit after gang_peer_s. */
   private leaveGang(task: WorkerTask): void {
     const gang = task.gang;
     task.gang = null;
@@ -251,7 +251,7 @@
 
   private complete(key: string, task: WorkerTask): void {
     if (this.hung) {
-      this.environment.clock.after(HUNG_RETRY_MS, () => this.complete(key, task));
+      this.environment.clock.after(HUNG_COMPLETION_RETRY_MS, () => this.complete(key, task));
       return;
     }
     this.checkLease();
@@ -263,8 +263,9 @@
   private stop(task: WorkerTask, gracePeriodS: number): void {
     const spec = this.environment.specs.get(task.job);
     if (task.state === 'exited') return;
-    const saves = task.state === 'running' && spec && spec.checkpointS > 0 && gracePeriodS >= spec.saveS;
-    if (!saves) {
+    const savesCheckpoint =
+      task.state === 'running' && spec && spec.checkpointS > 0 && gracePeriodS >= spec.saveS;
+    if (!savesCheckpoint) {
       this.exit(task, 'stopped');
       return;
     }
@@ -284,12 +285,12 @@
     task.placement = null;
   }
 
-  /** How many tasks of the job it holds that have not exited. */
+  /** The number of tasks of the job on this worker that have not exited. */
   activeTaskCount(job: JobId): number {
     return [...this.tasks.values()].filter((t) => t.job === job && t.state !== 'exited').length;
   }
 
-  /** Whether a task of the job fits beside the others. */
+  /** Whether a task of the job fits beside the other tasks that have not exited. */
   hasCapacity(spec: JobSpec, self: WorkerTask | null = null): boolean {
     const free = { ...this.environment.capacity(this.info.type) };
     for (const t of this.tasks.values()) {
