--- a/src/test/sim/cancellation-scenarios.ts
+++ b/src/test/sim/cancellation-scenarios.ts
@@ -2,12 +2,15 @@
 import { WORK_STARTS_AT_MS, startMixedWork, type Scenario, type ScenarioScript } from './scenario.js';
 import type { JobId, Team } from '../../core/units.js';
 
-/** When the faults of these scenarios begin. */
+/** The time at which the faults of these scenarios start. */
 export const FAULTS_AT_MS = 60_000;
-/** Longer than cancel_s of the simulated workers, which is 40 s. */
+/** Exceeds cancel_s of the simulated workers, which is 40 s. */
 export const LONG_OUTAGE_MS = 57_000;
 
-/** Jobs are cancelled as the key-value store refuses the leader, their machines hang, and a second later an outage begins. */
+/**
+ * The key-value store refuses the leader, and at the same time jobs are cancelled and their machines hang. An outage
+ * starts one second later.
+ */
 export const cancelWhileMachinesHang =
   (then: ScenarioScript = () => undefined): ScenarioScript =>
   (scenario) => {
@@ -25,7 +28,7 @@
     then(scenario);
   };
 
-/** A team at its limit, a failover, unreachable machines and a cancellation. */
+/** A job of a team at its limit is cancelled while machines hang and the leader restarts. */
 export const cancelAtTeamLimit = (scenario: Scenario): void => {
   const jobs: JobId[] = [];
   const blue = { team: 'blue' as Team };
@@ -33,7 +36,7 @@
     for (let i = 0; i < 2; i++) jobs.push(scenario.submit({ ...blue, tasks: 4 }, 90_000));
   });
   scenario.cluster.at(FAULTS_AT_MS, () => {
-    // With so many unreachable at once the leader waits before it fences them.
+    // The leader delays fencing when this many machines are unreachable at the same time.
     for (const workerHost of scenario.cluster.machinesOf(jobs[0])) workerHost.hang(25_000);
     for (const workerHost of [...scenario.cluster.workers.values()].slice(0, 4)) workerHost.hang(25_000);
     scenario.cluster.restart(scenario.cluster.leader!, 5000);
@@ -42,7 +45,10 @@
   scenario.cluster.at(FAULTS_AT_MS + 5000, () => scenario.submit({ ...blue, tasks: 6 }, 30_000));
 };
 
-/** The key-value store refuses the leader, and that much later everybody for longer than cancel_s; jobs are cancelled meanwhile. */
+/**
+ * The key-value store refuses the leader, and jobs are cancelled. An outage that exceeds cancel_s starts `gapMs` after
+ * the refusal.
+ */
 export const leaderRefusedThenOutage =
   (gapMs: number): ScenarioScript =>
   (scenario) => {
--- a/src/test/sim/cluster-simulation.ts
+++ b/src/test/sim/cluster-simulation.ts
@@ -122,7 +122,7 @@
   }
 
   private startController(controller: ControllerProcess): void {
-    // If the controller was killed twice before it was restarted, it is started twice. The first process has to end.
+    // A controller that is killed twice before its restart is started twice. The second start replaces the process.
     controller.host.kill();
     const wallClockOffsetMs = (this.random() - 0.5) * 2 * CLOCK_ERROR_MS;
     controller.host = this.runtime.createHost(controller.ip, wallClockOffsetMs);
--- a/src/test/sim/fault-scenarios.ts
+++ b/src/test/sim/fault-scenarios.ts
@@ -1,15 +1,15 @@
-/** Fault scenarios that one test runs as they are, and a mutation test with a safeguard taken out. */
+/** Fault scenarios that are shared by a regular test and a mutation test, which disables a safeguard. */
 import { WORK_STARTS_AT_MS, startMixedWork, type Scenario, type ScenarioScript } from './scenario.js';
 import type { WorkerHost } from './worker-host.js';
 import type { JobId, Team, Zone } from '../../core/units.js';
 
-/** When the faults of these scenarios begin. */
+/** The time at which the faults of these scenarios start. */
 export const EARLY_FAULTS_AT_MS = 50_000;
 
 /** All machines that are up. */
 export const workerHosts = (scenario: Scenario): WorkerHost[] => [...scenario.cluster.workers.values()];
 
-/** Machines of single-zone jobs hang or end, and the leader restarts. */
+/** Machines hang or end while single-zone jobs run on them, and the leader restarts. */
 export const zoneBoundJobsLoseMachines = (scenario: Scenario): void => {
   scenario.cluster.at(WORK_STARTS_AT_MS, () => {
     for (const tasks of [2, 3, 5]) scenario.submit({ tasks, oneZone: true });
@@ -30,7 +30,7 @@
   );
 };
 
-/** Ten failovers, with an outage of that length in between; 0: none. */
+/** Ten failovers, with a key-value store outage of `outageMs` in between. 0: no outage. */
 export const leadersChangeTenTimes =
   (outageMs: number): ScenarioScript =>
   (scenario) => {
@@ -55,7 +55,7 @@
   for (const atMs of [40_000, 70_000]) scenario.cluster.at(atMs, () => scenario.cluster.refuseLeader(12_000));
 };
 
-/** A zone is partitioned; a job is cancelled and the leader restarts meanwhile. */
+/** A job is cancelled and the leader restarts while a zone is partitioned. */
 export const partitionZoneDuringFailover = (scenario: Scenario): void => {
   const jobs = startMixedWork(scenario);
   scenario.cluster.at(EARLY_FAULTS_AT_MS, () => scenario.cluster.isolateZone('west', 'hold', 45_000));
@@ -65,7 +65,7 @@
   );
 };
 
-/** Direct commands are delayed and executed late, while work ends, is cancelled, and the leader changes. */
+/** Direct commands are executed late while jobs end or are cancelled and the leader changes. */
 export const delayDirectCommands = (scenario: Scenario): void => {
   const jobs = startMixedWork(scenario);
   for (let i = 0; i < 16; i++)
@@ -82,7 +82,7 @@
   scenario.cluster.at(EARLY_FAULTS_AT_MS + 6000, () => scenario.cluster.cancel(jobs[3]));
 };
 
-/** Users query all controllers within milliseconds after a job was accepted, has ended or was cancelled. */
+/** Users query all controllers repeatedly, directly after a job was accepted, completed or cancelled. */
 export const usersQueryAllControllers = (scenario: Scenario): void => {
   const queryRepeatedly = (id: JobId): void => {
     for (let i = 0; i < 12; i++)
--- a/src/test/sim/faults.ts
+++ b/src/test/sim/faults.ts
@@ -1,11 +1,11 @@
-/** Single faults, to be drawn at random by the tests. The order of the entries belongs to the seeds. */
+/** Faults from which the tests draw at random. The order of the entries determines which fault a seed draws. */
 import type { Scenario } from './scenario.js';
 import type { JobId } from '../../core/units.js';
 
-/** Begins the fault; it ends after about `forMs`. */
+/** Starts the fault. A fault with a duration derives it from `forMs`. */
 export type Fault = (scenario: Scenario, forMs: number, jobs: JobId[]) => void;
 
-/** One of these at random; undefined: there is none. */
+/** Picks a random element. Returns undefined if there is none. */
 export const pickRandom = <T>(scenario: Scenario, all: T[]): T | undefined =>
   all[Math.floor(scenario.random() * all.length)];
 
@@ -76,7 +76,7 @@
     jobs.filter(() => scenario.random() < 0.4).forEach((id) => scenario.cluster.cancel(id)),
 };
 
-/** Those above, and others with slow links, lost responses and delayed commands. */
+/** The basic faults, and additional ones: slow links, lost responses, delayed commands and repeated restarts. */
 export const allFaults: Record<string, Fault> = {
   ...basicFaults,
   'lost responses': (scenario, forMs) => scenario.cluster.keyValueStore.loseResponses(0.5, forMs / 3),
--- a/src/test/sim/hung-machine-scenarios.ts
+++ b/src/test/sim/hung-machine-scenarios.ts
@@ -10,34 +10,36 @@
 const FAULTS_AT_MS = 60_000;
 const HANG_MS = 70_000;
 const RESTART_AFTER_MS = 4000;
-/** When the second leader fails, after the first. */
-const SECOND_FAILURES_MS = [24_000, 28_000, 29_500];
-const HUNG_PER_ZONE = 2;
-const HALF_OF_ZONE = 4;
-/** Heartbeats, leases and cancellations as on a large cluster. */
+/** Delays of the second leader's failure after the first one. */
+const SECOND_FAILURE_DELAYS_MS = [24_000, 28_000, 29_500];
+const HUNG_MACHINES_PER_ZONE = 2;
+const HALF_ZONE_MACHINE_COUNT = 4;
+/** Heartbeat interval, lease time and cancellation limit of a large cluster. */
 const largeClusterTimings = { workers: { heartbeatIntervalS: 3, leaseS: 17, cancelS: 42 } };
 
-/** Which machines hang, those with the cancelled job among them. */
+/** Selects the machines that hang, including those that run the cancelled job. */
 export type HungMachineSelection = (scenario: Scenario, cancelled: JobId) => WorkerHost[];
 
-/** So many at once that the leader does not give them up at once, but less than half of a zone. */
+/**
+ * Selects enough machines that the leader delays declaring them lost, but less than half of a zone's machines.
+ */
 export const machinesInEachZone: HungMachineSelection = (scenario, cancelled) => {
   const hung = new Set(scenario.cluster.machinesOf(cancelled));
   for (const zone of ['east', 'west']) {
     const inZone = workerHosts(scenario).filter((worker) => worker.info.zone === zone);
-    const left = HUNG_PER_ZONE - inZone.filter((worker) => hung.has(worker)).length;
-    for (const worker of inZone.filter((each) => !hung.has(each)).slice(0, left)) hung.add(worker);
+    const missing = HUNG_MACHINES_PER_ZONE - inZone.filter((worker) => hung.has(worker)).length;
+    for (const worker of inZone.filter((each) => !hung.has(each)).slice(0, missing)) hung.add(worker);
   }
   return [...hung];
 };
 
-/** Half of a zone, as if it were partitioned; the other half stays reachable. */
+/** Selects half of a zone's machines, as in a partition. The other half stays reachable. */
 export const halfOfOneZone: HungMachineSelection = (scenario, cancelled) => [
   ...scenario.cluster.machinesOf(cancelled),
-  ...workerHosts(scenario).slice(0, HALF_OF_ZONE),
+  ...workerHosts(scenario).slice(0, HALF_ZONE_MACHINE_COUNT),
 ];
 
-/** Machines hang with a cancelled task; the leader fails, and its successor too before it has given them up. */
+/** Machines hang with a cancelled task. The leader fails, and its successor fails before it has declared them lost. */
 const leadersFailWhileMachinesHang =
   (secondMs: number, select: HungMachineSelection): ScenarioScript =>
   (scenario) => {
@@ -52,9 +54,9 @@
     );
   };
 
-/** Runs the scenario with the second failure at several times. */
+/** Runs the scenario with several delays of the second failure. */
 export const assertConsecutiveLeaderFailuresPass = async (select: HungMachineSelection): Promise<void> => {
-  for (const secondMs of SECOND_FAILURES_MS)
+  for (const secondMs of SECOND_FAILURE_DELAYS_MS)
     await assertScenarioPasses(
       { setup: largeClusterTimings, faultsEndMs: 160_000, endMs: 400_000 },
       leadersFailWhileMachinesHang(secondMs, select),
--- a/src/test/sim/leader-scenarios.ts
+++ b/src/test/sim/leader-scenarios.ts
@@ -1,12 +1,12 @@
-/** Workloads and single faults for the simulation of one leader. */
+/** Workloads and faults for the simulation of one leader. */
 import { jobSpec } from './fixtures.js';
 import { LeaderSimulation } from './leader-simulation.js';
 import type { JobId, Team } from '../../core/units.js';
 
-/** So many minutes in milliseconds. */
+/** Converts minutes to milliseconds. */
 export const minutes = (count: number): number => count * 60_000;
 
-/** Every kind of job, submitted over eight minutes; some are cancelled. */
+/** A simulation in which jobs of every kind are submitted over eight minutes and some are cancelled. */
 export const busySimulation = (seed: number): LeaderSimulation => {
   const simulation = new LeaderSimulation(seed);
   for (let i = 0; i < 24; i++) {
@@ -41,7 +41,7 @@
   else simulation.cancel(id);
 };
 
-/** Injects a fault at the present time. */
+/** Injects a fault at the current time. */
 export type LeaderFault = (simulation: LeaderSimulation) => void;
 
 const randomWorkers = (simulation: LeaderSimulation, fraction: number) =>
@@ -49,7 +49,7 @@
     .filter(() => simulation.random() < fraction)
     .map((running) => running.worker);
 
-/** Faults by name; the order of the entries belongs to the seeds of the pairs. */
+/** Faults by name. Tests derive the seed of a pair of faults from the order of the entries. */
 export const leaderFaults: Record<string, LeaderFault> = {
   'leader crashes': (simulation) => simulation.crashLeader(3000),
   'leader crashes and is back at once': (simulation) => simulation.crashLeader(100),
@@ -104,7 +104,10 @@
   },
 };
 
-/** A whole machine for each of two tasks, behind a stream of small work of higher priority that never ends. */
+/**
+ * Runs a simulation in which a gang needs two whole machines while small jobs of a higher priority are submitted without
+ * a pause.
+ */
 export const crowdedSimulation = (
   createLeader?: ConstructorParameters<typeof LeaderSimulation>[1],
 ): LeaderSimulation => {
--- a/src/test/sim/pipeline-scenarios.ts
+++ b/src/test/sim/pipeline-scenarios.ts
@@ -1,10 +1,10 @@
-/** Pipelines as users submit them: stage by stage, each as soon as its dependencies are accepted. */
+/** Pipelines of dependent jobs. Each job is submitted as soon as its dependencies are accepted. */
 import { WORK_STARTS_AT_MS, type Scenario, type ScenarioScript } from './scenario.js';
 import type { JobId } from '../../core/units.js';
 
 const smallTask = { gpus: 0, cpus: 1, memoryGb: 4, imageGb: 1, checkpointS: 0, saveS: 0 } as const;
 
-/** Four jobs: the second and third need the first, the last needs both and is urgent. */
+/** Submits four jobs: two depend on the first one, and the last one, with high priority, depends on both of them. */
 export const submitDiamondPipeline = (scenario: Scenario, runMs: number): JobId[] => {
   const first = scenario.submit({ ...smallTask, tasks: 3, priority: 'low' }, runMs);
   const left = scenario.submitAfter([first], { ...smallTask, tasks: 4, priority: 'low' }, runMs / 2);
@@ -25,7 +25,7 @@
   if (scenario.cluster.users.has(id)) scenario.cluster.cancel(id);
 };
 
-/** Submits a pipeline every ten seconds; one job of every third is cancelled in the middle. */
+/** Submits a pipeline every ten seconds. In every third pipeline, one job is cancelled after six seconds. */
 export const submitPipelines = (scenario: Scenario, count: number): void => {
   for (let i = 0; i < count; i++)
     scenario.cluster.at(WORK_STARTS_AT_MS + i * 10_000, () => {
@@ -35,10 +35,10 @@
     });
 };
 
-/** After the response to a cancellation, before the leader has written anything. */
+/** Time after a cancellation request at which its response has arrived but the leader has not written anything. */
 const BEFORE_LEADER_WRITES_MS = 18;
 
-/** The first job is cancelled, an outage follows at once, and then all users query all controllers. */
+/** The first job is cancelled directly before an outage. After the outage, all users query all controllers. */
 export const cancelBeforeOutage =
   (atMs: number, outageMs: number): ScenarioScript =>
   (scenario) => {
--- a/src/test/sim/simulated-key-value-store.ts
+++ b/src/test/sim/simulated-key-value-store.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for the key-value store, written from the published protocol: transactions, leases and watches; outages, refusals
- * of one host, transactions executed late and lost responses.
+ * A simulated key-value store, implemented from the published protocol: transactions, leases and watches. It can have
+ * outages, refuse the requests of one host, execute transactions late and lose responses.
  */
 import type { SimulatedHost } from './simulated-host.js';
 import { startHttpServer, type HttpResponse } from './http-server.js';
@@ -26,38 +26,38 @@
 const LEASE_CHECK_INTERVAL_MS = 50;
 const MAX_PAGE_ITEMS = 1000;
 const MAX_CONDITIONS_PER_OPERATION = 4;
-/** How much later than sent a delayed transaction is executed. */
+/** A delayed transaction is executed after the minimum delay plus a random part of the range. */
 const MIN_TRANSACTION_DELAY_MS = 2000;
 const TRANSACTION_DELAY_RANGE_MS = 10_000;
-/** An open watch whose host can't be answered is checked so often. */
+/** Interval at which an open watch is checked while responses to its host are unavailable. */
 const UNAVAILABLE_WATCH_CHECK_MS = 1000;
 const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 const unavailableResponse: HttpResponse = { status: 503, body: { error: 'trouble' } };
 
-/** The stored items, and the HTTP interface to them. */
+/** The stored items and the HTTP interface to them. */
 export class SimulatedKeyValueStore {
   readonly items = new Map<string, Item>();
   private readonly leases = new Map<number, Lease>();
   private readonly log: (
     { put: string; data: unknown; stamp: number } | { delete: string; stamp: number }
   )[] = [];
-  private ledger = 1;
-  private nextLease = 1;
+  private revision = 1;
+  private nextLeaseId = 1;
   private unavailable = false;
   private readonly refusedHosts = new Set<string>();
   private delayedFraction = 0;
   private lostResponseFraction = 0;
-  /** Every response takes this much longer. */
+  /** Additional delay of every response. */
   responseDelayMs = 0;
   private watchers: (() => void)[] = [];
-  /** What it accepts; null: anything. */
+  /** The limits on requests. Null: no limits. */
   limits: KeyValueStoreLimits | null = null;
-  /** Transactions that were refused for their size. */
+  /** The number of transactions refused because of their size. */
   rejectedForSize = 0;
-  /** Transactions that were refused for their rate. */
+  /** The number of transactions refused because of the write rate. */
   rejectedForRate = 0;
-  private readonly writes = new TokenBucket(Infinity, Infinity, 0);
-  /** Transactions without a response that were executed late. */
+  private readonly writeBudget = new TokenBucket(Infinity, Infinity, 0);
+  /** The number of transactions that got no response and were delayed. */
   lateTransactions = 0;
 
   constructor(
@@ -74,7 +74,7 @@
     host.run(() => setInterval(() => this.endExpiredLeases(), LEASE_CHECK_INTERVAL_MS));
   }
 
-  /** Nothing is answered for so long; leases last at least their time to live beyond it. */
+  /** Starts an outage: no request succeeds for `forMs`. At its end, each lease is renewed for its time to live. */
   startOutage(forMs: number): void {
     this.unavailable = true;
     this.host.runtime.clock.after(forMs, () => {
@@ -84,7 +84,7 @@
     });
   }
 
-  /** Requests of this host alone are refused. */
+  /** Refuses the requests of this host for `forMs`. */
   refuseHost(ip: string, forMs: number): void {
     this.refusedHosts.add(ip);
     this.host.runtime.clock.after(forMs, () => {
@@ -93,13 +93,13 @@
     });
   }
 
-  /** That fraction of the transactions gets no response and is executed seconds later. */
+  /** Delays the given fraction of transactions by seconds. A delayed transaction gets no response. */
   delayTransactions(fraction: number, forMs: number): void {
     this.delayedFraction = fraction;
     this.host.runtime.clock.after(forMs, () => (this.delayedFraction = 0));
   }
 
-  /** That fraction of the transactions is executed at once, and only the response is lost. */
+  /** Executes the given fraction of transactions without delay, but loses the response. */
   loseResponses(fraction: number, forMs: number): void {
     this.lostResponseFraction = fraction;
     this.host.runtime.clock.after(forMs, () => (this.lostResponseFraction = 0));
@@ -126,7 +126,7 @@
   }
 
   private apply(changes: Change[]): void {
-    const stamp = ++this.ledger;
+    const stamp = ++this.revision;
     for (const change of changes) {
       if ('put' in change) {
         const permit = change.permit === undefined ? {} : { permit: Number(change.permit) };
@@ -137,7 +137,8 @@
     this.notifyWatchers();
   }
 
-  private refusal(transaction: Transaction): HttpResponse | null {
+  /** The error response to a transaction that exceeds the limits. Null: it is within the limits. */
+  private limitError(transaction: Transaction): HttpResponse | null {
     if (!this.limits) return null;
     const { writesPerS, maxValueKb, maxTransactionChanges } = this.limits;
     const fits = (change: Change): boolean =>
@@ -150,25 +151,25 @@
       this.rejectedForSize++;
       return { status: 400, body: { error: 'too large' } };
     }
-    this.writes.setRate(writesPerS, writesPerS, this.now);
-    if (this.writes.take(transaction.then.length, this.now)) return null;
+    this.writeBudget.setRate(writesPerS, writesPerS, this.now);
+    if (this.writeBudget.take(transaction.then.length, this.now)) return null;
     this.rejectedForRate++;
     return { status: 429 };
   }
 
   private transact(transaction: Transaction): HttpResponse {
-    const refusal = this.refusal(transaction);
-    if (refusal) return refusal;
+    const limitError = this.limitError(transaction);
+    if (limitError) return limitError;
     const failed = transaction.if
       .filter((condition) => (this.items.get(condition.key)?.stamp ?? 0) !== Number(condition.stamp))
       .map((condition) => condition.key);
-    if (failed.length > 0) return { status: 409, body: { failed, ledger: this.ledger } };
+    if (failed.length > 0) return { status: 409, body: { failed, ledger: this.revision } };
     for (const change of transaction.then) {
       if ('put' in change && change.permit !== undefined && !this.leases.has(Number(change.permit)))
         return { status: 400, body: { error: 'no such lease' } };
     }
     if (transaction.then.length > 0) this.apply(transaction.then);
-    return { status: 200, body: { ledger: this.ledger } };
+    return { status: 200, body: { ledger: this.revision } };
   }
 
   private async respond(
@@ -188,54 +189,55 @@
         );
         return null;
       }
-      const answer = this.transact(body as Transaction);
-      // Drawn only while responses are lost: other runs keep their random numbers.
+      const response = this.transact(body as Transaction);
+      // The number is drawn only while responses are lost, so that the random sequence of other runs doesn't change.
       const lost = this.lostResponseFraction > 0 && this.random() < this.lostResponseFraction;
-      return lost ? null : answer;
+      return lost ? null : response;
     }
     if (path === '/leases') {
       const { ttlMs } = body as { ttlMs: number };
-      this.leases.set(this.nextLease, { ttlMs, endsAt: this.now + ttlMs });
-      return { status: 200, body: { permit: this.nextLease++ } };
+      this.leases.set(this.nextLeaseId, { ttlMs, endsAt: this.now + ttlMs });
+      return { status: 200, body: { permit: this.nextLeaseId++ } };
     }
-    const lease = /^\/leases\/(\d+)(\/extend)?$/.exec(path);
-    if (lease) {
-      const id = Number(lease[1]);
-      const held = this.leases.get(id);
+    const leasePath = /^\/leases\/(\d+)(\/extend)?$/.exec(path);
+    if (leasePath) {
+      const id = Number(leasePath[1]);
+      const lease = this.leases.get(id);
       if (method === 'DELETE') this.endLease(id);
-      else if (!held) return { status: 404 };
-      else held.endsAt = this.now + held.ttlMs;
+      else if (!lease) return { status: 404 };
+      else lease.endsAt = this.now + lease.ttlMs;
       return { status: 200 };
     }
-    if (path === '/changes') return this.changes(query, isUnavailable);
-    const under = query.get('under');
-    if (path === '/store' && under !== null) return this.list(under, query);
+    if (path === '/changes') return this.watch(query, isUnavailable);
+    const prefix = query.get('under');
+    if (path === '/store' && prefix !== null) return this.list(prefix, query);
     const item = this.items.get(path.slice('/store/'.length));
-    if (!item) return { status: 404, body: { ledger: this.ledger } };
+    if (!item) return { status: 404, body: { ledger: this.revision } };
     return { status: 200, body: { key: path.slice('/store/'.length), ...item } };
   }
 
-  private list(under: string, query: URLSearchParams): HttpResponse {
-    const since = query.get('since') ?? '';
-    const most = Number(query.get('most') ?? MAX_PAGE_ITEMS);
+  private list(prefix: string, query: URLSearchParams): HttpResponse {
+    const startAfter = query.get('since') ?? '';
+    const limit = Number(query.get('most') ?? MAX_PAGE_ITEMS);
     const all = [...this.items]
-      .filter(([key]) => key.startsWith(under) && key > since)
+      .filter(([key]) => key.startsWith(prefix) && key > startAfter)
       .sort(([a], [b]) => (a < b ? -1 : 1));
-    const items = all.slice(0, most).map(([key, i]) => ({ key, ...i }));
-    return { status: 200, body: { items, more: all.length > most, ledger: this.ledger } };
+    const items = all.slice(0, limit).map(([key, i]) => ({ key, ...i }));
+    return { status: 200, body: { items, more: all.length > limit, ledger: this.revision } };
   }
 
-  /** An open watch stays open through an outage, and through a refusal of its host. */
-  private async changes(query: URLSearchParams, isUnavailable: () => boolean): Promise<HttpResponse> {
-    const under = query.get('under') ?? '';
-    const since = Number(query.get('since'));
+  /** Responds to a watch request. An open watch stays open during an outage and while its host is refused. */
+  private async watch(query: URLSearchParams, isUnavailable: () => boolean): Promise<HttpResponse> {
+    const prefix = query.get('under') ?? '';
+    const sinceRevision = Number(query.get('since'));
     const until = this.now + Number(query.get('blockMs') ?? 0);
     for (;;) {
       const log = this.log.filter(
-        (entry) => entry.stamp > since && ('put' in entry ? entry.put : entry.delete).startsWith(under),
+        (entry) =>
+          entry.stamp > sinceRevision && ('put' in entry ? entry.put : entry.delete).startsWith(prefix),
       );
       if (!isUnavailable() && (log.length > 0 || this.now >= until))
-        return { status: 200, body: { ledger: this.ledger, log } };
+        return { status: 200, body: { ledger: this.revision, log } };
       await new Promise<void>((resolve) => {
         this.watchers.push(resolve);
         setTimeout(resolve, isUnavailable() ? UNAVAILABLE_WATCH_CHECK_MS : Math.max(0, until - this.now));
--- a/src/test/sim/simulated-user.ts
+++ b/src/test/sim/simulated-user.ts
@@ -1,4 +1,7 @@
-/** A user of one job, written from the published protocol: submits it, queries it, may cancel it; retries at any controller. */
+/**
+ * A simulated user of one job, implemented from the published protocol: submits the job, polls its status and may cancel
+ * it. Each request goes to a random controller unless one is specified.
+ */
 import type { InvariantChecker } from './invariant-checker.js';
 import type { SimulatedHost } from './simulated-host.js';
 import { parseAddress } from '../../config/address.js';
@@ -7,14 +10,15 @@
 import { encode, tryDecode } from '../../wire/cbor.js';
 
 const POLL_INTERVAL_MS = 5000;
-const RETRY_AFTER_MS = 1000;
+const RETRY_DELAY_MS = 1000;
 const WRITE_TIMEOUT_MS = 5000;
 const READ_TIMEOUT_MS = 2000;
-const MAX_SUBMISSIONS = 60;
-const MAX_CANCELLATIONS = 90;
+const MAX_SUBMISSION_ATTEMPTS = 60;
+const MAX_CANCELLATION_ATTEMPTS = 90;
+/** The names of the job kinds in the user protocol. */
 const jobKindNames = { array: 'array', gang: 'group', service: 'service' };
 
-/** The job as a user submits it. */
+/** The request body with which a user submits the job. */
 export const jobBody = (spec: JobSpec): Record<string, unknown> => ({
   nameId: spec.id,
   herd: spec.class,
@@ -46,16 +50,16 @@
   requestedAt: number;
 }
 
-/** The user of one job; what it is told goes to the invariant checker. */
+/** The user of one job. It passes each received status to the invariant checker. */
 export class SimulatedUser {
   status = 'not submitted';
   accepted = false;
   /** Called when the job is accepted. */
   onAccepted: () => void = () => undefined;
-  /** When a request about the job was last answered. */
+  /** The time of the last response with a status of the job. */
   lastResponseAt = -Infinity;
   private readonly clients: HttpClient[];
-  /** It has asked to cancel the job. */
+  /** Whether the user has requested the cancellation of the job. */
   cancellationRequested = false;
   private finalReportedAt: number | null = null;
 
@@ -69,25 +73,25 @@
     this.clients = addresses.map((a) => new HttpClient(parseAddress(a), 2, 30_000));
   }
 
-  /** Submits the job, and queries it until it has ended. */
+  /** Submits the job and polls its status until it is done or cancelled. */
   start(): void {
     this.host.run(() => void this.submit());
   }
 
-  /** Asks to cancel the job until a controller confirms it. */
+  /** Requests the cancellation of the job, with retries until a controller confirms it. */
   cancel(): void {
     this.host.run(() => void this.requestCancellation());
   }
 
-  /** Submits and queries the job once more, at every controller. */
+  /** Submits the job again and queries its status, at every controller. */
   queryAllControllers(): void {
-    for (const [at] of this.clients.entries()) {
+    for (const [controllerIndex] of this.clients.entries()) {
       this.host.run(() => {
-        void this.sendRequest('POST', '/v1/jobs', jobBody(this.spec), WRITE_TIMEOUT_MS, at).then((response) =>
-          this.checkStillKnown(response),
+        void this.sendRequest('POST', '/v1/jobs', jobBody(this.spec), WRITE_TIMEOUT_MS, controllerIndex).then(
+          (response) => this.checkStillKnown(response),
         );
-        void this.sendRequest('GET', `/v1/jobs/${this.spec.id}`, null, READ_TIMEOUT_MS, at).then((response) =>
-          this.checkStillKnown(response),
+        void this.sendRequest('GET', `/v1/jobs/${this.spec.id}`, null, READ_TIMEOUT_MS, controllerIndex).then(
+          (response) => this.checkStillKnown(response),
         );
       });
     }
@@ -100,28 +104,28 @@
     else if (response.status === 200) this.onStatus(response);
   }
 
-  /** Sends a request to one controller, whichever state the job is in. */
+  /** Sends a request to the given controller, or to a random one. Returns null if there is no response. */
   async sendRequest(
     method: string,
     path: string,
     body: unknown,
     timeoutMs: number,
-    at?: number,
+    controllerIndex?: number,
   ): Promise<UserResponse | null> {
-    const client = this.clients[at ?? Math.floor(this.random() * this.clients.length)];
-    const askedAt = this.host.runtime.clock.now;
+    const client = this.clients[controllerIndex ?? Math.floor(this.random() * this.clients.length)];
+    const requestedAt = this.host.runtime.clock.now;
     const result = await client.request(method, path, body === null ? null : encode(body), timeoutMs);
     return result.ok
       ? {
           status: result.status,
           body: result.body.length > 0 ? tryDecode(result.body) : {},
-          requestedAt: askedAt,
+          requestedAt,
         }
       : null;
   }
 
   private async submit(): Promise<void> {
-    for (let tries = 0; tries < MAX_SUBMISSIONS && !this.accepted; tries++) {
+    for (let attempts = 0; attempts < MAX_SUBMISSION_ATTEMPTS && !this.accepted; attempts++) {
       const response = await this.sendRequest('POST', '/v1/jobs', jobBody(this.spec), WRITE_TIMEOUT_MS);
       if (response && (response.status === 201 || response.status === 200)) {
         this.accepted = true;
@@ -131,7 +135,7 @@
       } else if (response && (response.status === 400 || response.status === 422)) {
         this.status = String(response.status);
         return;
-      } else await new Promise((resolve) => setTimeout(resolve, RETRY_AFTER_MS));
+      } else await new Promise((resolve) => setTimeout(resolve, RETRY_DELAY_MS));
     }
     void this.poll();
   }
@@ -149,8 +153,8 @@
     if (this.cancellationRequested) return;
     this.cancellationRequested = true;
     this.checker.onCancellationRequested(this.spec.id);
-    for (let tries = 0; tries < MAX_CANCELLATIONS; tries++) {
-      // Only what was accepted before the request has to be known: a response may be overtaken by the acceptance.
+    for (let attempts = 0; attempts < MAX_CANCELLATION_ATTEMPTS; attempts++) {
+      // A 404 is a fault only if the job was accepted before the request: the acceptance may arrive before the response.
       const acceptedBefore = this.accepted;
       const response = await this.sendRequest('POST', `/v1/jobs/${this.spec.id}/abort`, {}, WRITE_TIMEOUT_MS);
       if (response?.status === 200) {
@@ -158,22 +162,22 @@
         return;
       }
       if (response?.status === 404 && acceptedBefore)
-        this.checker.reportForgottenJob(this.spec.id, '404 to a cancellation');
-      await new Promise((resolve) => setTimeout(resolve, RETRY_AFTER_MS));
+        this.checker.reportForgottenJob(this.spec.id, '404 in response to a cancellation');
+      await new Promise((resolve) => setTimeout(resolve, RETRY_DELAY_MS));
     }
   }
 
   private onStatus(response: UserResponse): void {
     const { now } = this.host.runtime.clock;
     this.lastResponseAt = now;
-    // Requested before a final response arrived, and overtaken by it: rightly older.
+    // A response to a request sent before a final status arrived may contain an older status.
     if (this.finalReportedAt !== null && response.requestedAt <= this.finalReportedAt) return;
     const { status } = response.body as { status: string };
     this.status = status === 'withdrawn' ? 'cancelled' : status;
     if (this.status === 'cancelled' && this.cancellationRequested)
       this.checker.onCancellationReported(this.spec.id);
     else if (this.status === 'cancelled') this.checker.onUnrequestedCancellation(this.spec.id);
-    // Requested before, and only answered now: it may be as old as the request.
+    // The status in a late response may be as old as the request.
     else if (this.status !== 'done') this.checker.onUnfinishedReported(this.spec.id, response.requestedAt);
     else this.checker.onStatusReported(this.spec.id, this.status);
     if (this.status === 'done' || this.status === 'cancelled') this.finalReportedAt ??= now;
--- a/src/test/sim/worker-host.ts
+++ b/src/test/sim/worker-host.ts
@@ -1,4 +1,4 @@
-/** A machine on the simulated network: its worker sends heartbeats to the controllers and takes direct commands. */
+/** A machine on the simulated network. Its worker sends heartbeats to the controllers and receives direct commands. */
 import type { SimulatedHost } from './simulated-host.js';
 import { startHttpServer, type HttpResponse } from './http-server.js';
 import { SimulatedWorker, type WorkerEnvironment } from './simulated-worker.js';
@@ -11,10 +11,10 @@
 import { decode, encode } from '../../wire/cbor.js';
 
 const RESPONSE_TIMEOUT_MS = 4000;
-const CHECK_INTERVAL_MS = 500;
-/** Pause before the next controller is tried. */
-const NEXT_CONTROLLER_AFTER_MS = 1000;
-/** How much later than sent a delayed direct command is executed. */
+const HEARTBEAT_CHECK_INTERVAL_MS = 500;
+/** Delay before the next controller is tried. */
+const NEXT_CONTROLLER_DELAY_MS = 1000;
+/** A delayed direct command is executed after the minimum delay plus a random part of the range. */
 const MIN_COMMAND_DELAY_MS = 2000;
 const COMMAND_DELAY_RANGE_MS = 14_000;
 
@@ -31,7 +31,7 @@
   calls: Call[];
 }
 
-const commandOf = (call: Call): Command => {
+const decodeCommand = (call: Call): Command => {
   const [job = '', index = ''] = call.hand.split('/');
   const ref = { job: job as JobId, index: Number(index), attempt: Number(call.try) as Attempt };
   if (call.call === 'run') return { op: 'start', ...ref };
@@ -40,7 +40,8 @@
     : { op: 'stop', ...ref, gracePeriodS: call.slackS ?? 0 };
 };
 
-const stateNames = {
+/** The names of the task states in the worker protocol. */
+const taskStateNames = {
   fetching: 'pulling',
   waiting: 'waiting',
   running: 'running',
@@ -61,28 +62,28 @@
   hands: heartbeat.tasks.map((t) => ({
     hand: `${t.job}/${t.index}`,
     try: BigInt(t.attempt),
-    status: stateNames[t.state],
+    status: taskStateNames[t.state],
     ...(t.cause ? { cause: t.cause } : {}),
     stored: t.saved,
   })),
 });
 
-/** The worker of one machine, and what reaches it through the network. */
+/** The worker of one machine and its connections to the controllers. */
 export class WorkerHost {
   readonly worker: SimulatedWorker;
-  /** Its heartbeats reach no controller, while direct commands reach it. */
+  /** Heartbeats reach no controller, but direct commands reach the worker. */
   heartbeatsDropped = false;
-  /** Called with each heartbeat that it sends. */
+  /** Called with the body of each heartbeat, also of dropped ones. */
   onHeartbeatSent: ((body: Buffer) => void) | null = null;
-  /** Until then that fraction of direct commands gets no response and is executed once, much later. */
+  /** Until the time `until`, this fraction of direct commands gets no response and is executed once, seconds later. */
   delayedCommands = { fraction: 0, until: 0 };
   private readonly clients = new Map<string, HttpClient>();
   private controllerIndex: number;
   private heartbeatInFlight = false;
   private nextHeartbeatAt = 0;
   private lastReportedState = '';
-  /** What goes on once the machine no longer hangs. */
-  private readonly waitingForResume: (() => void)[] = [];
+  /** Callbacks that run when the machine no longer hangs. */
+  private readonly resumeCallbacks: (() => void)[] = [];
 
   constructor(
     readonly host: SimulatedHost,
@@ -97,19 +98,19 @@
       if (this.worker.hung) await this.untilResumed();
       return this.worker.inboundPartitioned ? null : this.onDirectCommands(body as DirectCommandsBody);
     });
-    host.run(() => setInterval(() => this.sendHeartbeatIfDue(), CHECK_INTERVAL_MS));
+    host.run(() => setInterval(() => this.sendHeartbeatIfDue(), HEARTBEAT_CHECK_INTERVAL_MS));
   }
 
-  /** The machine hangs: nothing on it runs, its tasks included. */
+  /** Hangs the machine: neither its worker nor its tasks make progress for `forMs`. */
   hang(forMs: number): void {
     this.worker.hung = true;
     this.host.runtime.clock.after(forMs, () => {
       this.worker.hung = false;
-      for (const resume of this.waitingForResume.splice(0)) this.host.run(resume);
+      for (const resume of this.resumeCallbacks.splice(0)) this.host.run(resume);
     });
   }
 
-  /** The machine ends with its tasks. */
+  /** Ends the machine and its tasks. */
   terminate(): void {
     this.worker.kill();
     this.host.kill();
@@ -120,11 +121,11 @@
   }
 
   private untilResumed(): Promise<void> {
-    return new Promise<void>((resume) => this.waitingForResume.push(resume));
+    return new Promise<void>((resume) => this.resumeCallbacks.push(resume));
   }
 
   private onDirectCommands({ reins, shift, calls }: DirectCommandsBody): HttpResponse | null {
-    const execute = () => this.worker.onDirectCommands(reins, shift, calls.map(commandOf));
+    const execute = () => this.worker.onDirectCommands(reins, shift, calls.map(decodeCommand));
     if (this.now < this.delayedCommands.until && this.random() < this.delayedCommands.fraction) {
       const delayMs = MIN_COMMAND_DELAY_MS + this.random() * COMMAND_DELAY_RANGE_MS;
       this.host.runtime.clock.after(delayMs, () => this.host.run(() => void execute()));
@@ -165,7 +166,7 @@
       return;
     }
     const response = decode(result.body) as { reins?: number; calls?: Call[]; foreman?: string };
-    const commands = (response.calls ?? []).map(commandOf);
+    const commands = (response.calls ?? []).map(decodeCommand);
     if (result.status === 200 && this.now - sentAt <= RESPONSE_TIMEOUT_MS)
       this.worker.onHeartbeatResponse(Number(response.reins), commands, sentAt, incarnation);
     else if (result.status !== 200)
@@ -179,7 +180,7 @@
     return client;
   }
 
-  /** Goes on with the controller that was named, at once, or else with the next one. */
+  /** Switches to the named controller without delay, or to the next one after a delay if no other one is named. */
   private useNextController(named: string | null): void {
     const namedIndex = this.controllers.findIndex((controller) => controller.name === named);
     if (namedIndex >= 0 && namedIndex !== this.controllerIndex) {
@@ -188,6 +189,6 @@
       return;
     }
     this.controllerIndex = (this.controllerIndex + 1) % this.controllers.length;
-    this.nextHeartbeatAt = this.now + NEXT_CONTROLLER_AFTER_MS;
+    this.nextHeartbeatAt = this.now + NEXT_CONTROLLER_DELAY_MS;
   }
 }
