--- a/src/test/sim/cancellation-scenarios.ts
+++ b/src/test/sim/cancellation-scenarios.ts
@@ -12,7 +12,7 @@
  * starts one second later.
  */
 export const cancelWhileMachinesHang =
-  (then: ScenarioScript = () => undefined): ScenarioScript =>
+  (additionalScript: ScenarioScript = () => undefined): ScenarioScript =>
   (scenario) => {
     const jobs = startMixedWork(scenario);
     scenario.cluster.at(FAULTS_AT_MS, () => {
@@ -25,7 +25,7 @@
     scenario.cluster.at(FAULTS_AT_MS + 1000, () =>
       scenario.cluster.keyValueStore.startOutage(LONG_OUTAGE_MS),
     );
-    then(scenario);
+    additionalScript(scenario);
   };
 
 /** A job of a team at its limit is cancelled while machines hang and the leader restarts. */
--- a/src/test/sim/cluster-setup.ts
+++ b/src/test/sim/cluster-setup.ts
@@ -1,4 +1,4 @@
-/** What a simulated cluster consists of, and the settings that the platform hands its controllers. */
+/** The setup of a simulated cluster, and the platform settings of its controllers. */
 import type { ProgramVersion } from './production-version.js';
 import type { SimulatedHost } from './simulated-host.js';
 import type { SimulationRuntime } from './simulation-runtime.js';
@@ -11,7 +11,7 @@
 export const KEY_VALUE_STORE_IP = '10.2.0.1';
 /** The address of the simulated cloud provider. */
 export const CLOUD_PROVIDER_IP = '10.2.0.2';
-/** Wall clocks of controllers are off by at most this. */
+/** Maximum error of a controller's wall clock. */
 export const CLOCK_ERROR_MS = 100;
 const DEFAULT_SOCKET_LIMIT = 1000;
 const DEFAULT_KEY_VALUE_STORE_LIMITS: KeyValueStoreLimits = {
@@ -21,7 +21,7 @@
   maxTransactionChanges: 12,
 };
 
-/** What a test asks of a simulated cluster. */
+/** The configuration of a simulated cluster. */
 export interface ClusterSetup {
   seed: number;
   zones: string[];
@@ -29,35 +29,35 @@
   controllers: string[];
   teams: TeamQuota[];
   types: MachineType[];
-  /** How many machines the cloud provider has. */
+  /** The maximum number of machines that the cloud provider runs. */
   capacity: number;
-  /** Machines that run before the first controller starts, in each zone of their type. */
+  /** Machines that run before the first controller starts. They run in each zone of their type. */
   initialMachines?: { type: string; perZone: number };
   runMs: (job: JobId) => number;
   workers?: Partial<PlatformSettings['workers']>;
-  /** Operators' settings, as the build step writes them. */
+  /** Operator settings in the format that the build step writes. */
   operator?: unknown;
-  /** What the key-value store accepts at the start, where it differs from the default. */
+  /** Limits of the key-value store at the start, where they differ from the defaults. */
   keyValueStoreLimits?: Partial<KeyValueStoreLimits>;
-  /** Limits that it will have later, as the settings announce them. */
+  /** Limits that the controllers' settings contain but the key-value store enforces only from a later time. */
   announcedKeyValueStoreLimits?: Partial<KeyValueStoreLimits>;
-  /** Sockets that a controller may have open; few make direct commands that are never sent. */
+  /** Maximum number of open sockets of a controller. With a low limit, some direct commands are never sent. */
   socketLimit?: number;
-  /** The version that the controllers run at the start; else the present one. */
+  /** The version that the controllers run at the start. Default: the present version. */
   version?: ProgramVersion;
 }
 
-/** A controller of a simulated cluster; `host` is its present run. */
+/** A controller of a simulated cluster. `host` is its current process. */
 export interface ControllerProcess {
   name: NodeName;
   ip: string;
   platform: PlatformSettings;
   host: SimulatedHost;
-  /** Null: the present version. */
+  /** The version that the controller runs. Null: the present version. */
   version: ProgramVersion | null;
 }
 
-/** The intervals and limits that the workers of this cluster keep. */
+/** The timings of the workers of this cluster. */
 export const workerTimings = ({ workers }: ClusterSetup): PlatformSettings['workers'] => ({
   heartbeatIntervalS: 1.5,
   leaseS: 10,
@@ -67,7 +67,7 @@
   ...workers,
 });
 
-/** What the key-value store of this cluster accepts at the start. */
+/** The limits of this cluster's key-value store at the start. */
 export const keyValueStoreLimits = (setup: ClusterSetup): KeyValueStoreLimits => ({
   ...DEFAULT_KEY_VALUE_STORE_LIMITS,
   ...setup.keyValueStoreLimits,
@@ -100,7 +100,7 @@
   processLimits: { cpu: 0.25, memoryMb: 146, sockets: setup.socketLimit ?? DEFAULT_SOCKET_LIMIT },
 });
 
-/** The controllers of this cluster, none of them started yet. */
+/** Creates the controllers of this cluster without starting them. */
 export const createControllerProcesses = (
   setup: ClusterSetup,
   runtime: SimulationRuntime,
--- a/src/test/sim/cluster-simulation.ts
+++ b/src/test/sim/cluster-simulation.ts
@@ -232,7 +232,7 @@
     this.network.injectFault(this.addressesIn(zoneA), this.addressesIn(zoneB), fault, forMs);
   }
 
-  /** Delivers a duplicate of the given fraction of heartbeats to a random controller, up to two leases and 2 s later. */
+  /** Delivers a duplicate of this fraction of heartbeats to a random controller, up to two leases and 2 s later. */
   duplicateHeartbeats(fraction: number, forMs: number): void {
     const until = this.now + forMs;
     const duplicatingHost = this.runtime.createHost(DUPLICATING_HOST_IP);
@@ -251,7 +251,7 @@
     }
   }
 
-  /** Makes workers execute the given fraction of direct commands late and without a response. */
+  /** Makes workers execute this fraction of direct commands late and without a response. */
   delayDirectCommands(fraction: number, forMs: number): void {
     for (const workerHost of this.workers.values())
       workerHost.delayedCommands = { fraction, until: this.now + forMs };
--- a/src/test/sim/faults.ts
+++ b/src/test/sim/faults.ts
@@ -93,11 +93,11 @@
     const controllers = scenario.cluster.controllers
       .filter(() => scenario.random() < 0.7)
       .map((controller) => controller.ip);
-    scenario.cluster.network.addLatency(ips, controllers, () => scenario.random() * 1800, forMs);
+    scenario.cluster.network.setLatency(ips, controllers, () => scenario.random() * 1800, forMs);
   },
   'peers slow': (scenario, forMs) => {
     const controllers = scenario.cluster.controllers.map((controller) => controller.ip);
-    scenario.cluster.network.addLatency(controllers, controllers, () => scenario.random() * 900, forMs);
+    scenario.cluster.network.setLatency(controllers, controllers, () => scenario.random() * 900, forMs);
   },
   'leader restarted twice': (scenario) => {
     const controller = scenario.cluster.leader;
--- a/src/test/sim/fixtures.ts
+++ b/src/test/sim/fixtures.ts
@@ -1,10 +1,10 @@
-/** Teams, machine types and a plain job, for tests that need some and don't care which. */
+/** Default teams, machine types and job for tests that don't depend on particular ones. */
 import type { JobSpec } from '../../core/job-spec.js';
 import type { MachineType } from '../../core/machine-info.js';
 import type { TeamQuota } from '../../core/team-quota.js';
 import type { JobId, Team, MachineTypeName, Zone } from '../../core/units.js';
 
-/** One team with a guarantee and a limit, one without. */
+/** One team with a guarantee and a limit, and one without. */
 export const teams: TeamQuota[] = [
   { name: 'blue' as Team, guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 4, maxGpus: 20 },
   { name: 'green' as Team, guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 },
@@ -38,7 +38,7 @@
   },
 ];
 
-/** A single-task array; a test overrides what it is about. */
+/** An array with a single task. A test overrides the fields that it depends on. */
 export const jobSpec = (id: string, overrides: Partial<JobSpec> = {}): JobSpec => ({
   id: id as JobId,
   class: 'batch',
--- a/src/test/sim/heartbeat-handler-fixtures.ts
+++ b/src/test/sim/heartbeat-handler-fixtures.ts
@@ -1,4 +1,4 @@
-/** A heartbeat handler of a follower, with stand-ins for its link to the leader, its feed and its clock. */
+/** A follower's heartbeat handler with a simulated link to the leader, cancellation log and clock. */
 import assert from 'node:assert/strict';
 import { mock } from 'node:test';
 import type { PlatformSettings } from '../../config/platform.js';
@@ -17,7 +17,7 @@
 const TERM = 3 as Term;
 const LEADER = 'stable-1' as NodeName;
 const BATCH_INTERVAL_MS = 250;
-/** The timings that the workers keep. */
+/** The timings of the workers. */
 export const workers = { heartbeatIntervalS: 2, leaseS: 10, gangWaitS: 30, gangPeerS: 6, cancelS: 40 };
 const platform = { zone: 'east', workers, processLimits: { cpu: 0.25 } } as unknown as PlatformSettings;
 
@@ -41,7 +41,7 @@
 
 const leaderStatus = { node: LEADER, leading: true, term: TERM, storeAvailable: true };
 
-/** A follower in zone east whose leader, in zone west, it may or may not reach. */
+/** A follower in zone east with a leader in zone west. Tests set in `environment` whether the leader is reachable. */
 export const createFollower = () => {
   const environment = {
     now: 1000,
@@ -110,8 +110,8 @@
   return new Leader({ term: TERM, keyRevision: 1 }, settings, 0 as MonotonicTime);
 };
 
-/** What a leader answers to a follower's request. */
-const answerFollower = (leader: Leader, request: PeerRequest, now: MonotonicTime): unknown => {
+/** The leader's response to a follower's request. */
+const respondToFollower = (leader: Leader, request: PeerRequest, now: MonotonicTime): unknown => {
   if (request.kind === 'unchanged-heartbeats') {
     const full = request.heartbeats.filter((heartbeat) => !leader.onUnchangedHeartbeat(heartbeat, now));
     return { machinesNeedingFullHeartbeat: full.map(({ machine }) => machine) };
@@ -124,7 +124,7 @@
   return { status: 200, body, inSync: leader.isInSync(parsed.value.id) };
 };
 
-/** A leader with one machine in sync, and a follower whose link leads to it; needs mocked timers. */
+/** A leader and a follower that batches unchanged heartbeats to it. Requires mocked timers. */
 export const createBatchingFollower = () => {
   const environment = { leader: createLeader(), linkAlive: true, now: 0 };
   const requests: string[] = [];
@@ -137,7 +137,9 @@
     sendRequest: (request: PeerRequest) => {
       requests.push(request.kind);
       if (!environment.linkAlive) return Promise.resolve(null);
-      return Promise.resolve(answerFollower(environment.leader, request, environment.now as MonotonicTime));
+      return Promise.resolve(
+        respondToFollower(environment.leader, request, environment.now as MonotonicTime),
+      );
     },
   } as unknown as PeerLink;
   const heartbeatHandler = new HeartbeatHandler({
@@ -150,7 +152,7 @@
     log: new Logger('test', 'error'),
     clock: () => environment.now as MonotonicTime,
   });
-  /** The kinds of requests to the leader that this heartbeat has led to. */
+  /** Sends a heartbeat. Returns the kinds of the requests that the follower sent to the leader for it. */
   const sendHeartbeat = async (
     sequence: number,
     overrides: Record<string, unknown> = {},
--- a/src/test/sim/http-server.ts
+++ b/src/test/sim/http-server.ts
@@ -1,4 +1,4 @@
-/** A plain HTTP server for the stand-ins, written from the published protocol. */
+/** An HTTP server for the simulated services, implemented from the published protocol. */
 import { createServer } from 'node:net';
 import type { SimulatedHost } from './simulated-host.js';
 import { parseAddress } from '../../config/address.js';
@@ -6,13 +6,13 @@
 import type { HttpMessage } from '../../runtime/http/http-message.js';
 import { decode, encode } from '../../wire/cbor.js';
 
-/** What a stand-in answers; the body is encoded as CBOR. */
+/** The response of a simulated service. The body is encoded as CBOR. */
 export interface HttpResponse {
   status: number;
   body?: unknown;
 }
 
-/** Answers a request from the host at `from`; null: the request gets no response. */
+/** Responds to a request from the host at `from`. Null: no response is sent. */
 export type RequestHandler = (
   request: HttpMessage,
   body: unknown,
@@ -27,7 +27,7 @@
   return Buffer.concat([Buffer.from(head, 'latin1'), bytes]);
 };
 
-/** Listens at the address as a process of the host. */
+/** Starts a server that listens on the address as a process of the host. */
 export const startHttpServer = (host: SimulatedHost, address: string, handle: RequestHandler): void => {
   host.run(() => {
     createServer((socket) => {
--- a/src/test/sim/invariant-checker.ts
+++ b/src/test/sim/invariant-checker.ts
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Called when a user receives a cancelled status without having requested the cancellation. This is correct only for a
-   * job that depends on a cancelled one.
+   * Called when a user receives a cancelled status without having requested the cancellation. This is correct only for
+   * a job that depends on a cancelled one.
    */
   onUnrequestedCancellation(job: JobId): void {
     if (!this.ancestors(job).some((id) => this.cancellationsRequested.has(id)))
@@ -140,7 +140,7 @@
     this.cancellationsRequested.add(job);
   }
 
-  /** Called when a user receives a pending or running status in response to a request sent at `requestedAt`. */
+  /** Called when a user receives a pending or running status for a request sent at `requestedAt`. */
   onUnfinishedReported(job: JobId, requestedAt: number): void {
     this.onStatusReported(job, 'unfinished');
     const acceptedAt = this.acceptedAt.get(job) ?? this.now();
--- a/src/test/sim/leader-scenarios.ts
+++ b/src/test/sim/leader-scenarios.ts
@@ -105,8 +105,8 @@
 };
 
 /**
- * Runs a simulation in which a gang needs two whole machines while small jobs of a higher priority are submitted without
- * a pause.
+ * Runs a simulation in which a gang needs two whole machines while small jobs of a higher priority are submitted every
+ * four seconds until minute seven.
  */
 export const crowdedSimulation = (
   createLeader?: ConstructorParameters<typeof LeaderSimulation>[1],
@@ -126,8 +126,17 @@
       }),
     );
   });
-  const whole = { kind: 'gang', tasks: 2, gpus: 8, cpus: 60, memoryGb: 400, oneZone: true } as const;
-  simulation.clock.after(minutes(2), () => simulation.submit(jobSpec('wk-1', { class: 'whole', ...whole })));
+  const wholeMachineGang = {
+    kind: 'gang',
+    tasks: 2,
+    gpus: 8,
+    cpus: 60,
+    memoryGb: 400,
+    oneZone: true,
+  } as const;
+  simulation.clock.after(minutes(2), () =>
+    simulation.submit(jobSpec('wk-1', { class: 'whole', ...wholeMachineGang })),
+  );
   simulation.clock.after(minutes(2), () =>
     simulation.submit(jobSpec('wk-2', { class: 'wide', tasks: 30, priority: 'low', imageGb: 1 })),
   );
--- a/src/test/sim/node-globals.ts
+++ b/src/test/sim/node-globals.ts
@@ -1,6 +1,6 @@
 /**
- * Replaces what Node offers a process (timers, clocks, `net`, the process id) by simulated versions for the whole test
- * process, so that the controllers' own modules run unchanged; each answers for the host that calls it.
+ * Replaces Node.js timers, clocks, `net` and the process id with simulated versions in the whole test process, so that
+ * the controllers' modules run unchanged. Clocks and connections are those of the host whose code calls them.
  */
 import net from 'node:net';
 import { syncBuiltinESMExports } from 'node:module';
@@ -9,7 +9,7 @@
 
 /** Wall-clock time at the start of a simulation. */
 const EPOCH_MS = 1_700_000_000_000;
-/** Controllers seed their random numbers with it: the same seed must give the same run in each test process. */
+/** Controllers seed their random numbers with the process id. It is fixed so that runs are reproducible. */
 const SIMULATED_PID = 4711;
 
 const setPid = (value: number): void => {
@@ -31,7 +31,7 @@
   if (timer) timer.cancelled = true;
 };
 
-/** Node's timer functions on virtual time; each callback runs as the host that set the timer. */
+/** The timer functions of Node.js on virtual time. Each callback runs as the host that set the timer. */
 const simulatedTimers = (runtime: SimulationRuntime) => {
   const schedule = (ms: number, timer: Timer, callback: () => void): void => {
     const host = runtime.currentHost.getStore();
@@ -61,7 +61,7 @@
   };
 };
 
-/** Replaces what Node offers a process; returns what restores it. */
+/** Replaces the timers, clocks, `net` functions and process id. Returns a function that restores the original ones. */
 export const replaceNodeGlobals = (runtime: SimulationRuntime, network: SimulatedNetwork): (() => void) => {
   const { setTimeout, clearTimeout, setInterval, clearInterval } = globalThis;
   const { connect, createServer } = net;
--- a/src/test/sim/pending-job-monitor.ts
+++ b/src/test/sim/pending-job-monitor.ts
@@ -1,4 +1,4 @@
-/** Finds jobs that are left waiting although machines have capacity for them and their team is under its limit. */
+/** Finds jobs that stay pending although machines have capacity for them and their team is below its limit. */
 import type { InvariantChecker } from './invariant-checker.js';
 import type { SimulatedUser } from './simulated-user.js';
 import type { VirtualClock } from './virtual-clock.js';
@@ -19,21 +19,21 @@
   zones: string[];
 }
 
-/** Watches the pending jobs of a cluster on which no fault acts any more. */
+/** Monitors the pending jobs of a cluster after all faults have ended. */
 export class PendingJobMonitor {
   private readonly waitingSince = new Map<JobId, number>();
 
   constructor(private readonly dependencies: Dependencies) {}
 
-  /** Checks regularly from now on. */
+  /** Starts the periodic checks. */
   start(clock: VirtualClock): void {
     clock.every(CHECK_INTERVAL_MS, () => this.check(clock.now));
   }
 
   private check(now: number): void {
     for (const [id, user] of this.dependencies.users) {
-      const over = user.status === 'done' || user.status === 'cancelled' || user.cancellationRequested;
-      if (!user.accepted || over || !this.couldRunMore(user.spec)) {
+      const ended = user.status === 'done' || user.status === 'cancelled' || user.cancellationRequested;
+      if (!user.accepted || ended || !this.canStartMoreTasks(user.spec)) {
         this.waitingSince.delete(id);
         continue;
       }
@@ -44,15 +44,15 @@
     }
   }
 
-  /** Whether tasks of the job are pending though they are ready, fit somewhere, and their team may have them. */
-  private couldRunMore(spec: JobSpec): boolean {
+  /** Whether pending tasks of the job are ready, fit on machines and stay within the limit of their team. */
+  private canStartMoreTasks(spec: JobSpec): boolean {
     const { checker, specs } = this.dependencies;
-    if (this.activeTasks(spec.id) + checker.completedTaskCount(spec.id) >= spec.tasks) return false;
+    if (this.activeTaskCount(spec.id) + checker.completedTaskCount(spec.id) >= spec.tasks) return false;
     const done = (id: JobId): boolean => checker.completedTaskCount(id) === specs.get(id)!.tasks;
     return spec.dependsOn.every(done) && this.quotaAllows(spec) && this.fits(spec);
   }
 
-  private activeTasks(id: JobId): number {
+  private activeTaskCount(id: JobId): number {
     let count = 0;
     for (const { worker } of this.dependencies.workers.values()) count += worker.activeTaskCount(id);
     return count;
@@ -63,8 +63,8 @@
     const { maxGpus } = teams.find((team) => team.name === spec.team)!;
     let used = 0;
     for (const other of specs.values())
-      if (other.team === spec.team) used += other.gpus * this.activeTasks(other.id);
-    return maxGpus <= 0 || used + spec.gpus * tasksAtOnce(spec) <= maxGpus;
+      if (other.team === spec.team) used += other.gpus * this.activeTaskCount(other.id);
+    return maxGpus <= 0 || used + spec.gpus * tasksStartedTogether(spec) <= maxGpus;
   }
 
   private fits(spec: JobSpec): boolean {
@@ -72,10 +72,12 @@
     const fitting = [...workers.values()].filter(
       ({ info, worker }) => (spec.zone === null || info.zone === spec.zone) && worker.hasCapacity(spec),
     );
-    if (!spec.oneZone && !spec.spread) return fitting.length >= tasksAtOnce(spec);
-    return zones.some((zone) => fitting.filter(({ info }) => info.zone === zone).length >= tasksAtOnce(spec));
+    if (!spec.oneZone && !spec.spread) return fitting.length >= tasksStartedTogether(spec);
+    return zones.some(
+      (zone) => fitting.filter(({ info }) => info.zone === zone).length >= tasksStartedTogether(spec),
+    );
   }
 }
 
-/** The tasks of an array start one by one, those of other jobs together. */
-const tasksAtOnce = (spec: JobSpec): number => (spec.kind === 'array' ? 1 : spec.tasks);
+/** The number of tasks that start together: one for an array, all tasks for other jobs. */
+const tasksStartedTogether = (spec: JobSpec): number => (spec.kind === 'array' ? 1 : spec.tasks);
--- a/src/test/sim/platform-toml.ts
+++ b/src/test/sim/platform-toml.ts
@@ -1,6 +1,6 @@
-/** A controller's settings as the platform hands them over. */
+/** Platform settings of a controller in the TOML format that the platform provides. */
 
-/** Complete settings, and what a test adds at their end. */
+/** Complete settings, followed by the text that a test adds. */
 export const platformToml = (extra = ''): string => `
 node_name = "stable-0"
 area = "east"
--- a/src/test/sim/production-version.ts
+++ b/src/test/sim/production-version.ts
@@ -1,4 +1,4 @@
-/** The version in production, built from the repository's history, so that controllers of both versions can run together. */
+/** Builds the version in production from the Git history, so that one cluster can run controllers of both versions. */
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, renameSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
@@ -10,19 +10,20 @@
 const ROOT = fileURLToPath(new URL('../../..', import.meta.url));
 const BUILDS = join(ROOT, 'target', 'production');
 
-/** A version of the program: what starts one of its controllers, and how it reads its settings. */
+/** A version of the program, with the functions of it that the tests call. */
 export interface ProgramVersion {
+  /** Starts a controller of that version, with the settings under the names that it expects. */
   startController: (platform: PlatformSettings, operator: unknown) => void;
-  /** A job's record as that version reads it and would write it again. */
+  /** Parses a job's record in that version. */
   parseJobRecord: (raw: unknown) => unknown;
-  /** The other stored records as that version reads them; null for a damaged one. */
+  /** The parsers of that version for the other stored records. They return null for a malformed record. */
   parseFinal: (raw: unknown) => unknown;
   parseLeader: (raw: unknown) => unknown;
   parseTerm: (raw: unknown) => unknown;
   parseRosterPage: (raw: unknown) => unknown;
   parseProgress: (raw: unknown) => unknown;
   parseStoredTypes: (raw: unknown) => unknown;
-  /** A request of another controller as that version reads it. */
+  /** Parses a request of another controller in that version. */
   parsePeerRequest: (raw: unknown) => { ok: boolean };
 }
 
@@ -38,33 +39,40 @@
 const productionCommit = (): string => {
   const service = parse(readFileSync(join(ROOT, 'deploy', 'service.toml'), 'utf8'));
   const commit = service['production'];
-  if (typeof commit !== 'string') throw new Error('deploy/service.toml names no version in production');
+  if (typeof commit !== 'string')
+    throw new Error(`deploy/service.toml: expected a commit as 'production', received ${typeof commit}`);
   return commit;
 };
 
 const run = (command: string, args: string[]): Buffer =>
   execFileSync(command, args, { cwd: ROOT, maxBuffer: 1 << 28 });
 
-/** Fails where the history lacks the commit: a test that needs it is never passed over. */
-const build = (commit: string): string => {
-  const built = join(BUILDS, commit);
-  if (existsSync(built)) return built;
-  const work = `${built}.${process.pid}`;
-  mkdirSync(work, { recursive: true });
-  const archive = join(work, 'source.tar');
+/** Builds the commit. Fails if the Git history lacks it, so that a test that needs it is never skipped. */
+const buildCommit = (commit: string): string => {
+  const buildDirectory = join(BUILDS, commit);
+  if (existsSync(buildDirectory)) return buildDirectory;
+  const temporaryDirectory = `${buildDirectory}.${process.pid}`;
+  mkdirSync(temporaryDirectory, { recursive: true });
+  const archive = join(temporaryDirectory, 'source.tar');
   run('git', ['archive', '--output', archive, commit, 'src', 'tsconfig.json', 'package.json']);
-  run('tar', ['-x', '-f', archive, '-C', work]);
-  run('npx', ['tsc', '-p', join(work, 'tsconfig.json'), '--outDir', join(work, 'out')]);
-  // Test files run at the same time: whoever is first puts it in place.
+  run('tar', ['-x', '-f', archive, '-C', temporaryDirectory]);
+  run('npx', [
+    'tsc',
+    '-p',
+    join(temporaryDirectory, 'tsconfig.json'),
+    '--outDir',
+    join(temporaryDirectory, 'out'),
+  ]);
+  // Test files run in parallel processes. The first build to finish is renamed to its place and the others are removed.
   try {
-    renameSync(work, built);
+    renameSync(temporaryDirectory, buildDirectory);
   } catch {
-    rmSync(work, { recursive: true });
+    rmSync(temporaryDirectory, { recursive: true });
   }
-  return built;
+  return buildDirectory;
 };
 
-/** The settings as the version in production names them; in full, so that a rename can't leave one out. */
+/** The settings under the names of the version in production. All are listed, so that a rename can't omit one. */
 interface ProductionSettings {
   name: string;
   zone: string;
@@ -116,9 +124,9 @@
   };
 };
 
-/** Imports the version that `deploy/service.toml` names. */
+/** Builds and imports the version that `deploy/service.toml` names as production. */
 export const loadProductionVersion = async (): Promise<ProgramVersion> => {
-  const out = join(build(productionCommit()), 'out');
+  const out = join(buildCommit(productionCommit()), 'out');
   const load = async (file: string): Promise<Record<string, unknown>> =>
     (await import(pathToFileURL(join(out, file)).href)) as Record<string, unknown>;
   const { Controller } = await load('runtime/controller.js');
--- a/src/test/sim/scheduling-cycle-fixtures.ts
+++ b/src/test/sim/scheduling-cycle-fixtures.ts
@@ -1,6 +1,5 @@
-/** Single scheduling cycles on machines and jobs made for a test. */
-import { teams as defaultTeams } from './fixtures.js';
-import { jobSpec, types } from './fixtures.js';
+/** Helpers to run a single scheduling cycle on machines and jobs that a test creates. */
+import { jobSpec, teams as defaultTeams, types } from './fixtures.js';
 import { Machine } from '../../core/machine.js';
 import { addResources, type Resources } from '../../core/resources.js';
 import { Job, newPlacement, type Placement } from '../../core/job.js';
@@ -20,10 +19,10 @@
   Zone,
 } from '../../core/units.js';
 
-/** The time of every cycle. */
+/** The time at which every cycle runs. */
 export const now = 100_000 as MonotonicTime;
 
-/** A machine that is up and reconciled. */
+/** Creates a machine that is up and reconciled. */
 export const makeMachine = (id: string, type: string, zone: string, spot = false): Machine => {
   const info = {
     id: id as MachineId,
@@ -41,19 +40,19 @@
   return machine;
 };
 
-/** A job known since `now`. */
+/** Creates a job that the leader has loaded at `now`. */
 export const makeJob = (id: string, overrides: Partial<JobSpec> = {}): Job => {
   const spec = jobSpec(id, overrides);
   return new Job(spec.id, { spec, submittedAt: 0 as WallTime, cancelledAt: null }, 1, false, now);
 };
 
 /** Places a running task of the job on the machine. */
-export const placeRunningTask = (machine: Machine, j: Job, index: number): Placement => {
+export const placeRunningTask = (machine: Machine, job: Job, index: number): Placement => {
   const placement = newPlacement(index, machine.id, (index + 1) as Attempt, now);
   placement.observed = placement.running = true;
   placement.runningSince = now;
-  j.addPlacement(placement);
-  machine.assign(j, placement);
+  job.addPlacement(placement);
+  machine.assign(job, placement);
   return placement;
 };
 
@@ -64,18 +63,18 @@
   teams: TeamQuota[] = defaultTeams,
 ): CycleResult => {
   const teamLimits = new Map(teams.map((t) => [t.name, t]));
-  const byId = new Map(jobs.map((j) => [j.id, j]));
-  for (const machine of machines) for (const { job: j } of machine.placements.values()) byId.set(j.id, j);
+  const byId = new Map(jobs.map((job) => [job.id, job]));
+  for (const machine of machines) for (const { job } of machine.placements.values()) byId.set(job.id, job);
   markWithinGuarantee(byId.values(), teamLimits);
   const usage = new Map<Team, Resources>();
-  for (const j of byId.values()) {
-    const used = usage.get(j.spec.team) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
-    addResources(used, j.spec, j.placements.size);
-    usage.set(j.spec.team, used);
+  for (const job of byId.values()) {
+    const used = usage.get(job.spec.team) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
+    addResources(used, job.spec, job.placements.size);
+    usage.set(job.spec.team, used);
   }
   return runSchedulingCycle({
     machines: new Map(machines.map((machine) => [machine.id, machine])),
-    queue: jobs.filter((j) => j.pendingCount > 0),
+    queue: jobs.filter((job) => job.pendingCount > 0),
     jobs: byId.values(),
     resourcesOf: (id: JobId) => byId.get(id)?.spec ?? null,
     usage,
@@ -89,7 +88,7 @@
   });
 };
 
-/** What a cycle decided, one line each. */
+/** Describes the decisions of a cycle, one line each. */
 export const describeDecisions = (result: CycleResult): string[] => [
   ...result.placed.map((placed) => `${placed.job.id}/${placed.index} -> ${placed.machine.id}`),
   ...result.victims.map((v) => `stop ${v.job.id}/${v.placement.index}`),
--- a/src/test/sim/simulated-cloud-provider.ts
+++ b/src/test/sim/simulated-cloud-provider.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for the cloud provider, written from the published protocol: creates machines, lists them late, deletes them,
- * and can have an outage.
+ * A simulated cloud provider, implemented from the published protocol. It creates machines, lists them with a delay
+ * after their creation, deletes them, and can have an outage.
  */
 import { startHttpServer, type HttpResponse } from './http-server.js';
 import type { SimulatedHost } from './simulated-host.js';
@@ -20,9 +20,9 @@
   host: SimulatedHost;
   address: string;
   types: MachineType[];
-  /** How many machines there can be at the same time. */
+  /** The maximum number of machines at the same time. */
   capacity: number;
-  /** A machine appears in lists so long after its creation. */
+  /** Delay from a machine's creation to its first appearance in lists. */
   listLagMs: number;
   onMachineUp: (machine: MachineInfo) => void;
   onMachineDeleted: (id: MachineId) => void;
@@ -52,15 +52,15 @@
   pastures: type.zones,
 });
 
-/** The provider's machines, and its HTTP interface. */
+/** The provider's machines and its HTTP interface. */
 export class SimulatedCloudProvider {
   readonly machines = new Map<MachineId, CloudMachine>();
-  /** Machines created through requests. */
+  /** The number of machines created by requests. */
   scaledOutCount = 0;
   unavailable = false;
-  /** Every response takes this much longer. */
+  /** Additional delay of every response. */
   responseDelayMs = 0;
-  /** When each machine was deleted through a request. */
+  /** The time at which each machine was deleted by a request. */
   readonly deletedAt = new Map<MachineId, number>();
   private readonly machinesByRequest = new Map<string, MachineId[]>();
   private lastOrdinal = 0;
@@ -72,7 +72,7 @@
     });
   }
 
-  /** Creates a machine that is up after `bootMs`. */
+  /** Creates a machine that boots for `bootMs`. */
   addMachine(
     type: MachineTypeName,
     zone: Zone,
--- a/src/test/sim/simulated-host.ts
+++ b/src/test/sim/simulated-host.ts
@@ -1,7 +1,7 @@
-/** One run of a process on a simulated host: it can be killed, paused, and has clocks of its own. */
+/** A process on a simulated host. It has its own clocks and can be killed or paused. */
 import type { SimulationRuntime } from './simulation-runtime.js';
 
-/** One run of a process (or a stand-in) at an address. */
+/** A process, of a controller or of a simulated service, at an IP address. */
 export class SimulatedHost {
   alive = true;
   private paused = false;
@@ -11,27 +11,27 @@
   constructor(
     readonly runtime: SimulationRuntime,
     readonly ip: string,
-    /** Monotonic clocks of different processes have nothing in common. */
+    /** Offset of the monotonic clock. It differs between processes, whose monotonic clocks are not comparable. */
     readonly monotonicOffsetMs: number,
-    /** The wall clock is off by this. */
+    /** Error of the wall clock. */
     readonly wallClockOffsetMs: number,
   ) {}
 
-  /** Runs the action as this process: at once, after a pause, or never once the process is dead. */
+  /** Runs the action as this process, or defers it to the end of a pause. Has no effect on a killed process. */
   run(action: () => void): void {
     if (!this.alive) return;
     if (this.paused) this.deferred.push(action);
     else this.runtime.currentHost.run(this, action);
   }
 
-  /** Ends the process: nothing of it runs any more, and its connections are reset. */
+  /** Kills the process. Its pending actions don't run, and its connections are reset. */
   kill(): void {
     this.alive = false;
     this.deferred = [];
     for (const action of this.onKilled.splice(0)) action();
   }
 
-  /** Pauses the process while its clocks continue. */
+  /** Pauses the process for `ms`. Its clocks continue. */
   freeze(ms: number): void {
     this.paused = true;
     this.runtime.clock.after(ms, () => {
--- a/src/test/sim/simulated-machines.ts
+++ b/src/test/sim/simulated-machines.ts
@@ -1,4 +1,4 @@
-/** The machines of a simulated leader: the cloud provider creates, lists and deletes them, and each runs a worker. */
+/** The machines in the simulation of one leader. A simulated cloud provider creates, lists and deletes them. */
 import { SimulatedWorker, type WorkerEnvironment } from './simulated-worker.js';
 import type { ScaleOutRequest } from '../../core/scaling/scale-out-plan.js';
 import type { ListedMachine, MachineInfo } from '../../core/machine-info.js';
@@ -9,7 +9,7 @@
 
 interface RunningMachine {
   worker: SimulatedWorker;
-  /** When it first appears in lists. */
+  /** The time at which the machine first appears in lists. */
   listedFrom: number;
   upSince: number;
 }
@@ -21,10 +21,10 @@
   sendHeartbeat: (worker: SimulatedWorker) => void;
 }
 
-/** The machines that are up, and what the cloud provider does with them. */
+/** The running machines, each with a worker, and the cloud provider's operations on them. */
 export class SimulatedMachines {
   readonly running = new Map<MachineId, RunningMachine>();
-  /** Machines that the provider still has of each type, if not without limit. */
+  /** Remaining capacity of the provider by machine type. A type without an entry is unlimited. */
   readonly capacity = new Map<string, number>();
   private lastOrdinal = 0;
   private readonly createdByRequest = new Map<string, MachineId[]>();
@@ -32,7 +32,7 @@
 
   constructor(private readonly dependencies: Dependencies) {}
 
-  /** Creates the machines of a request, which boot later; a repeated request gets the same ones. */
+  /** Creates the machines of a request, which boot later. A repeated request returns the same machines. */
   create(requestId: string, request: ScaleOutRequest): MachineId[] {
     const known = this.createdByRequest.get(requestId);
     if (known) return known;
@@ -40,9 +40,9 @@
     const { type, zone, spot, count } = request;
     const ids: MachineId[] = [];
     for (let i = 0; i < count; i++) {
-      const left = this.capacity.get(type) ?? Infinity;
-      if (left <= 0) break;
-      this.capacity.set(type, left - 1);
+      const remaining = this.capacity.get(type) ?? Infinity;
+      if (remaining <= 0) break;
+      this.capacity.set(type, remaining - 1);
       const id = `host-${String(this.lastOrdinal++).padStart(4, '0')}` as MachineId;
       const info = { id, endpoint: `10.0.0.1:${9000 + this.lastOrdinal}` as Endpoint, type, zone, spot };
       ids.push(id);
@@ -53,17 +53,17 @@
     return ids;
   }
 
-  /** The machine ends with its tasks, at the leader's request or not. */
+  /** Ends the machine and its tasks, at the leader's request or as a fault. */
   remove(id: MachineId): void {
     const worker = this.running.get(id)?.worker;
-    const left = worker ? this.capacity.get(worker.info.type) : undefined;
-    if (worker && left !== undefined) this.capacity.set(worker.info.type, left + 1);
+    const remaining = worker ? this.capacity.get(worker.info.type) : undefined;
+    if (worker && remaining !== undefined) this.capacity.set(worker.info.type, remaining + 1);
     this.removed.add(id);
     worker?.kill();
     this.running.delete(id);
   }
 
-  /** What the provider lists. */
+  /** The provider's list of machines. */
   list(): ListedMachine[] {
     const { now } = this.dependencies.environment.clock;
     return [...this.running.values()]
--- a/src/test/sim/simulated-network.ts
+++ b/src/test/sim/simulated-network.ts
@@ -1,38 +1,38 @@
 /**
- * The network between the hosts of a simulation, on virtual time. Each pair of hosts can have a fault of its own: packets
- * are held and arrive later in order, are lost, or connections are refused.
+ * The network between the hosts of a simulation, on virtual time. Each link between two hosts can have a fault: packets
+ * are held and arrive later in order, packets are lost, or connections are refused.
  */
 import type { Socket } from 'node:net';
 import type { SimulatedHost } from './simulated-host.js';
 import { SimulatedSocket } from './simulated-socket.js';
 import type { SimulationRuntime } from './simulation-runtime.js';
 
-/** Held packets arrive after the fault, lost ones never; `refuse` holds packets and refuses new connections. */
+/** `hold` delivers packets after the fault, `lose` drops them, `refuse` holds them and refuses new connections. */
 export type LinkFault = 'hold' | 'refuse' | 'lose';
 
 const LATENCY_MS = 1;
 const CONNECT_RETRY_MS = 500;
 
-/** The same for both directions. */
+/** The key of the link between two hosts, which is the same for both directions. */
 const linkKey = (a: string, b: string): string => (a < b ? `${a}|${b}` : `${b}|${a}`);
 
-const linksBetween = (some: string[], others: string[]): string[] =>
-  some.flatMap((a) => others.filter((b) => b !== a).map((b) => linkKey(a, b)));
+const linksBetween = (hosts: string[], others: string[]): string[] =>
+  hosts.flatMap((a) => others.filter((b) => b !== a).map((b) => linkKey(a, b)));
 
-/** Delivers packets between hosts, which are named by their addresses. */
+/** Delivers packets between hosts, which are identified by their IP addresses. */
 export class SimulatedNetwork {
   private readonly listeners = new Map<string, { host: SimulatedHost; accept: (socket: Socket) => void }>();
   private readonly faults = new Map<string, LinkFault>();
   private readonly held = new Map<string, (() => void)[]>();
   private readonly slowLatencyMs = new Map<string, number>();
-  /** When the last packet on its way from one host to another arrives: packets never overtake one another. */
+  /** Arrival time of the last packet in each direction of a link. Later packets don't overtake it. */
   private readonly lastArrival = new Map<string, number>();
 
   constructor(readonly runtime: SimulationRuntime) {}
 
-  /** A fault between each of some hosts and each of others; held packets arrive when it ends. */
-  injectFault(some: string[], others: string[], fault: LinkFault, forMs: number): void {
-    const links = linksBetween(some, others);
+  /** Injects a fault on the link between each of `hosts` and each of `others`. Held packets arrive when it ends. */
+  injectFault(hosts: string[], others: string[], fault: LinkFault, forMs: number): void {
+    const links = linksBetween(hosts, others);
     for (const link of links) this.faults.set(link, fault);
     this.runtime.clock.after(forMs, () => {
       for (const link of links) {
@@ -43,16 +43,16 @@
     });
   }
 
-  /** A longer latency between each of some hosts and each of others, drawn for each pair. */
-  addLatency(some: string[], others: string[], latencyMs: () => number, forMs: number): void {
-    const links = linksBetween(some, others);
+  /** Sets the latency of the link between each of `hosts` and each of `others`. `latencyMs` is called for each link. */
+  setLatency(hosts: string[], others: string[], latencyMs: () => number, forMs: number): void {
+    const links = linksBetween(hosts, others);
     for (const link of links) this.slowLatencyMs.set(link, latencyMs());
     this.runtime.clock.after(forMs, () => {
       for (const link of links) this.slowLatencyMs.delete(link);
     });
   }
 
-  /** Runs `arrive` when a packet sent now arrives, if it does. */
+  /** Sends a packet. Calls `arrive` at its arrival, or never if the packet is lost. */
   deliver(from: string, to: string, arrive: () => void): void {
     const link = linkKey(from, to);
     const fault = this.faults.get(link);
@@ -63,14 +63,14 @@
     } else if (fault !== 'lose') this.schedule(from, to, arrive);
   }
 
-  /** As `net.connect`, for a process of this host. */
+  /** Implements `net.connect` for a process of this host. */
   connect(host: SimulatedHost, { host: ip, port }: { host: string; port: number }): Socket {
     const local = new SimulatedSocket(this, host, ip);
     const attempt = (): void => {
       if (local.destroyed) return;
       const fault = this.faults.get(linkKey(host.ip, ip));
       const listener = this.listeners.get(`${ip}:${port}`);
-      // Behind a partition the attempt is repeated until the caller gives it up.
+      // During a partition the attempt is repeated until the caller destroys the socket.
       if (fault === 'hold' || fault === 'lose') this.runtime.clock.after(CONNECT_RETRY_MS, attempt);
       else if (fault === 'refuse' || !listener?.host.alive) local.fail('ECONNREFUSED');
       else {
@@ -85,7 +85,7 @@
     return local as unknown as Socket;
   }
 
-  /** As `net.createServer`, for a process of this host. */
+  /** Implements `net.createServer` for a process of this host. */
   createServer(host: SimulatedHost, accept: (socket: Socket) => void) {
     const server = {
       on: () => server,
--- a/src/test/sim/simulated-socket.ts
+++ b/src/test/sim/simulated-socket.ts
@@ -1,9 +1,9 @@
-/** One end of a connection on the simulated network, with what the controllers use of a `net.Socket`. */
+/** One end of a connection on the simulated network, with the part of `net.Socket` that the controllers use. */
 import { EventEmitter } from 'node:events';
 import type { SimulatedHost } from './simulated-host.js';
 import type { SimulatedNetwork } from './simulated-network.js';
 
-/** Buffers what is written before it is connected, and what arrives while it is paused. */
+/** Buffers bytes written before the connection is open and bytes received while the socket is paused. */
 export class SimulatedSocket extends EventEmitter {
   destroyed = false;
   private connected = false;
@@ -15,14 +15,14 @@
   constructor(
     private readonly network: SimulatedNetwork,
     readonly host: SimulatedHost,
-    /** Where the other end is. */
+    /** The IP address of the other end. */
     readonly remoteIp: string,
   ) {
     super();
     host.onKilled.push(() => this.onProcessKilled());
   }
 
-  /** Sends the bytes, or keeps them until it is connected. */
+  /** Sends the bytes, or buffers them until the connection is open. */
   write(bytes: Buffer): boolean {
     if (this.destroyed) return false;
     if (!this.connected) this.unsent.push(bytes);
@@ -30,14 +30,14 @@
     return true;
   }
 
-  /** Sends the last bytes, and closes the connection. */
+  /** Sends the last bytes and closes the connection. */
   end(bytes?: Buffer): void {
     if (bytes) this.write(bytes);
     this.sendToPeer((peer) => peer.onPeerClosed());
     this.close();
   }
 
-  /** Closes the connection at once. */
+  /** Closes the connection. */
   destroy(): this {
     if (this.destroyed) return this;
     if (this.connected) this.sendToPeer((peer) => peer.onPeerClosed());
@@ -45,14 +45,14 @@
     return this;
   }
 
-  /** The connection to this other end is open. */
+  /** Called when the connection to `peer`, the other end, is open. Sends the buffered bytes. */
   onConnected(peer: SimulatedSocket): void {
     this.connected = true;
     this.peer = peer;
     for (const bytes of this.unsent.splice(0)) this.write(bytes);
   }
 
-  /** Connecting has failed, or the connection was reset. */
+  /** Emits an error after a failed connection attempt or a reset, and closes the connection. */
   fail(code: string): void {
     this.host.run(() => {
       if (this.destroyed) return;
@@ -61,20 +61,20 @@
     });
   }
 
-  /** No `data` events until `resume`. */
+  /** Stops `data` events until `resume`. */
   pause(): this {
     this.paused = true;
     return this;
   }
 
-  /** Emits what has arrived meanwhile. */
+  /** Emits the bytes that were received while the socket was paused. */
   resume(): this {
     this.paused = false;
     if (this.unread.length > 0) this.network.runtime.clock.after(0, () => this.flush());
     return this;
   }
 
-  /** Puts bytes back in front of what has not been read. */
+  /** Puts bytes back in front of the unread bytes. */
   unshift(bytes: Buffer): void {
     this.unread.unshift(bytes);
   }
@@ -112,7 +112,7 @@
     this.host.run(() => this.close());
   }
 
-  /** The process is dead: the other end is told, nothing here is. */
+  /** Resets the connection at the other end. The killed process gets no event. */
   private onProcessKilled(): void {
     if (this.destroyed) return;
     this.destroyed = true;
--- a/src/test/sim/simulated-user.ts
+++ b/src/test/sim/simulated-user.ts
@@ -1,6 +1,6 @@
 /**
- * A simulated user of one job, implemented from the published protocol: submits the job, polls its status and may cancel
- * it. Each request goes to a random controller unless one is specified.
+ * A simulated user of one job, implemented from the published protocol: submits the job, polls its status and may
+ * cancel it. Requests and their retries go to random controllers.
  */
 import type { InvariantChecker } from './invariant-checker.js';
 import type { SimulatedHost } from './simulated-host.js';
@@ -154,7 +154,7 @@
     this.cancellationRequested = true;
     this.checker.onCancellationRequested(this.spec.id);
     for (let attempts = 0; attempts < MAX_CANCELLATION_ATTEMPTS; attempts++) {
-      // A 404 is a fault only if the job was accepted before the request: the acceptance may arrive before the response.
+      // A 404 is a violation only if the job was accepted before the request. The acceptance may overtake the response.
       const acceptedBefore = this.accepted;
       const response = await this.sendRequest('POST', `/v1/jobs/${this.spec.id}/abort`, {}, WRITE_TIMEOUT_MS);
       if (response?.status === 200) {
--- a/src/test/sim/simulated-worker-link.ts
+++ b/src/test/sim/simulated-worker-link.ts
@@ -1,4 +1,4 @@
-/** Heartbeats and direct commands between a simulated leader and its workers: delayed, lost, held back or duplicated. */
+/** Delivers heartbeats and direct commands between a leader and simulated workers, with delays, loss and duplicates. */
 import type { LeaderSimulation } from './leader-simulation.js';
 import type { SimulatedWorker } from './simulated-worker.js';
 import type { Effect, Leader } from '../../core/leader/leader.js';
@@ -6,24 +6,24 @@
 
 type DirectCommands = Extract<Effect, { kind: 'send-direct-commands' }>;
 
-/** How long each message takes. */
+/** Latency of each message. */
 export const NETWORK_LATENCY_MS = 5;
 const COMMAND_TIMEOUT_MS = 2500;
 const MIN_DUPLICATE_DELAY_MS = 1000;
-/** A duplicate arrives up to so many leases later. */
+/** Range of the random delay of a duplicate, in lease times. */
 const MAX_DUPLICATE_DELAY_LEASES = 4;
 
-/** What passes between the leader and the workers. */
+/** The link between the leader and the workers. Tests inject faults by setting its fields. */
 export class SimulatedWorkerLink {
   commandLossFraction = 0;
   holdCommands = false;
-  /** Fraction of heartbeats and of executed commands that arrive once more, much later. */
+  /** Fraction of heartbeats and of executed commands that arrive a second time, seconds later. */
   duplicateFraction = 0;
   private held: (() => void)[] = [];
 
   constructor(private readonly simulation: LeaderSimulation) {}
 
-  /** Sends direct commands, and the leader the outcome. */
+  /** Delivers direct commands to a worker and the result to the leader. */
   sendCommands(leader: Leader, effect: DirectCommands): void {
     const { clock, machines } = this.simulation;
     const worker = machines.running.get(effect.machine)?.worker;
@@ -42,7 +42,7 @@
       clock.after(NETWORK_LATENCY_MS, () => this.deliverCommands(leader, effect, worker, execute));
       return;
     }
-    // Held back by the network: the leader gives up, and the commands are perhaps delivered minutes later.
+    // The network holds the commands: the leader's request times out, and they may be delivered minutes later.
     if (!worker?.inboundPartitioned) this.held.push(() => worker?.alive && execute(worker));
     this.simulation.scheduleForLeader(leader, COMMAND_TIMEOUT_MS, () => {
       leader.onDirectCommandResult(
@@ -54,7 +54,7 @@
     });
   }
 
-  /** The network delivers the commands that it held back. */
+  /** Delivers the commands that the network has held. */
   deliverHeldCommands(): void {
     const { held } = this;
     this.held = [];
@@ -62,7 +62,7 @@
     for (const deliver of held) deliver();
   }
 
-  /** Sends a worker's heartbeat, and the worker the response. */
+  /** Delivers a worker's heartbeat to the leader and the response to the worker. */
   sendHeartbeat(worker: SimulatedWorker): void {
     const { simulation } = this;
     const heartbeat = worker.nextHeartbeat();
@@ -76,7 +76,7 @@
     simulation.clock.after(NETWORK_LATENCY_MS, () => {
       const { leader } = simulation;
       if (!leader) {
-        // Another controller renews the lease under the last token, without commands.
+        // Without a leader, another controller renews the lease under the last fencing token and sends no commands.
         simulation.clock.after(NETWORK_LATENCY_MS, () => respond(simulation.term, []));
         return;
       }
--- a/src/test/sim/simulated-worker.ts
+++ b/src/test/sim/simulated-worker.ts
@@ -92,7 +92,7 @@
     };
   }
 
-  /** Renews the lease and executes the commands of the response to a heartbeat sent at `sentAt`, unless it is outdated. */
+  /** Processes the response to a heartbeat sent at `sentAt`: renews the lease and executes the commands. */
   onHeartbeatResponse(fencingToken: number, commands: Command[], sentAt: number, incarnation: number): void {
     this.checkLease();
     if (
--- a/src/test/sim/written-bodies.ts
+++ b/src/test/sim/written-bodies.ts
@@ -1,4 +1,4 @@
-/** Bodies, paths and keys as the program writes them, each made of typed values: for `external-names.test.ts`. */
+/** Message bodies, paths and keys that the program produces from typed values, for `external-names.test.ts`. */
 import { jobSpec, types } from './fixtures.js';
 import { CancellationLog } from '../../core/cancellation-log.js';
 import type { JobRecord } from '../../core/job-spec.js';
@@ -25,8 +25,8 @@
 
 /** A value of any branded type. */
 const branded = (value: string | number) => value as never;
-/** An object of which the test needs only a part. */
-const standIn = <T>(part: Partial<T>): T => part as T;
+/** A partial object in place of a complete one. */
+const partial = <T>(part: Partial<T>): T => part as T;
 
 const jobId = jobSpec('wk-7').id;
 const [node, term, now, attempt] = [branded('stable-1'), branded(3), branded(100), branded(2 ** 33)];
@@ -38,7 +38,7 @@
   zone: types[0].zones[0],
   spot: true,
 };
-/** A job's record with a value in each field. */
+/** The record of a job with a value in each optional field, without dependencies and not cancelled. */
 export const plainRecord: JobRecord = {
   spec: jobSpec(jobId, { types: [machine.type], zone: machine.zone, deadlineS: 60 }),
   submittedAt: branded(1000),
@@ -79,26 +79,26 @@
 const statusPage = (waitReason: WaitReason): unknown => {
   const job = Object.assign(new Job(jobId, plainRecord, 1, false, now), { waitReason, predictedLateS: 5 });
   job.unfinishedDependencies.add(branded('wk-6'));
-  const state = new LeaderState({ term, keyRevision: 1 }, standIn({}), now);
+  const state = new LeaderState({ term, keyRevision: 1 }, partial({}), now);
   state.jobs.set(jobId, job);
   const page = new StatusPage({
-    peerStatus: standIn<StatusPageDependencies['peerStatus']>({ ownStatus: () => peerStatus }),
-    election: standIn<StatusPageDependencies['election']>({ authorityLeftMs: 900 }),
-    leadership: standIn<StatusPageDependencies['leadership']>({
-      leader: standIn<Leader>({ status: () => new LeaderSummary(state).status() }),
+    peerStatus: partial<StatusPageDependencies['peerStatus']>({ ownStatus: () => peerStatus }),
+    election: partial<StatusPageDependencies['election']>({ authorityLeftMs: 900 }),
+    leadership: partial<StatusPageDependencies['leadership']>({
+      leader: partial<Leader>({ status: () => new LeaderSummary(state).status() }),
     }),
-    admission: standIn<StatusPageDependencies['admission']>({ openRequests: 1, rejectedCount: 2 }),
-    cancellations: standIn<StatusPageDependencies['cancellations']>({ coverageAgeMs: () => 7 }),
+    admission: partial<StatusPageDependencies['admission']>({ openRequests: 1, rejectedCount: 2 }),
+    cancellations: partial<StatusPageDependencies['cancellations']>({ coverageAgeMs: () => 7 }),
     userLatency: new RequestLatency(),
     heartbeatLatency: new RequestLatency(),
   });
-  return decode(page.handle(standIn<HttpMessage>({ method: 'GET', target: '/queue' })).body!);
+  return decode(page.handle(partial<HttpMessage>({ method: 'GET', target: '/queue' })).body!);
 };
 
 /** The transaction that makes a controller the leader. */
 const leaderTransaction = async (): Promise<unknown> => {
   let body: unknown;
-  const client = standIn<KeyValueStoreClient>({
+  const client = partial<KeyValueStoreClient>({
     grantLease: () => Promise.resolve({ kind: 'ok', value: 2 ** 33 }),
     get: () => Promise.resolve({ kind: 'gone' }),
     transact: (transaction) => {
@@ -111,7 +111,7 @@
 };
 
 const { keys } = records;
-/** Each body by its name in the fixture. */
+/** The produced values by their names in `external-names.txt`. */
 export const writtenBodies: Record<string, unknown> = {
   'every type of CBOR': [{ a: 'b' }, 1, -1, 2.5, 2n ** 33n, true, null, Buffer.of(1, 2)],
   'user status': (['pending', 'running', 'done', 'cancelled'] as const).map((status) =>
