--- a/src/test/sim/cluster-setup.ts
+++ b/src/test/sim/cluster-setup.ts
@@ -43,7 +43,7 @@
   announcedKeyValueStoreLimits?: Partial<KeyValueStoreLimits>;
   /** Maximum number of open sockets of a controller. With a low limit, some direct commands are never sent. */
   socketLimit?: number;
-  /** The version that the controllers run at the start. Default: the present version. */
+  /** The version that the controllers run at the start. Default: the current version. */
   version?: ProgramVersion;
 }
 
@@ -53,7 +53,7 @@
   ip: string;
   platform: PlatformSettings;
   host: SimulatedHost;
-  /** The version that the controller runs. Null: the present version. */
+  /** The version that the controller runs. Null: the current version. */
   version: ProgramVersion | null;
 }
 
--- a/src/test/sim/cluster-simulation.ts
+++ b/src/test/sim/cluster-simulation.ts
@@ -181,7 +181,7 @@
     this.runtime.clock.after(afterMs, () => this.startController(controller));
   }
 
-  /** Kills a controller and starts it with the present version after `afterMs`. */
+  /** Kills a controller and starts it with the current version after `afterMs`. */
   upgrade(controller: ControllerProcess, afterMs: number): void {
     controller.version = null;
     this.restart(controller, afterMs);
@@ -195,7 +195,7 @@
     };
   }
 
-  /** Makes the key-value store refuse the requests of the present leader only. */
+  /** Makes the key-value store refuse the requests of the current leader only. */
   refuseLeader(forMs: number): void {
     if (this.leader) this.keyValueStore.refuseHost(this.leader.ip, forMs);
   }
--- a/src/test/sim/production-version.ts
+++ b/src/test/sim/production-version.ts
@@ -8,7 +8,7 @@
 import type { PlatformSettings } from '../../config/platform.js';
 
 const ROOT = fileURLToPath(new URL('../../..', import.meta.url));
-const BUILDS = join(ROOT, 'target', 'production');
+const PRODUCTION_BUILDS_DIRECTORY = join(ROOT, 'target', 'production');
 
 /** A version of the program, with the functions of it that the tests call. */
 export interface ProgramVersion {
@@ -49,7 +49,7 @@
 
 /** Builds the commit. Fails if the Git history lacks it, so that a test that needs it is never skipped. */
 const buildCommit = (commit: string): string => {
-  const buildDirectory = join(BUILDS, commit);
+  const buildDirectory = join(PRODUCTION_BUILDS_DIRECTORY, commit);
   if (existsSync(buildDirectory)) return buildDirectory;
   const temporaryDirectory = `${buildDirectory}.${process.pid}`;
   mkdirSync(temporaryDirectory, { recursive: true });
