--- a/src/test/sim/invariant-checker.ts
+++ b/src/test/sim/invariant-checker.ts
@@ -22,7 +22,7 @@
   startsAfterCancellation = 0;
   /** Called when the last task of a job has completed. */
   onJobCompleted: (job: JobId) => void = () => undefined;
-  private readonly places = new Set<TaskPlacement>();
+  private readonly placements = new Set<TaskPlacement>();
   private readonly cancelledAt = new Map<JobId, number>();
   private readonly cancellationsRequested = new Set<JobId>();
   private readonly completed = new Map<JobId, Set<number>>();
@@ -45,8 +45,8 @@
   onTaskStarted(machine: MachineInfo, job: JobId, index: number): TaskPlacement {
     this.startCount++;
     const spec = this.specs.get(job)!;
-    const others = [...this.places].filter((place) => place.job === job);
-    if (others.some((place) => place.index === index))
+    const others = [...this.placements].filter((placement) => placement.job === job);
+    if (others.some((placement) => placement.index === index))
       this.report('ran_twice', `${job}/${index} on ${machine.id}`);
     if (this.doneReportedAt.has(job) || this.acknowledged.get(job)?.has(index))
       this.report('ran_twice', `${job}/${index} on ${machine.id} again after it was done`);
@@ -58,17 +58,17 @@
     const firstStarts = this.firstStarts.get(job) ?? new Map<number, number>();
     if (!firstStarts.has(index)) firstStarts.set(index, this.now());
     this.firstStarts.set(job, firstStarts);
-    const place = { machine, job, index };
-    this.places.add(place);
+    const placement = { machine, job, index };
+    this.placements.add(placement);
     this.checkQuota(spec);
     if (this.cancelledAt.has(job)) this.startsAfterCancellation++;
     if (this.isOverdue(this.cancelledAt.get(job))) this.report('ran_cancelled', `${job}/${index} started`);
-    return place;
+    return placement;
   }
 
   /** Called when a task no longer occupies its machine. */
-  onTaskEnded(place: TaskPlacement | null): void {
-    if (place) this.places.delete(place);
+  onTaskEnded(placement: TaskPlacement | null): void {
+    if (placement) this.placements.delete(placement);
   }
 
   /** Called when a task has run to completion. */
@@ -107,7 +107,9 @@
 
   /** The ids of the machines on which tasks of the job run. */
   machineIdsOf(job: JobId): string[] {
-    return [...this.places].filter((place) => place.job === job).map((place) => place.machine.id);
+    return [...this.placements]
+      .filter((placement) => placement.job === job)
+      .map((placement) => placement.machine.id);
   }
 
   /** Reports an accepted job whose requests get no response, or a response as if it had never been accepted. */
@@ -203,7 +205,7 @@
 
   /** Checks that no task of a cancelled or done job is still running after `cancelS`. Called at a fixed interval. */
   checkPeriodically(): void {
-    for (const { job, index, machine } of this.places) {
+    for (const { job, index, machine } of this.placements) {
       if (this.isOverdue(this.doneReportedAt.get(job)))
         this.report('orphaned', `${job}/${index} on ${machine.id} although its job is done`);
       if (this.isOverdue(this.cancelledAt.get(job)))
@@ -221,12 +223,12 @@
     if (spec.types !== null && !spec.types.includes(machine.type)) this.report('wrong_place', `${id} type`);
     if (spec.zone !== null && spec.zone !== machine.zone) this.report('wrong_place', `${id} zone`);
     if (!spec.spot && machine.spot) this.report('wrong_place', `${id} spot`);
-    if (spec.oneZone && others.some((place) => place.machine.zone !== machine.zone))
+    if (spec.oneZone && others.some((placement) => placement.machine.zone !== machine.zone))
       this.report('wrong_place', `${id} in two zones`);
   }
 
   private checkSpread(spec: JobSpec, machine: MachineInfo, others: TaskPlacement[]): void {
-    const inZone = others.filter((place) => place.machine.zone === machine.zone).length + 1;
+    const inZone = others.filter((placement) => placement.machine.zone === machine.zone).length + 1;
     if (spec.spread && inZone > Math.ceil(spec.tasks / 2))
       this.report('wrong_place', `${spec.id} not spread`);
   }
@@ -235,8 +237,8 @@
     const team = this.teams.find((t) => t.name === spec.team)!;
     let gpus = 0;
     let cpus = 0;
-    for (const place of this.places) {
-      const other = this.specs.get(place.job)!;
+    for (const placement of this.placements) {
+      const other = this.specs.get(placement.job)!;
       if (other.team !== spec.team) continue;
       gpus += other.gpus;
       cpus += other.cpus;
--- a/src/test/sim/leader-scenarios.ts
+++ b/src/test/sim/leader-scenarios.ts
@@ -52,7 +52,7 @@
 /** Faults by name. Tests derive the seed of a pair of faults from the order of the entries. */
 export const leaderFaults: Record<string, LeaderFault> = {
   'leader crashes': (simulation) => simulation.crashLeader(3000),
-  'leader crashes, successor without delay': (simulation) => simulation.crashLeader(100),
+  'leader crashes, successor after 100 ms': (simulation) => simulation.crashLeader(100),
   'key-value store outage': (simulation) => {
     simulation.keyValueStoreUnavailable = true;
     simulation.clock.after(20_000, () => (simulation.keyValueStoreUnavailable = false));
@@ -96,7 +96,7 @@
     simulation.link.duplicateFraction = 0.3;
     simulation.clock.after(minutes(3), () => (simulation.link.duplicateFraction = 0));
   },
-  'leader crashes repeatedly, successors without delay': (simulation) => {
+  'leader crashes repeatedly, successors after 60 ms': (simulation) => {
     for (const ms of [0, 150, 400, 900, 4000]) simulation.clock.after(ms, () => simulation.crashLeader(60));
   },
   'a machine fails every task': (simulation) => {
