--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -302,7 +302,7 @@
       });
       scenario.cluster.at(
         CHECKED_MS,
-        () => (running = guaranteedJob.flatMap((id) => scenario.cluster.checker.machinesOf(id)).length),
+        () => (running = guaranteedJob.flatMap((id) => scenario.cluster.checker.machineIdsOf(id)).length),
       );
     },
   );
--- a/src/test/in-flight-starts.test.ts
+++ b/src/test/in-flight-starts.test.ts
@@ -1,7 +1,7 @@
 /** Starts in flight: the leader must keep the placement of a task while a start command for it may still arrive. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FETCH_MS, LeaderHarness, startsJob } from './sim/leader-harness.js';
+import { FETCH_MS, LeaderHarness, containsStartOf } from './sim/leader-harness.js';
 
 const LONG_MS = 60_000;
 const SHORT_MS = 1000;
@@ -16,7 +16,7 @@
   const second = harness.submit('wk-2', { cpus: 0, gpus: 1, types: null });
   harness.tick();
   const delayedResponse = harness.sendHeartbeat(worker);
-  assert.ok(startsJob(direct.commands, first) && startsJob(delayedResponse.commands, second));
+  assert.ok(containsStartOf(direct.commands, first) && containsStartOf(delayedResponse.commands, second));
   return { harness, worker, direct, delayedResponse, second };
 };
 
@@ -41,7 +41,7 @@
   harness.exchangeHeartbeat(other);
   harness.advance(FETCH_MS);
   assert.deepEqual(harness.checker.violations, []);
-  assert.deepEqual(harness.checker.machinesOf(second), [other.info.id]);
+  assert.deepEqual(harness.checker.machineIdsOf(second), [other.info.id]);
 });
 
 test('the placement of a cancelled task is kept while its start may still arrive', () => {
@@ -67,7 +67,7 @@
   harness.onCommandsUnanswered(lateCommands);
   harness.submit('wk-2');
   const unsentCommands = harness.tickWithCommands(worker);
-  assert.ok(startsJob(lateCommands.commands, job) && startsJob(unsentCommands.commands, job));
+  assert.ok(containsStartOf(lateCommands.commands, job) && containsStartOf(unsentCommands.commands, job));
   harness.onCommandsUnsent(unsentCommands);
   harness.exchangeHeartbeat(worker);
   for (let i = 0; i < 2; i++) {
--- a/src/test/sim/leader-scenarios.ts
+++ b/src/test/sim/leader-scenarios.ts
@@ -1,12 +1,12 @@
-/** Workloads and single faults for the simulation of one leader. */
+/** Workloads and faults for the simulation of one leader. */
 import { jobSpec } from './fixtures.js';
 import { LeaderSimulation } from './leader-simulation.js';
 import type { JobId, Team } from '../../core/units.js';
 
-/** So many minutes in milliseconds. */
+/** Converts minutes to milliseconds. */
 export const minutes = (count: number): number => count * 60_000;
 
-/** Every kind of job, submitted over eight minutes; some are cancelled. */
+/** A simulation in which jobs of every kind are submitted over eight minutes and some are cancelled. */
 export const busySimulation = (seed: number): LeaderSimulation => {
   const simulation = new LeaderSimulation(seed);
   for (let i = 0; i < 24; i++) {
@@ -41,7 +41,7 @@
   else simulation.cancel(id);
 };
 
-/** Injects a fault at the present time. */
+/** Injects a fault at the current time. */
 export type LeaderFault = (simulation: LeaderSimulation) => void;
 
 const randomWorkers = (simulation: LeaderSimulation, fraction: number) =>
@@ -49,10 +49,10 @@
     .filter(() => simulation.random() < fraction)
     .map((running) => running.worker);
 
-/** Faults by name; the order of the entries belongs to the seeds of the pairs. */
+/** Faults by name. Tests derive the seed of a pair of faults from the order of the entries. */
 export const leaderFaults: Record<string, LeaderFault> = {
   'leader crashes': (simulation) => simulation.crashLeader(3000),
-  'leader crashes and is back at once': (simulation) => simulation.crashLeader(100),
+  'leader crashes, successor after 100 ms': (simulation) => simulation.crashLeader(100),
   'key-value store outage': (simulation) => {
     simulation.keyValueStoreUnavailable = true;
     simulation.clock.after(20_000, () => (simulation.keyValueStoreUnavailable = false));
@@ -96,7 +96,7 @@
     simulation.link.duplicateFraction = 0.3;
     simulation.clock.after(minutes(3), () => (simulation.link.duplicateFraction = 0));
   },
-  'leaders crash again and again, back at once': (simulation) => {
+  'leader crashes repeatedly, successors after 60 ms': (simulation) => {
     for (const ms of [0, 150, 400, 900, 4000]) simulation.clock.after(ms, () => simulation.crashLeader(60));
   },
   'a machine fails every task': (simulation) => {
@@ -104,7 +104,10 @@
   },
 };
 
-/** A whole machine for each of two tasks, behind a stream of small work of higher priority that never ends. */
+/**
+ * Runs a simulation in which a gang needs two whole machines while small jobs of a higher priority are submitted every
+ * four seconds until minute seven.
+ */
 export const crowdedSimulation = (
   createLeader?: ConstructorParameters<typeof LeaderSimulation>[1],
 ): LeaderSimulation => {
@@ -123,8 +126,17 @@
       }),
     );
   });
-  const whole = { kind: 'gang', tasks: 2, gpus: 8, cpus: 60, memoryGb: 400, oneZone: true } as const;
-  simulation.clock.after(minutes(2), () => simulation.submit(jobSpec('wk-1', { class: 'whole', ...whole })));
+  const wholeMachineGang = {
+    kind: 'gang',
+    tasks: 2,
+    gpus: 8,
+    cpus: 60,
+    memoryGb: 400,
+    oneZone: true,
+  } as const;
+  simulation.clock.after(minutes(2), () =>
+    simulation.submit(jobSpec('wk-1', { class: 'whole', ...wholeMachineGang })),
+  );
   simulation.clock.after(minutes(2), () =>
     simulation.submit(jobSpec('wk-2', { class: 'wide', tasks: 30, priority: 'low', imageGb: 1 })),
   );
--- a/src/test/upgrade.test.ts
+++ b/src/test/upgrade.test.ts
@@ -67,7 +67,7 @@
 const upgradeThenLowerLimits = (scenario: Scenario): void => {
   for (const [i, controller] of scenario.cluster.controllers.entries())
     scenario.cluster.at(ROLL_MS + i * INTERVAL_MS, () => scenario.cluster.upgrade(controller, 4000));
-  scenario.cluster.at(LOWERED_MS, () => scenario.cluster.lowerLimits());
+  scenario.cluster.at(LOWERED_MS, () => scenario.cluster.applyAnnouncedLimits());
   scenario.cluster.at(LOWERED_MS + 5000, () => submitPipelines(scenario, 3));
 };
 
--- a/src/test/zone-partition.test.ts
+++ b/src/test/zone-partition.test.ts
@@ -50,7 +50,7 @@
       SUBMITTED_AT_MS,
       () => (farZoneJob = scenario.submit({ tasks: 4, zone: far as Zone }, 120_000)),
     );
-    cluster.at(RUNNING_AT_MS, () => (running = cluster.checker.machinesOf(farZoneJob).length));
+    cluster.at(RUNNING_AT_MS, () => (running = cluster.checker.machineIdsOf(farZoneJob).length));
     cluster.at(FENCED_AT_MS, () => {
       fenced = [...cluster.cloudProvider.deletedAt.values()].filter((at) => at > PARTITIONED_AT_MS).length;
     });
