--- a/src/test/decision-log.test.ts
+++ b/src/test/decision-log.test.ts
@@ -1,4 +1,4 @@
-/** Log entries from which an operator can follow each attempt of a task. */
+/** Log entries from which an operator can follow each attempt of a task, and the cause of its end. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FETCH_MS, LeaderHarness } from './sim/leader-harness.js';
--- a/src/test/external-names.test.ts
+++ b/src/test/external-names.test.ts
@@ -1,7 +1,7 @@
 /**
  * The names that leave the process: bodies, paths, stored records, the status page and settings, compared with the texts
- * in `external-names.txt`. Workers, operators' tools and other versions read them. Guards against a renamed field that is
- * written out under its own name: the compiler accepts the rename, and typed values in other tests follow it.
+ * in `external-names.txt`. Workers, operators' tools and other versions read these names. Guards against renaming a field
+ * that is written out under its own name: the compiler accepts the rename, and typed values in other tests are renamed too.
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
--- a/src/test/fault-combinations-leader.test.ts
+++ b/src/test/fault-combinations-leader.test.ts
@@ -19,7 +19,7 @@
         scenario.submit({ kind: 'gang', tasks: 2 + (i % 2) }, 30_000 + 2000 * i);
       }
     });
-    // Some tasks end just before the failover and others later, because some machines hang for 6 s.
+    // Some tasks end at about the time of a failover, others later. Machines that hang send no heartbeats for a while.
     for (const atMs of [44_000, 52_000]) {
       scenario.cluster.at(atMs - 1000, () => {
         for (const workerHost of workerHosts(scenario)) if (scenario.random() < 0.4) workerHost.hang(6000);
--- a/src/test/fault-combinations.test.ts
+++ b/src/test/fault-combinations.test.ts
@@ -80,7 +80,7 @@
 test('heartbeats are delayed until there is a new leader, and old ones arrive after newer ones', () =>
   assertScenarioPasses({ faultsEndMs: 130_000, endMs: 330_000 }, (scenario) => {
     const jobs = startMixedWork(scenario);
-    // Work starts and ends, so that an old heartbeat differs from the newest.
+    // Tasks start and end continually, so that an old heartbeat differs from the newest one.
     for (let i = 0; i < 40; i++)
       scenario.cluster.at(WORK_STARTS_AT_MS + i * 2000, () =>
         scenario.submit({ tasks: 1 + (i % 2), checkpointS: 0 }, 9000 + 200 * i),
--- a/src/test/in-flight-starts.test.ts
+++ b/src/test/in-flight-starts.test.ts
@@ -12,7 +12,7 @@
   const first = harness.submit('wk-1', { cpus: 64 });
   const worker = harness.workers[0];
   const direct = harness.tickWithCommands(worker);
-  // Placed while the direct command is in flight: its start goes with the response to the next heartbeat.
+  // This task is placed while the direct command is in flight, so the response to the next heartbeat contains its start.
   const second = harness.submit('wk-2', { cpus: 0, gpus: 1, types: null });
   harness.tick();
   const delayedResponse = harness.sendHeartbeat(worker);
--- a/src/test/mutations-safeguards.test.ts
+++ b/src/test/mutations-safeguards.test.ts
@@ -1,4 +1,4 @@
-/** Mutation tests of the fault combinations: without a safeguard, a scenario must violate the corresponding invariant. */
+/** Mutation tests of the fault combinations: without a safeguard, the scenario that needs it must violate its invariant. */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 import { FAULTS_AT_MS, cancelAtTeamLimit, cancelWhileMachinesHang } from './sim/cancellation-scenarios.js';
@@ -81,7 +81,7 @@
   await assertViolates('quota', cancelAtTeamLimit);
 });
 
-test('mutation: controllers do not know finished jobs', async (t: TestContext) => {
+test('mutation: controllers accept jobs and report every job as unknown', async (t: TestContext) => {
   t.mock.method(UserApi.prototype, 'handle', (request: { method: string }) =>
     Promise.resolve(request.method === 'POST' ? { status: 201, body: Buffer.from([0xa0]) } : { status: 404 }),
   );
