--- a/src/test/in-flight-starts.test.ts
+++ b/src/test/in-flight-starts.test.ts
@@ -64,11 +64,11 @@
   // There is no capacity for its second task, so the job continues when the first has completed.
   const job = harness.submit('wk-1', { tasks: 2, gpus: 5 });
   const late = harness.tickWithCommands(worker);
-  harness.onCommandsUnanswered(late);
+  harness.onCommandsWithoutResponse(late);
   harness.submit('wk-2');
   const repeated = harness.tickWithCommands(worker);
   assert.ok(containsStartOf(late.commands, job) && containsStartOf(repeated.commands, job));
-  harness.onCommandsUnsent(repeated);
+  harness.onCommandsNotSent(repeated);
   harness.exchangeHeartbeat(worker);
   for (let i = 0; i < 2; i++) {
     harness.advance(FETCH_MS + SHORT_MS);
--- a/src/test/sim/hung-machine-scenarios.ts
+++ b/src/test/sim/hung-machine-scenarios.ts
@@ -21,7 +21,7 @@
 export type HungMachineSelection = (scenario: Scenario, cancelled: JobId) => WorkerHost[];
 
 /**
- * Selects enough machines that the leader delays declaring them lost, but less than half of a zone's machines.
+ * Selects enough machines that the leader delays fencing them, but less than half of a zone's machines.
  */
 export const machinesInEachZone: HungMachineSelection = (scenario, cancelled) => {
   const hung = new Set(scenario.cluster.machinesOf(cancelled));
@@ -39,7 +39,7 @@
   ...workerHosts(scenario).slice(0, HALF_ZONE_MACHINE_COUNT),
 ];
 
-/** Machines hang with a cancelled task. The leader fails, and its successor fails before it has declared them lost. */
+/** Machines hang with a cancelled task. The leader fails, and its successor fails before it has fenced them. */
 const leadersFailWhileMachinesHang =
   (secondMs: number, select: HungMachineSelection): ScenarioScript =>
   (scenario) => {
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -187,12 +187,12 @@
   }
 
   /** Delivers the result that the commands got no response to the leader. */
-  onCommandsUnanswered(sent: DirectCommands): void {
+  onCommandsWithoutResponse(sent: DirectCommands): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unknown' }, this.now);
   }
 
   /** Delivers the result that the commands were never sent to the leader. */
-  onCommandsUnsent(sent: DirectCommands): void {
+  onCommandsNotSent(sent: DirectCommands): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unsent' }, this.now);
   }
 
