--- a/src/test/external-names.test.ts
+++ b/src/test/external-names.test.ts
@@ -9,7 +9,7 @@
 import { fileURLToPath } from 'node:url';
 import { stringify } from 'smol-toml';
 import { types } from './sim/fixtures.js';
-import { dependentRecord, plainRecord, writtenBodies } from './sim/written-bodies.js';
+import { dependentRecord, plainRecord, producedValues } from './sim/written-bodies.js';
 import { parseOperatorSettings } from '../config/operator.js';
 import { parsePlatformSettings } from '../config/platform.js';
 import { parseCancellationLogPage, parseCancellationLogPosition } from '../wire/cancellation-pages.js';
@@ -66,7 +66,7 @@
 };
 
 test('writtenBodies data has the names, the order and the encoding of the fixture', () => {
-  for (const [name, body] of Object.entries(writtenBodies)) {
+  for (const [name, body] of Object.entries(producedValues)) {
     const text = textOf(`written ${name}`);
     assert.equal(toText(body), text, name);
     assert.equal(encode(body).toString('hex'), encode(fromText(text)).toString('hex'), name);
@@ -75,7 +75,7 @@
 
 test('CBOR: each type of value is encoded to the expected bytes', () => {
   const hex = '88a1616161620120fb40040000000000001b0000000200000000f5f6420102';
-  assert.equal(encode(writtenBodies['every type of CBOR']).toString('hex'), hex);
+  assert.equal(encode(producedValues['every type of CBOR']).toString('hex'), hex);
 });
 
 test('received data is read by the names of the fixture', () => {
@@ -94,7 +94,7 @@
 
 test('every line of the fixture belongs to a check', () => {
   const checked = [
-    ...Object.keys(writtenBodies).map((name) => `written ${name}`),
+    ...Object.keys(producedValues).map((name) => `written ${name}`),
     ...Object.keys(readers).flatMap((name) => [`received ${name}`, `values ${name}`]),
   ];
   assert.deepEqual([...fixture.keys()].sort(), checked.sort());
--- a/src/test/sim/hung-machine-scenarios.ts
+++ b/src/test/sim/hung-machine-scenarios.ts
@@ -18,24 +18,26 @@
 const largeClusterTimings = { workers: { heartbeatIntervalS: 3, leaseS: 17, cancelS: 42 } };
 
 /** Selects the machines that hang, including those that run the cancelled job. */
-export type HungMachineSelection = (scenario: Scenario, cancelled: JobId) => WorkerHost[];
+export type HungMachineSelection = (scenario: Scenario, cancelledJob: JobId) => WorkerHost[];
 
 /**
  * Selects enough machines that the leader delays fencing them, but less than half of a zone's machines.
  */
-export const machinesInEachZone: HungMachineSelection = (scenario, cancelled) => {
-  const hung = new Set(scenario.cluster.machinesOf(cancelled));
+export const machinesInEachZone: HungMachineSelection = (scenario, cancelledJob) => {
+  const machinesToHang = new Set(scenario.cluster.machinesOf(cancelledJob));
   for (const zone of ['east', 'west']) {
-    const inZone = workerHosts(scenario).filter((worker) => worker.info.zone === zone);
-    const missing = HUNG_MACHINES_PER_ZONE - inZone.filter((worker) => hung.has(worker)).length;
-    for (const worker of inZone.filter((each) => !hung.has(each)).slice(0, missing)) hung.add(worker);
+    const zoneWorkers = workerHosts(scenario).filter((worker) => worker.info.zone === zone);
+    const missing =
+      HUNG_MACHINES_PER_ZONE - zoneWorkers.filter((worker) => machinesToHang.has(worker)).length;
+    for (const worker of zoneWorkers.filter((each) => !machinesToHang.has(each)).slice(0, missing))
+      machinesToHang.add(worker);
   }
-  return [...hung];
+  return [...machinesToHang];
 };
 
 /** Selects half of a zone's machines, as in a partition. The other half stays reachable. */
-export const halfOfOneZone: HungMachineSelection = (scenario, cancelled) => [
-  ...scenario.cluster.machinesOf(cancelled),
+export const halfOfOneZone: HungMachineSelection = (scenario, cancelledJob) => [
+  ...scenario.cluster.machinesOf(cancelledJob),
   ...workerHosts(scenario).slice(0, HALF_ZONE_MACHINE_COUNT),
 ];
 
--- a/src/test/sim/invariant-checker.ts
+++ b/src/test/sim/invariant-checker.ts
@@ -171,20 +171,21 @@
   }
 
   /**
-   * Checks the accepted jobs that were not cancelled at the end of a run: each one ran, at least half of the tasks of
-   * each class and of each team were started, and the largest jobs of each class started within the limit.
+   * Called at the end of a run. Of the accepted jobs that were not cancelled and depend on no cancelled job, checks that
+   * each one ran, that at least half of the tasks of each class and of each team were started, and that the largest jobs
+   * of each class started within MAX_LARGEST_JOB_START_DELAY_MS.
    */
   checkAtEnd(): void {
     const groups = new Map<string, { tasks: number; started: number }>();
     const largest = new Map<string, number>();
-    const cancelled = (id: JobId): boolean =>
+    const isCancelled = (id: JobId): boolean =>
       [id, ...this.ancestors(id)].some((each) => this.cancelledAt.has(each));
-    const notCancelled = [...this.acceptedAt].filter(([id]) => !cancelled(id));
-    for (const [id] of notCancelled) {
+    const uncancelledJobs = [...this.acceptedAt].filter(([id]) => !isCancelled(id));
+    for (const [id] of uncancelledJobs) {
       const spec = this.specs.get(id)!;
       largest.set(spec.class, Math.max(largest.get(spec.class) ?? 0, spec.tasks));
     }
-    for (const [id, acceptedAt] of notCancelled) {
+    for (const [id, acceptedAt] of uncancelledJobs) {
       const spec = this.specs.get(id)!;
       const firstStarts = this.firstStarts.get(id) ?? new Map<number, number>();
       if (firstStarts.size === 0) this.report('forgotten', `${id} never ran`);
@@ -228,8 +229,8 @@
   }
 
   private checkSpread(spec: JobSpec, machine: MachineInfo, others: TaskPlacement[]): void {
-    const inZone = others.filter((placement) => placement.machine.zone === machine.zone).length + 1;
-    if (spec.spread && inZone > Math.ceil(spec.tasks / 2))
+    const tasksInZone = others.filter((placement) => placement.machine.zone === machine.zone).length + 1;
+    if (spec.spread && tasksInZone > Math.ceil(spec.tasks / 2))
       this.report('wrong_place', `${spec.id} not spread`);
   }
 
@@ -238,10 +239,10 @@
     let gpus = 0;
     let cpus = 0;
     for (const placement of this.placements) {
-      const other = this.specs.get(placement.job)!;
-      if (other.team !== spec.team) continue;
-      gpus += other.gpus;
-      cpus += other.cpus;
+      const placedSpec = this.specs.get(placement.job)!;
+      if (placedSpec.team !== spec.team) continue;
+      gpus += placedSpec.gpus;
+      cpus += placedSpec.cpus;
     }
     const exceeds = (used: number, max: number): boolean => max > 0 && used > max + QUOTA_TOLERANCE;
     if (exceeds(gpus, team.maxGpus) || exceeds(cpus, team.maxCpus)) this.report('quota', spec.team);
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -96,7 +96,10 @@
     return this.clock.now as MonotonicTime;
   }
 
-  /** Registers all machines with the leader: listed, reconciled under its fencing token, and in the stored registry. */
+  /**
+   * Registers all machines with the leader: delivers the provider's machine list, sends two heartbeats of each worker, so
+   * that it is reconciled under the leader's fencing token, and confirms the registry writes.
+   */
   private registerMachines(): void {
     const listed = this.workers.map(({ info }) => ({ ...info, status: 'running' as const, ageS: 60 }));
     this.leader.onMachineList(listed, this.now);
--- a/src/test/sim/leader-simulation.ts
+++ b/src/test/sim/leader-simulation.ts
@@ -123,7 +123,7 @@
     this.addTraceLine(`user cancels ${id}`);
   }
 
-  /** Starts a new leader from the contents of the key-value store. Its predecessor is dropped without notice. */
+  /** Starts a new leader from the contents of the key-value store. The previous one is not notified. */
   electLeader(): void {
     this.term++;
     const leader = this.createLeader(
--- a/src/test/sim/pipeline-scenarios.ts
+++ b/src/test/sim/pipeline-scenarios.ts
@@ -35,8 +35,8 @@
     });
 };
 
-/** Time after a cancellation request at which its response has arrived but the leader has not written anything. */
-const BEFORE_LEADER_WRITES_MS = 18;
+/** Time from a cancellation to the outage. The user has the response by then, but the leader has written nothing yet. */
+const CANCELLATION_TO_OUTAGE_MS = 18;
 
 /** The first job is cancelled directly before an outage. After the outage, all users query all controllers. */
 export const cancelBeforeOutage =
@@ -45,7 +45,7 @@
     let jobs: JobId[] = [];
     scenario.cluster.at(WORK_STARTS_AT_MS, () => (jobs = submitDiamondPipeline(scenario, 90_000)));
     scenario.cluster.at(atMs, () => scenario.cluster.cancel(jobs[0]));
-    scenario.cluster.at(atMs + BEFORE_LEADER_WRITES_MS, () =>
+    scenario.cluster.at(atMs + CANCELLATION_TO_OUTAGE_MS, () =>
       scenario.cluster.keyValueStore.startOutage(outageMs),
     );
     for (let i = 0; i < 50; i++)
--- a/src/test/sim/production-version.ts
+++ b/src/test/sim/production-version.ts
@@ -1,4 +1,4 @@
-/** Builds the version in production from the Git history, so that one cluster can run controllers of both versions. */
+/** Builds the version in production from the Git history, so that a cluster can run it together with the current one. */
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, renameSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
@@ -13,7 +13,7 @@
 /** A version of the program, with the functions of it that the tests call. */
 export interface ProgramVersion {
   /** Starts a controller of that version, with the settings under the names that it expects. */
-  startController: (platform: PlatformSettings, operator: unknown) => void;
+  startController: (platform: PlatformSettings, operatorSettings: unknown) => void;
   /** Parses a job's record in that version. */
   parseJobRecord: (raw: unknown) => unknown;
   /** The parsers of that version for the other stored records. They return null for a malformed record. */
@@ -91,7 +91,7 @@
   limits: { cpu: number; memoryMb: number; sockets: number };
 }
 
-const productionSettings = (settings: PlatformSettings): ProductionSettings => {
+const toProductionVersionSettings = (settings: PlatformSettings): ProductionSettings => {
   const { leaseS, gangWaitS, gangMemberLossTimeoutS: gangPeerS, cancelS } = settings.workers;
   const { keyValueStoreLimits: storeLimits, cloudProviderLimits: cloudLimits, processLimits } = settings;
   return {
@@ -137,12 +137,15 @@
   const { checkOperator } = await load('config/operator.js');
   const records = (await load('wire/state.js')) as unknown as Pick<ProgramVersion, RecordParser>;
   const { parsePeerRequest } = await load('wire/peer-messages.js');
-  const Constructor = Controller as new (settings: unknown, operator: unknown) => { start: () => void };
+  const Constructor = Controller as new (
+    settings: unknown,
+    operatorSettings: unknown,
+  ) => { start: () => void };
   return {
-    startController: (platform, operator) =>
+    startController: (platform, operatorSettings) =>
       new Constructor(
-        productionSettings(platform),
-        (checkOperator as (raw: unknown) => unknown)(operator),
+        toProductionVersionSettings(platform),
+        (checkOperator as (raw: unknown) => unknown)(operatorSettings),
       ).start(),
     parseJobRecord: records.parseJobRecord,
     parseFinal: records.parseFinal,
--- a/src/test/sim/simulated-key-value-store.ts
+++ b/src/test/sim/simulated-key-value-store.ts
@@ -26,7 +26,7 @@
 const LEASE_CHECK_INTERVAL_MS = 50;
 const MAX_PAGE_ITEMS = 1000;
 const MAX_CONDITIONS_PER_OPERATION = 4;
-/** A delayed transaction is executed after the minimum delay plus a random part of the range. */
+/** The delay of a delayed transaction is uniformly distributed from the minimum to the minimum plus the range. */
 const MIN_TRANSACTION_DELAY_MS = 2000;
 const TRANSACTION_DELAY_RANGE_MS = 10_000;
 /** Interval at which an open watch is checked while responses to its host are unavailable. */
--- a/src/test/sim/simulated-worker.ts
+++ b/src/test/sim/simulated-worker.ts
@@ -46,7 +46,7 @@
 /** The worker of one machine, with its tasks, lease and incarnation. */
 export class SimulatedWorker {
   incarnation = 1;
-  private sequence = 0;
+  private heartbeatSequence = 0;
   fencingToken = 0;
   alive = true;
   /** No message passes between the worker and the leader. Unlike on a hung machine, tasks continue to run. */
@@ -83,7 +83,7 @@
     return {
       ...this.info,
       incarnation: this.incarnation,
-      sequence: ++this.sequence,
+      sequence: ++this.heartbeatSequence,
       fencingToken: this.fencingToken,
       interruptionNoticeS: this.interruptionNoticeS,
       tasks: [...this.tasks.values()].map(({ job, index, attempt, state, cause, saved }) => {
--- a/src/test/sim/written-bodies.ts
+++ b/src/test/sim/written-bodies.ts
@@ -112,7 +112,7 @@
 
 const { keys } = records;
 /** The produced values by their names in `external-names.txt`. */
-export const writtenBodies: Record<string, unknown> = {
+export const producedValues: Record<string, unknown> = {
   'every type of CBOR': [{ a: 'b' }, 1, -1, 2.5, 2n ** 33n, true, null, Buffer.of(1, 2)],
   'user status': (['pending', 'running', 'done', 'cancelled'] as const).map((status) =>
     statusBody(jobId, status),
