--- a/src/test/in-flight-starts.test.ts
+++ b/src/test/in-flight-starts.test.ts
@@ -64,11 +64,11 @@
   // There is no capacity for the second task, so the job is still unfinished when the first task has completed.
   const job = harness.submit('wk-1', { tasks: 2, gpus: 5 });
   const lateCommands = harness.tickWithCommands(worker);
-  harness.onCommandsUnanswered(lateCommands);
+  harness.onCommandsWithoutResponse(lateCommands);
   harness.submit('wk-2');
   const unsentCommands = harness.tickWithCommands(worker);
   assert.ok(containsStartOf(lateCommands.commands, job) && containsStartOf(unsentCommands.commands, job));
-  harness.onCommandsUnsent(unsentCommands);
+  harness.onCommandsNotSent(unsentCommands);
   harness.exchangeHeartbeat(worker);
   for (let i = 0; i < 2; i++) {
     harness.advance(FETCH_MS + SHORT_MS);
--- a/src/test/sim/leader-harness.ts
+++ b/src/test/sim/leader-harness.ts
@@ -96,7 +96,10 @@
     return this.clock.now as MonotonicTime;
   }
 
-  /** Registers all machines with the leader: listed, reconciled under its fencing token, and in the stored registry. */
+  /**
+   * Registers all machines with the leader: delivers the provider's machine list, sends two heartbeats of each worker, so
+   * that it is reconciled under the leader's fencing token, and confirms the registry writes.
+   */
   private registerMachines(): void {
     const listed = this.workers.map(({ info }) => ({ ...info, status: 'running' as const, ageS: 60 }));
     this.leader.onMachineList(listed, this.now);
@@ -187,12 +190,12 @@
   }
 
   /** Delivers the result that the commands got no response to the leader. */
-  onCommandsUnanswered(sent: DirectCommands): void {
+  onCommandsWithoutResponse(sent: DirectCommands): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unknown' }, this.now);
   }
 
   /** Delivers the result that the commands were never sent to the leader. */
-  onCommandsUnsent(sent: DirectCommands): void {
+  onCommandsNotSent(sent: DirectCommands): void {
     this.leader.onDirectCommandResult(sent.machine, sent.commands, { kind: 'unsent' }, this.now);
   }
 
