--- a/src/test/cloud-request-budget.test.ts
+++ b/src/test/cloud-request-budget.test.ts
@@ -26,7 +26,7 @@
     cloudProvider: cloud,
     cloudProviderLimits: { requestsPerS: 2, listLagS: 8 },
   } as unknown as PlatformSettings;
-  // The clock does not advance: the budget, a burst of two and a half requests, is not refilled.
+  // The clock does not advance, so the token bucket (capacity: 2.55 requests) is not refilled.
   t.mock.method(performance, 'now', () => 1000);
   const client = new CloudProviderClient(platform);
   assert.deepEqual(await client.listMachines(), []);
--- a/src/test/external-names.test.ts
+++ b/src/test/external-names.test.ts
@@ -21,8 +21,8 @@
 import { parseHeartbeat } from '../wire/workers.js';
 
 /**
- * Lines of the form `written NAME: JSON` or `received NAME: JSON`, which hold the external names, and `values NAME: JSON`:
- * the values of a received message after parsing, which include the code's own names of states and kinds.
+ * The lines of the fixture. `written NAME: JSON` and `received NAME: JSON` contain a message with its external names.
+ * `values NAME: JSON` contains the values of a received message after parsing, with the internal names of states and kinds.
  */
 const fixture = new Map(
   readFileSync(fileURLToPath(new URL('../../src/test/external-names.txt', import.meta.url)), 'utf8')
--- a/src/test/guarantees.test.ts
+++ b/src/test/guarantees.test.ts
@@ -163,8 +163,10 @@
     describeDecisions(runTestCycle([first, second], [makeJob('wk-1', { team: red })], teams)).length,
     1,
   );
-  const tooLarge = makeJob('wk-2', { team: red, kind: 'gang', tasks: 2, gpus: 1, cpus: 16 });
-  assert.deepEqual(describeDecisions(runTestCycle([first], [tooLarge], teams)), ['wk-2 waits for 2']);
+  const gangExceedingMachine = makeJob('wk-2', { team: red, kind: 'gang', tasks: 2, gpus: 1, cpus: 16 });
+  assert.deepEqual(describeDecisions(runTestCycle([first], [gangExceedingMachine], teams)), [
+    'wk-2 waits for 2',
+  ]);
 });
 
 test('nothing is preempted for a guarantee if another machine becomes free as soon', () => {
@@ -274,10 +276,10 @@
   initialMachines: { type: 'small', perZone: MACHINES_PER_ZONE },
 };
 const GUARANTEED_SUBMITTED_MS = 50_000;
-/** By then the victims have saved, and the guaranteed tasks have been scheduled and have fetched their images. */
+/** Late enough for the victims to save their state, and for the guaranteed tasks to be placed and fetch their images. */
 const CHECKED_MS = GUARANTEED_SUBMITTED_MS + 15_000;
 
-/** Borrowed work fills all machines; then a team submits jobs within its guarantee. */
+/** Tasks on borrowed capacity fill all machines; then a team submits jobs within its guarantee. */
 const runGuaranteeScenario = async (): Promise<{
   violations: string[];
   unfinished: string[];
--- a/src/test/heartbeat-handler.test.ts
+++ b/src/test/heartbeat-handler.test.ts
@@ -35,7 +35,8 @@
 });
 
 test('when connections between controllers are refused, workers are redirected to the leader', async () => {
-  // Guards against followers that renew leases until the window ends while the leader fences half of the machines.
+  // Guards against followers that renew leases until the time limit for renewals without a leader, while the leader fences
+  // half of the machines.
   const { environment, heartbeatHandler, sendHeartbeat } = createFollower();
   heartbeatHandler.recordLeaderSeen();
   environment.linkAlive = false;
@@ -63,12 +64,12 @@
 });
 
 test("a controller partitioned from the leader renews leases for a bounded time after the leader's last heartbeat", async () => {
-  // Guards against measuring this time from the last heartbeat that this controller received, which may not exist.
+  // Guards against measuring this time limit from the last heartbeat that this controller received: it may have received none.
   const { environment, heartbeatHandler, sendHeartbeat } = createFollower();
   heartbeatHandler.recordLeaderSeen();
   environment.linkAlive = false;
-  const windowMs = (workers.cancelS - workers.leaseS - 2 * workers.heartbeatIntervalS - 4) * 1000;
-  environment.now += windowMs - 1;
+  const maxLeaderlessMs = (workers.cancelS - workers.leaseS - 2 * workers.heartbeatIntervalS - 4) * 1000;
+  environment.now += maxLeaderlessMs - 1;
   assert.equal(await sendHeartbeat('east'), '200 {"reins":3,"calls":[]}');
   assert.equal(
     await sendHeartbeat('east', 4),
@@ -95,7 +96,8 @@
   cancelled.jobs.add('wk-1');
   const stop = '{"call":"kill","hand":"wk-1/0","try":5,"slackS":0}';
   assert.equal(await sendHeartbeat('east', 3, tasks), `200 {"reins":3,"calls":[${stop}]}`);
-  // A task cancelled right after the proof must stop in time: the response renews its lease.
+  // All cancellations until `provenUntil` are known. The response renews the worker's lease, and a task cancelled right
+  // after that time must still stop in time.
   cancelled.provenUntil = environment.now;
   environment.now += (workers.cancelS - workers.leaseS) * 1000 - 2000;
   assert.equal(await sendHeartbeat('east'), '421 {}', 'the worker is redirected again from time to time');
@@ -163,7 +165,8 @@
   assert.equal(await sendHeartbeat(5), 'unchanged-heartbeats');
   assert.equal(lastSequence(), 4, 'the unchanged heartbeat is not accepted');
   assert.equal(await sendHeartbeat(6), 'forwarded-heartbeat');
-  // The leader has processed a newer heartbeat, such as one in the response to a direct command: the base has changed.
+  // The leader has processed a newer heartbeat, such as one in the response to a direct command. The unchanged heartbeat
+  // refers to an older one.
   environment.leader.machines.get('host-1' as MachineId)!.lastHeartbeat.processedSequence = 7;
   assert.equal(await sendHeartbeat(8), 'unchanged-heartbeats');
   assert.equal(lastSequence(), 6);
--- a/src/test/invariant-checker.test.ts
+++ b/src/test/invariant-checker.test.ts
@@ -123,8 +123,8 @@
 test('the invariant checker detects a leader that does not stop cancelled tasks', () => {
   // Drops every stop command.
   class LeaderWithoutStops extends Leader {
-    override onHeartbeat(report: Heartbeat, now: MonotonicTime): Command[] {
-      return super.onHeartbeat(report, now).filter((command) => command.op !== 'stop');
+    override onHeartbeat(heartbeat: Heartbeat, now: MonotonicTime): Command[] {
+      return super.onHeartbeat(heartbeat, now).filter((command) => command.op !== 'stop');
     }
     override takeEffects() {
       return super
--- a/src/test/key-value-store-limits.test.ts
+++ b/src/test/key-value-store-limits.test.ts
@@ -149,13 +149,13 @@
   const persistedPages = new Map([['old', new Set(all.map((machine) => machine.id))]]);
   const listedMachineCount = (): number =>
     new Set([...persistedPages.values()].flatMap((page) => [...page])).size;
-  for (let page = 1; registry.selectMachinesToSplitOff(fits).length > 0; page++) {
+  for (let pageNumber = 1; registry.selectMachinesToSplitOff(fits).length > 0; pageNumber++) {
     const part = registry.selectMachinesToSplitOff(fits);
     assert.ok(fits(part) && part.length > 10);
-    registry.openPage(`new-${page}`, part);
+    registry.openPage(`new-${pageNumber}`, part);
     assert.ok(listedMachineCount() >= 80, 'while the write is in flight');
-    persistedPages.set(`new-${page}`, new Set(part.map((machine) => machine.id)));
-    for (const id of registry.onPageWritten(`new-${page}`, true)) registry.remove('old', id);
+    persistedPages.set(`new-${pageNumber}`, new Set(part.map((machine) => machine.id)));
+    for (const id of registry.onPageWritten(`new-${pageNumber}`, true)) registry.remove('old', id);
   }
   const rest = registry.nextPageToWrite('stale', fits)!;
   assert.ok(fitsValueLimit(registryPageData(rest.machines), 2));
--- a/src/test/known-red.test.ts
+++ b/src/test/known-red.test.ts
@@ -25,7 +25,7 @@
   });
 });
 
-test('a failure that is not listed is a problem', () => {
+test('a failing test that is not listed is reported as a problem', () => {
   assert.deepEqual(compareWithKnownRedList([entry('a')], [failed('a'), failed('b')]).problems, [
     'unexpected failure: b',
   ]);
@@ -38,24 +38,24 @@
   });
 });
 
-test('a listed test that passes is a problem', () => {
+test('a listed test that passes is reported as a problem', () => {
   const { problems, expectedFailures } = compareWithKnownRedList([entry('a')], [passed('a')]);
   assert.match(problems.join(), /it passes: a/);
   assert.deepEqual(expectedFailures, []);
 });
 
-test('a listed name that no test has is a problem', () => {
+test('a listed name that matches no test is reported as a problem', () => {
   assert.match(compareWithKnownRedList([entry('gone')], [passed('a')]).problems.join(), /no such test: gone/);
 });
 
-test('a listed name that several tests have is a problem', () => {
+test('a listed name that matches several tests is reported as a problem', () => {
   assert.match(
     compareWithKnownRedList([entry('a')], [failed('a'), failed('a')]).problems.join(),
     /several tests/,
   );
 });
 
-test('a run without tests is a problem', () => {
+test('a run without tests is reported as a problem', () => {
   assert.match(compareWithKnownRedList([], []).problems.join(), /no test was run/);
 });
 
--- a/src/test/leader-simulation.test.ts
+++ b/src/test/leader-simulation.test.ts
@@ -167,14 +167,14 @@
   assert.equal(simulation.leader!.jobs.get('wk-1' as JobId)!.runningCount, 4);
 });
 
-for (const lost of [false, true]) {
-  const outcome = lost ? 'lost' : 'delayed';
+for (const heartbeatsLost of [false, true]) {
+  const outcome = heartbeatsLost ? 'lost' : 'delayed';
   // Guards against a leader that fences healthy machines when a partition longer than the lease ends.
   test(`heartbeats that were ${outcome} in a partition are not treated as a sign of a one-way partition`, () =>
-    partitionLongerThanLease(lost));
+    partitionLongerThanLease(heartbeatsLost));
 }
 
-const partitionLongerThanLease = (lost: boolean): void => {
+const partitionLongerThanLease = (heartbeatsLost: boolean): void => {
   const simulation = new LeaderSimulation(15);
   const serviceSpec = {
     kind: 'service',
@@ -191,9 +191,9 @@
   const delayedHeartbeats = workers.map((worker) => worker.nextHeartbeat());
   for (const worker of workers) worker.unreachable = true;
   simulation.clock.runUntil(74_000);
-  if (!lost)
-    for (const report of delayedHeartbeats)
-      simulation.leader!.onHeartbeat(report, simulation.clock.now as MonotonicTime);
+  if (!heartbeatsLost)
+    for (const heartbeat of delayedHeartbeats)
+      simulation.leader!.onHeartbeat(heartbeat, simulation.clock.now as MonotonicTime);
   for (const worker of workers) worker.unreachable = false;
   simulation.clock.runUntil(80_000);
   assert.ok(
--- a/src/test/peer-messages.test.ts
+++ b/src/test/peer-messages.test.ts
@@ -81,7 +81,7 @@
   return Buffer.concat([head, body]);
 };
 
-/** A peer that responds to every request with its kind, and a connection to this peer. */
+/** Starts a peer that responds to each request with the request's kind, and opens a connection to it. */
 const connectToPeer = async (
   t: TestContext,
 ): Promise<{ socket: Socket; causes: string[]; next: () => Promise<Buffer> }> => {
@@ -213,8 +213,8 @@
   const forwarded = { status: 200, body: Buffer.of(1), inSync: true };
   const relayed = { status: 200, body: Buffer.of(1), quiet: true };
   assertEncoded(encodePeerResponse('forwarded-heartbeat', forwarded), relayed);
-  const unchanged = { machinesNeedingFullHeartbeat: machines };
-  assertEncoded(encodePeerResponse('unchanged-heartbeats', unchanged), { full: machines });
+  const unchangedHeartbeatsResponse = { machinesNeedingFullHeartbeat: machines };
+  assertEncoded(encodePeerResponse('unchanged-heartbeats', unchangedHeartbeatsResponse), { full: machines });
   const user = { status: 503, body: null, retryAfterS: 1 };
   assertEncoded(encodePeerResponse('user-request', user), user);
   const counts = { counts: { done: 1, running: 2 } };
@@ -229,6 +229,9 @@
     parsePeerResponse('forwarded-heartbeat', relayed),
     parsePeerResponse('unchanged-heartbeats', { full: machines }),
   ];
-  const expected = [heartbeat, { machines }, forwarded, unchanged].map((value) => ({ ok: true, value }));
+  const expected = [heartbeat, { machines }, forwarded, unchangedHeartbeatsResponse].map((value) => ({
+    ok: true,
+    value,
+  }));
   assert.deepEqual(read, expected);
 });
--- a/src/test/progress-store.test.ts
+++ b/src/test/progress-store.test.ts
@@ -5,7 +5,7 @@
 import type { JobId, SegmentName } from '../core/units.js';
 import type { Change, Condition } from '../wire/key-value-store.js';
 
-const job = 'wk-1' as JobId;
+const jobId = 'wk-1' as JobId;
 const first = '0' as SegmentName;
 const bits = (byte: number): Uint8Array => Uint8Array.of(byte);
 
@@ -46,10 +46,10 @@
 
 test('a progress write that arrives late does not overwrite a newer one', async () => {
   const { server, store, deliverHeldRequests, storedByte } = createStore();
-  assert.equal((await store.save(job, first, bits(1))).kind, 'ok');
+  assert.equal((await store.save(jobId, first, bits(1))).kind, 'ok');
   server.loseNextResponse = true;
-  assert.equal((await store.save(job, first, bits(3))).kind, 'retry');
-  assert.equal((await store.save(job, first, bits(7))).kind, 'ok');
+  assert.equal((await store.save(jobId, first, bits(3))).kind, 'retry');
+  assert.equal((await store.save(jobId, first, bits(7))).kind, 'ok');
   deliverHeldRequests();
   assert.equal(storedByte(), 7);
 });
@@ -57,10 +57,10 @@
 test('a write that was executed without a response is detected, and the next write succeeds', async () => {
   const { server, store, deliverHeldRequests, storedByte } = createStore();
   server.loseNextResponse = true;
-  assert.equal((await store.save(job, first, bits(1))).kind, 'retry');
+  assert.equal((await store.save(jobId, first, bits(1))).kind, 'retry');
   deliverHeldRequests();
-  const outcome = await store.save(job, first, bits(2));
+  const outcome = await store.save(jobId, first, bits(2));
   assert.deepEqual(outcome.kind === 'changed' ? [...outcome.bytes] : outcome, [1]);
-  assert.equal((await store.save(job, first, bits(3))).kind, 'ok');
+  assert.equal((await store.save(jobId, first, bits(3))).kind, 'ok');
   assert.equal(storedByte(), 3);
 });
--- a/src/test/scheduler.test.ts
+++ b/src/test/scheduler.test.ts
@@ -56,9 +56,9 @@
   placeRunningTask(a, low, 1);
   const fittingGang = makeJob('wk-1', { kind: 'gang', tasks: 2, priority: 'high' });
   assert.deepEqual(describeDecisions(runTestCycle([a], [fittingGang])), ['stop wk-9/0', 'stop wk-9/1']);
-  const tooLarge = makeJob('wk-2', { kind: 'gang', tasks: 3, priority: 'high' });
+  const gangExceedingMachine = makeJob('wk-2', { kind: 'gang', tasks: 3, priority: 'high' });
   assert.deepEqual(
-    describeDecisions(runTestCycle([a], [tooLarge])),
+    describeDecisions(runTestCycle([a], [gangExceedingMachine])),
     ['wk-2 waits for 3'],
     'no task is stopped if the gang still does not fit',
   );
@@ -92,9 +92,9 @@
     placedOnCold,
     'the fetch is short',
   );
-  const tooLarge = gang({ tasks: 3 });
+  const gangExceedingCachedMachine = gang({ tasks: 3 });
   assert.deepEqual(
-    describeDecisions(runTestCycle([cold, warm], [tooLarge])),
+    describeDecisions(runTestCycle([cold, warm], [gangExceedingCachedMachine])),
     ['wk-1/0 -> a', 'wk-1/1 -> a', 'wk-1/2 -> a'],
     'one member would have to fetch the image anyway',
   );
--- a/src/test/scheduling-cost.test.ts
+++ b/src/test/scheduling-cost.test.ts
@@ -29,7 +29,8 @@
     many <= few * 2,
     `${few} machine evaluations for 10 jobs, ${many} for 300 with the same signatures`,
   );
-  // With free capacity on every machine the bound holds, and the unprocessed jobs continue in the next cycle.
+  // With free capacity on every machine, the limit on machine evaluations per cycle holds, and the unprocessed jobs are
+  // left for the next cycle.
   const empty = Array.from({ length: 700 }, (_item, i) =>
     makeMachine(`e${i}`, 'large', i % 2 ? 'east' : 'west'),
   );
--- a/src/test/user-api.test.ts
+++ b/src/test/user-api.test.ts
@@ -220,7 +220,7 @@
   assert.deepEqual(confirmed, ['wk-1', 'wk-1', 'wk-1']);
 });
 
-const dependentJob = (...awaits: string[]) => ({ ...job, nameId: 'wk-2', awaits });
+const dependentJob = (...dependencyIds: string[]) => ({ ...job, nameId: 'wk-2', awaits: dependencyIds });
 
 test('dependencies accepted at any controller are valid, others are rejected; a known job is not checked again', async () => {
   const { store, createApi, call } = setup();
--- a/src/test/wire.test.ts
+++ b/src/test/wire.test.ts
@@ -74,9 +74,9 @@
   const directCommands = directCommandsBody(7, huge, [
     { op: 'start', job: 'wk-1' as JobId, index: 0, attempt },
   ]);
-  // Written as an integer (major type 0), not as a float.
+  // The attempt number is encoded as a CBOR integer (major type 0), not as a float.
   assert.ok(encode(directCommands).includes(Buffer.from('1b0000030000000000', 'hex')));
-  const report = {
+  const heartbeat = {
     stall: 'host-1',
     endpoint: '10.0.0.1:9000',
     breed: 'g8',
@@ -87,10 +87,10 @@
     reins: 1,
     hands: [{ hand: 'wk-1/0', try: 1, status: 'running' }],
   };
-  const parsed = parseHeartbeat(decode(encode(report)));
+  const parsed = parseHeartbeat(decode(encode(heartbeat)));
   assert.ok(parsed.ok && parsed.value.sequence === huge && parsed.value.tasks[0].job === 'wk-1');
   assert.equal(
-    parseHeartbeat({ ...report, hands: [{ hand: 'wk-1/0', try: huge, status: 'running' }] }).ok,
+    parseHeartbeat({ ...heartbeat, hands: [{ hand: 'wk-1/0', try: huge, status: 'running' }] }).ok,
     false,
   );
 });
--- a/src/test/zone-partition.test.ts
+++ b/src/test/zone-partition.test.ts
@@ -20,7 +20,7 @@
 const PARTITIONED_AT_MS = 30_000;
 const PARTITION_MS = 70_000;
 const SUBMITTED_AT_MS = PARTITIONED_AT_MS + 10_000;
-/** Before machines of the far zone would be fenced and replaced by machines that send heartbeats to other controllers. */
+/** Before machines of the partitioned zone would be fenced and replaced by machines that send heartbeats to other controllers. */
 const RUNNING_AT_MS = PARTITIONED_AT_MS + 40_000;
 const FENCED_AT_MS = PARTITIONED_AT_MS + PARTITION_MS - 5000;
 
@@ -29,7 +29,7 @@
   unfinished: string[];
   /** Machines deleted while the zones were partitioned. */
   fenced: number;
-  /** Tasks of the job bound to the far zone that run there soon after it was submitted. */
+  /** Number of tasks that run, at `RUNNING_AT_MS`, of the job that may only use the zone partitioned from the leader. */
   running: number;
 }
 
@@ -38,19 +38,19 @@
   let running = 0;
   const script = (scenario: Scenario): void => {
     const { cluster } = scenario;
-    let farZoneJob: JobId;
+    let partitionedZoneJob: JobId;
     cluster.at(10_000, () => [2, 4, 6].forEach((tasks) => scenario.submit({ tasks }, 120_000)));
-    let far: string;
+    let partitionedZone: string;
     cluster.at(PARTITIONED_AT_MS, () => {
-      const near = cluster.leader!.platform.zone;
-      far = zones.find((zone) => zone !== near)!;
-      cluster.partitionZones(near, far, fault, PARTITION_MS);
+      const leaderZone = cluster.leader!.platform.zone;
+      partitionedZone = zones.find((zone) => zone !== leaderZone)!;
+      cluster.partitionZones(leaderZone, partitionedZone, fault, PARTITION_MS);
     });
     cluster.at(
       SUBMITTED_AT_MS,
-      () => (farZoneJob = scenario.submit({ tasks: 4, zone: far as Zone }, 120_000)),
+      () => (partitionedZoneJob = scenario.submit({ tasks: 4, zone: partitionedZone as Zone }, 120_000)),
     );
-    cluster.at(RUNNING_AT_MS, () => (running = cluster.checker.machineIdsOf(farZoneJob).length));
+    cluster.at(RUNNING_AT_MS, () => (running = cluster.checker.machineIdsOf(partitionedZoneJob).length));
     cluster.at(FENCED_AT_MS, () => {
       fenced = [...cluster.cloudProvider.deletedAt.values()].filter((at) => at > PARTITIONED_AT_MS).length;
     });
@@ -66,7 +66,7 @@
 };
 
 for (const fault of ['hold', 'refuse'] as const) {
-  test(`zone partition (${fault}): the far zone gets its commands through the third controller, and no machine is fenced`, async () => {
+  test(`zone partition (${fault}): the zone partitioned from the leader gets its commands through the third controller, and no machine is fenced`, async () => {
     for (const seed of [1, 2, 3])
       assert.deepEqual(await partitionZones(fault, seed), {
         violations: [],
@@ -77,7 +77,7 @@
   });
 }
 
-test('zone partition: without the third controller the far zone gets no work and is fenced', async (t: TestContext) => {
+test('zone partition: without the third controller the zone partitioned from the leader gets no work and is fenced', async (t: TestContext) => {
   t.mock.method(LeaderRoutes.prototype, 'directlyReachableLeader', () => null);
   const { running, fenced } = await partitionZones('hold', 1);
   assert.equal(running, 0);
