--- a/src/test/external-names.test.ts
+++ b/src/test/external-names.test.ts
@@ -65,7 +65,7 @@
   'platform settings': (raw: object) => parsePlatformSettings(stringify(raw)),
 };
 
-test('writtenBodies data has the names, the order and the encoding of the fixture', () => {
+test('written data has the names, the order and the encoding of the fixture', () => {
   for (const [name, body] of Object.entries(producedValues)) {
     const text = textOf(`written ${name}`);
     assert.equal(toText(body), text, name);
